--- a/core/balance/balance.go
+++ b/core/balance/balance.go
@@ -8,69 +8,70 @@
 	"skylarkstand/core/mechanism"
 )
 
-// Request is what a choice depends on.
+// Request holds the properties of a request that a selection depends on.
 type Request struct {
 	Service core.ServiceID
-	// Model, Parts and Prompt are set for engines. Parts are those of the
-	// prompt, in order; their sum may be below Prompt.
+	// Model, Parts and Prompt are set for engines. Parts are the parts of the prompt, in order; the
+	// sum of their tokens may be below Prompt.
 	Model  core.ModelID
 	Parts  []core.Part
 	Prompt core.Tokens
-	// Engine says that the upstreams batch and keep prompts in memory.
+	// Engine is set for upstreams that batch requests and have a prefix cache.
 	Engine bool
-	// Pool separates times that are unlike: one route from another.
+	// Pool separates latencies that differ: those of one route from those of another.
 	Pool string
-	// Tried are upstreams that are not asked again.
+	// Tried are the upstreams that are excluded.
 	Tried []core.UpstreamID
-	// Slack is the time until an answer begins too late to be good; 0 is no bound.
+	// Slack is the time until a response begins too late to be good; 0 is no bound.
 	Slack time.Duration
-	// RemoteOnly says that the request may not be served in this entry's region, so that
-	// nothing of its prompt is told here.
+	// RemoteOnly is set when the request may not be served in this entry's region, so that nothing
+	// about its prompt is announced here.
 	RemoteOnly bool
-	// Once says that the work may run at most once, so that a failing upstream
-	// costs the whole answer.
+	// Once is set for work that may run at most once, so that a failing upstream costs the whole
+	// response.
 	Once bool
 }
 
-// Picker chooses. It belongs to one goroutine at a time.
+// Picker selects upstreams. It isn't safe for concurrent use.
 type Picker struct {
-	zone   core.Zone
-	region core.Region
-	peers  map[core.UpstreamID]*peer
-	pools  map[poolKey]*pool
-	// reading is what is known of the engines' pace.
-	reading reading
-	// hashed are the peers by the hash of their ids; recent is what has been
-	// sent to engines since it was told.
-	hashed map[uint64]*peer
-	recent []Kept
-	// sent is the work that went to upstreams and was not told yet, and read the
-	// prompts that were read since the last telling.
-	sent, read []Share
-	// facts are the peers of which something was found out that was not told yet.
-	facts map[*peer]bool
-	// told is what other entries have at upstreams.
-	told map[uint64]told
-	// remote is the load of other regions, by the hash of the name.
+	zone      core.Zone
+	region    core.Region
+	peers     map[core.UpstreamID]*peer
+	latencies map[latencyKey]*latency
+	// prefill estimates the prefill rate of the engines.
+	prefill prefillEstimator
+	// byHash holds the peers by the hash of their ids. newParts are the parts sent to engines that
+	// were not announced yet.
+	byHash   map[uint64]*peer
+	newParts []Kept
+	// newCalls are the calls that were not announced yet, newPrefills the prompts whose prefill
+	// ended since the last announcement.
+	newCalls, newPrefills []Share
+	// newFacts are the peers with a fact that was not announced yet.
+	newFacts map[*peer]bool
+	// siblings are the loads that the other entries of the region announced, by the hash of the
+	// entry's id.
+	siblings map[uint64]siblingLoad
+	// remote is the load of other regions, by the hash of the region's name.
 	remote map[uint64]remoteLoad
-	// remoteCalls is the work for other regions that was not told yet.
-	remoteCalls map[uint64][]Share
-	sums        sums
-	off         mechanism.Off
-	// nearWait is the mean time that prompts wait at engines of the own region.
-	nearWait time.Duration
-	// meanRead follows the time that a prompt needs.
-	meanRead float64
+	// newRemoteCalls are the calls to other regions that were not announced yet, by region.
+	newRemoteCalls map[uint64][]Share
+	totals         loadTotals
+	off            mechanism.Off
+	// localWait is the mean prefill queue, as time, of the engines in the local region.
+	localWait time.Duration
+	// meanPrefill is a moving average of the prefill time of prompts, in nanoseconds.
+	meanPrefill float64
 }
 
-func (pk *Picker) usualRead() time.Duration { return time.Duration(pk.meanRead) }
+func (pk *Picker) meanPrefillTime() time.Duration { return time.Duration(pk.meanPrefill) }
 
-// New returns a picker for an entry's place.
+// New returns a picker for an entry in the given availability zone and region.
 func New(zo core.Zone, re core.Region, opts ...Option) *Picker {
 	pk := &Picker{
 		zone: zo, region: re, peers: map[core.UpstreamID]*peer{},
-		pools: map[poolKey]*pool{}, reading: newReading(),
-		told: map[uint64]told{}, remote: map[uint64]remoteLoad{}, remoteCalls: map[uint64][]Share{}, hashed: map[uint64]*peer{}, facts: map[*peer]bool{},
+		latencies: map[latencyKey]*latency{}, prefill: newPrefillEstimator(),
+		siblings: map[uint64]siblingLoad{}, remote: map[uint64]remoteLoad{}, newRemoteCalls: map[uint64][]Share{}, byHash: map[uint64]*peer{}, newFacts: map[*peer]bool{},
 	}
 	for _, opt := range opts {
 		opt(pk)
@@ -81,19 +82,19 @@
 // Option changes a Picker at construction.
 type Option func(*Picker)
 
-// Without switches mechanisms off.
+// Without disables mechanisms.
 func Without(off mechanism.Off) Option { return func(pk *Picker) { pk.off = off } }
 
-// Pick returns the upstream for an attempt, or false when none is left. Draw
-// returns a number from 0 to 1.
+// Pick returns the upstream for an attempt, or false when every upstream was tried. Draw returns a
+// random number from 0 to 1.
 func (pk *Picker) Pick(now time.Time, hosts []core.Host, rq Request, draw func() float64) (core.Host, bool) {
-	fi := pk.field(now, hosts, rq)
+	fi := pk.newDecision(now, hosts, rq)
 	best, least := -1, time.Duration(0)
 	for i := range hosts {
 		if slices.Contains(rq.Tried, hosts[i].ID) {
 			continue
 		}
-		cost := pk.cost(now, &hosts[i], rq, fi) + time.Duration(draw()*float64(jitter))
+		cost := pk.cost(now, &hosts[i], rq, fi) + time.Duration(draw()*float64(maxJitter))
 		if best < 0 || cost < least {
 			best, least = i, cost
 		}
@@ -104,67 +105,67 @@
 	return hosts[best], true
 }
 
-// Expect returns the least expected time to the first byte of an answer from an
-// engine: what waits there and the reading of what it does not keep. Engines of
-// another region count only where the list has none of the own one.
+// Expect returns the least expected time to the first byte of a response from an engine: the queued
+// prefill work and the prefill of the uncached part. Engines of another region count only where the
+// list has none of the local region.
 func (pk *Picker) Expect(now time.Time, hosts []core.Host, rq Request) time.Duration {
-	read, home, near := pk.reading.thousand(rq.Model), pk.home(now, hosts, rq), pk.anyNear(hosts)
+	prefill, home, hasLocal := pk.prefill.perThousand(rq.Model), pk.prefixHome(now, hosts, rq), pk.anyLocal(hosts)
 	least := time.Duration(-1)
 	for i := range hosts {
 		pe := pk.peer(&hosts[i])
-		if now.Before(pe.down) || near && pe.far {
+		if now.Before(pe.downUntil) || hasLocal && pe.remote {
 			continue
 		}
-		fresh := rq.Prompt - pe.kept(now, rq)
+		uncached := rq.Prompt - pe.cachedTokens(now, rq)
 		if hosts[i].ID == home {
-			fresh = min(fresh, rq.Prompt-core.Tokens(homeShare*float64(shared(rq.Parts))))
+			uncached = min(uncached, rq.Prompt-core.Tokens(homeCachedShare*float64(sharedTokens(rq.Parts))))
 		}
-		_, pending := pk.work(now, pe)
-		if cost := pending + scale(read, fresh); least < 0 || cost < least {
+		_, pending := pk.workAt(now, pe)
+		if cost := pending + scale(prefill, uncached); least < 0 || cost < least {
 			least = cost
 		}
 	}
 	return max(least, 0)
 }
 
-// Wait returns the least time that a prompt would wait at an engine before it is
-// read: at one of the own region, or of another where that has none.
+// Wait returns the least time that a prompt would wait at an engine before its prefill: at one of
+// the local region, or of another where the local region has none.
 func (pk *Picker) Wait(now time.Time, hosts []core.Host) time.Duration {
-	least, near := time.Duration(-1), false
+	least, hasLocal := time.Duration(-1), false
 	for i := range hosts {
 		pe := pk.peer(&hosts[i])
-		if now.Before(pe.down) || near && pe.far {
+		if now.Before(pe.downUntil) || hasLocal && pe.remote {
 			continue
 		}
-		_, pending := pk.work(now, pe)
-		if least < 0 || pending < least || !near && !pe.far {
+		_, pending := pk.workAt(now, pe)
+		if least < 0 || pending < least || !hasLocal && !pe.remote {
 			least = pending
 		}
-		near = near || !pe.far
+		hasLocal = hasLocal || !pe.remote
 	}
 	return max(least, 0)
 }
 
-// anyNear reports whether any upstream of a list is in the own region.
-func (pk *Picker) anyNear(hosts []core.Host) bool {
+// anyLocal reports whether any upstream of a list is in the local region.
+func (pk *Picker) anyLocal(hosts []core.Host) bool {
 	return slices.ContainsFunc(hosts, func(ho core.Host) bool { return ho.Region == pk.region })
 }
 
-// Usual returns the usual time from sending to the header of an answer, or 0
-// while too few were seen to rely on it.
+// Usual returns the mean time from sending a request to the response header, or 0 while there are
+// too few samples to rely on.
 func (pk *Picker) Usual(rq Request) time.Duration {
-	pl := pk.pool(rq)
-	if pl.count < trusted {
+	pl := pk.latency(rq)
+	if pl.count < minSamples {
 		return 0
 	}
-	return pl.usual(0)
+	return pl.meanOr(0)
 }
 
-// Avoided counts the upstreams of a list that work is kept from.
+// Avoided counts the upstreams of a list that are avoided.
 func (pk *Picker) Avoided(now time.Time, hosts []core.Host) int {
 	sum := 0
 	for i := range hosts {
-		if pe := pk.peers[hosts[i].ID]; pe != nil && pe.avoids(now) {
+		if pe := pk.peers[hosts[i].ID]; pe != nil && pe.isAvoided(now) {
 			sum++
 		}
 	}
--- a/core/balance/balance_test.go
+++ b/core/balance/balance_test.go
@@ -32,11 +32,11 @@
 	return balance.Request{Service: "s", Model: "large", Engine: true, Parts: parts(shared, own), Prompt: 16_000, Pool: "draft"}
 }
 
-// Prompts share long beginnings. An engine that has read one answers the next
-// in a fifth of the time; sent elsewhere, it keeps another engine from its other
-// callers for a second. But when the engine that has it is full, waiting there
-// would cost more than reading it anew.
-func TestPromptsGoWhereTheyAreKept(t *testing.T) {
+// Prompts share long prefixes. An engine that has one cached answers the next in a fifth of the
+// time; sent elsewhere, the prompt keeps another engine from its other callers for a second. But
+// when the engine with the cached prefix is full, waiting there would cost more than repeating the
+// prefill.
+func TestPromptsGoWhereTheyAreCached(t *testing.T) {
 	pk := balance.New("muc-a", "muc")
 	hosts := pool(12, 64)
 	rnd := rand.New(rand.NewPCG(1, 1))
@@ -52,12 +52,12 @@
 		pk.Sent(start.Add(3*time.Second), first, draft("other", i))
 	}
 	other, _ := pk.Pick(start.Add(3*time.Second), hosts, draft("plan-7", 2), rnd.Float64)
-	assert.Assert(t, other.ID != first.ID, "the engine that has it is full")
+	assert.Assert(t, other.ID != first.ID, "the engine with the cached prefix is full")
 }
 
-// Several entries see the same prompts and hear nothing of one another's. They
-// should still read each at one engine of their region.
-func TestEntriesAgreeOnAHome(t *testing.T) {
+// Several entries see the same prompts and receive no announcements from one another. They should
+// still send each to one engine of their region.
+func TestEntriesAgreeOnPrefixHome(t *testing.T) {
 	hosts := pool(12, 64)
 	count := map[core.UpstreamID]int{}
 	for i := range 60 {
@@ -73,27 +73,27 @@
 		assert.Equal(t, len(slices.Compact(homes)), 1, "%v", homes)
 	}
 	for id, n := range count {
-		assert.Assert(t, n <= 14, "%s is home of %d of 60", id, n)
+		assert.Assert(t, n <= 14, "%s is the home of %d of 60 prompts", id, n)
 	}
 }
 
-// An upstream fails every other call, and its health is good. Its callers get
-// errors for as long as calls go there; so they must go elsewhere within a few
-// seconds, and come back when it is sound again.
-func TestFailingUpstreamIsLeftAndTriedAgain(t *testing.T) {
+// An upstream fails every other call, although its health check is fine. Callers get errors for as
+// long as calls go there; so calls must go elsewhere within a few seconds, and come back when the
+// upstream recovers.
+func TestFailingUpstreamIsAvoidedAndRetried(t *testing.T) {
 	for _, once := range []bool{false, true} {
 		pk := balance.New("muc-a", "muc")
 		hosts := pool(3, 6)
 		rnd := rand.New(rand.NewPCG(3, 1))
 		rq := balance.Request{Service: "s", Pool: "claim", Once: once}
-		count := func(from, to int, fails bool) (sick int) {
+		count := func(from, to int, fails bool) (failing int) {
 			for i := from; i < to; i++ {
 				now := start.Add(time.Duration(i) * 50 * time.Millisecond)
 				ho, _ := pk.Pick(now, hosts, rq, rnd.Float64)
 				fl := pk.Sent(now, ho, rq)
 				out := balance.Good
 				if ho.ID == "up-0" {
-					sick++
+					failing++
 					if fails && rnd.Float64() < 0.5 {
 						out = balance.Failed
 					}
@@ -103,57 +103,56 @@
 				}
 				pk.Ended(now.Add(40*time.Millisecond), fl, out)
 			}
-			return sick
+			return failing
 		}
 		count(0, 100, false)
-		sick := count(100, 400, true)
-		assert.Assert(t, sick < 90, "once %v: %d of 300 calls went to it", once, sick)
-		sound := count(400, 900, false)
-		assert.Assert(t, sound > 100, "once %v: %d of 500 after it was well", once, sound)
+		failing := count(100, 400, true)
+		assert.Assert(t, failing < 90, "once %v: %d of 300 calls went to the failing upstream", once, failing)
+		recovered := count(400, 900, false)
+		assert.Assert(t, recovered > 100, "once %v: %d of 500 calls after the recovery", once, recovered)
 	}
 }
 
-// asks makes calls of a pool of three, one each 50 ms, of which the first
-// upstream ends each in the same bad way. It returns how many went there.
-func asks(calls int, bad balance.Outcome) int {
+// attemptsAtFirst makes calls to a pool of three, one each 50 ms, where every attempt at the first
+// upstream ends with the same bad outcome. It returns the number of attempts there.
+func attemptsAtFirst(calls int, bad balance.Outcome) int {
 	pk := balance.New("muc-a", "muc")
 	hosts := pool(3, 6)
 	rnd := rand.New(rand.NewPCG(4, 1))
 	rq := balance.Request{Service: "s", Pool: "claim"}
-	asked := 0
+	attempts := 0
 	for i := range calls {
 		now := start.Add(time.Duration(i) * 50 * time.Millisecond)
 		ho, _ := pk.Pick(now, hosts, rq, rnd.Float64)
 		fl := pk.Sent(now, ho, rq)
 		if ho.ID == "up-0" {
-			asked++
+			attempts++
 			pk.Ended(now, fl, bad)
 			continue
 		}
 		pk.Begun(now, fl, rq, nil)
 		pk.Ended(now, fl, balance.Good)
 	}
-	return asked
+	return attempts
 }
 
-// A host loses power. Each call that is sent there waits for the whole time that
-// a connection may take to open; after the first, calls must go elsewhere, and
-// one must find out later whether it is back.
-func TestUnreachedUpstreamRests(t *testing.T) {
-	asked := asks(200, balance.Unreached)
-	assert.Assert(t, asked >= 2 && asked <= 8, "%d of 200 in ten seconds", asked)
+// A host loses power. Each call that is sent there waits for the whole connect timeout; after the
+// first one, calls must go elsewhere, and one must find out later whether the host is back.
+func TestUnreachableUpstreamIsAvoided(t *testing.T) {
+	attempts := attemptsAtFirst(200, balance.Unreached)
+	assert.Assert(t, attempts >= 2 && attempts <= 8, "%d of 200 attempts in ten seconds", attempts)
 }
 
-// Upstreams crash behind a cut from the store and start again under new ids at
-// their addresses, so that the list goes on naming the old ones. Each call sent
-// there is refused by the new one; a second must not follow, or a whole service
-// gets more arrivals than its callers' requests allow.
-func TestReplacedUpstreamIsLeft(t *testing.T) {
-	assert.Equal(t, asks(100, balance.Replaced), 1)
+// Upstreams crash behind a network partition from the store and start again under new ids at their
+// addresses, so that the host list still has the old ones. Each call sent there is refused by the
+// new one; a second must not follow, or a whole service gets more arrivals than its callers'
+// requests allow.
+func TestReplacedUpstreamIsAvoided(t *testing.T) {
+	assert.Equal(t, attemptsAtFirst(100, balance.Replaced), 1)
 }
 
-// A pool of three with six places each gets calls of several entries. The one
-// that others use must be left to them, by the load that it reports.
+// A pool of three with six slots each gets calls of several entries. The upstream that others use
+// must be left to them, by the load that it reports.
 func TestReportedLoadCounts(t *testing.T) {
 	pk := balance.New("muc-a", "muc")
 	hosts := pool(3, 6)
@@ -174,28 +173,27 @@
 	}
 }
 
-// Another region has idle upstreams. The way there is paid by volume and costs
-// its callers a round trip, so calls stay while the own region has room, and
-// cross when it has none.
-func TestRegionsCrossOnlyWhenFull(t *testing.T) {
+// Another region has idle upstreams. The link there is paid by volume and costs callers a round
+// trip, so calls stay while the local region has capacity, and go there when it has none.
+func TestCrossRegionOnlyWhenFull(t *testing.T) {
 	pk := balance.New("muc-a", "muc")
 	hosts := append(pool(2, 6), core.Host{ID: "far", Service: "s", Zone: "nue-a", Region: "nue", Slots: 6})
 	rnd := rand.New(rand.NewPCG(6, 1))
 	rq := balance.Request{Service: "s", Pool: "claim"}
-	went := map[core.UpstreamID]int{}
+	calls := map[core.UpstreamID]int{}
 	for range 18 {
 		ho, _ := pk.Pick(start, hosts, rq, rnd.Float64)
 		pk.Sent(start, ho, rq)
-		went[ho.ID]++
+		calls[ho.ID]++
 	}
-	assert.Equal(t, went["far"], 6, "%v", went)
+	assert.Equal(t, calls["far"], 6, "%v", calls)
 	_, ok := pk.Pick(start, hosts, balance.Request{Service: "s", Tried: []core.UpstreamID{"up-0", "up-1", "far"}}, rnd.Float64)
 	assert.Assert(t, !ok)
 }
 
-// An upstream comes back under the id that it had, after a crash. What was held
-// against it, and what it was thought to keep, died with its old start.
-func TestNewStartIsANewUpstream(t *testing.T) {
+// An upstream comes back under the same id after a crash. Its recorded failures and its assumed
+// prefix cache belong to the old start and must be dropped.
+func TestRestartResetsUpstreamState(t *testing.T) {
 	pk := balance.New("muc-a", "muc")
 	ho := core.Host{ID: "up-0", Service: "s", Zone: "muc-a", Region: "muc", Slots: 64, Born: 1}
 	other := core.Host{ID: "up-1", Service: "s", Zone: "muc-a", Region: "muc", Slots: 64, Born: 1}
@@ -215,12 +213,12 @@
 	assert.Assert(t, counts[ho.ID] > 5, "%v", counts)
 }
 
-// Eight entries send to twelve engines, each of them hearing of the others only
-// by what they tell. Without it they all take the engines that look idle to
-// them; the longest queue is several times the mean, and its callers wait.
-func TestEntriesThatTellSpreadTheirWork(t *testing.T) {
-	alone, told := longestQueue(false), longestQueue(true)
-	assert.Assert(t, told < 0.7*alone, "above the mean queue by %.1f with telling, %.1f without", told, alone)
+// Eight entries send to twelve engines, and learn of each other's work only by announcements.
+// Without these they all select the engines that look idle to them; the longest queue is several
+// times the mean, and its callers wait.
+func TestAnnouncedLoadsSpreadWork(t *testing.T) {
+	alone, announced := longestQueue(false), longestQueue(true)
+	assert.Assert(t, announced < 0.7*alone, "longest queue above the mean by %.1f with announcements, %.1f without", announced, alone)
 }
 
 // queued is a prompt that waits at an engine.
@@ -230,10 +228,9 @@
 	rq     balance.Request
 }
 
-// longestQueue plays 50 prompts a second from eight entries, before twelve
-// engines that read one each in 200 ms, and returns by how much the longest queue
-// was above the mean.
-func longestQueue(tell bool) float64 {
+// longestQueue simulates 50 prompts a second from eight entries, before twelve engines with a
+// prefill time of 200 ms each, and returns by how much the longest queue was above the mean.
+func longestQueue(announce bool) float64 {
 	rnd := rand.New(rand.NewPCG(8, 1))
 	hosts := pool(12, 64)
 	entries := make([]*balance.Picker, 8)
@@ -250,20 +247,20 @@
 		ho, _ := pk.Pick(now, hosts, rq, rnd.Float64)
 		queues[ho.ID] = append(queues[ho.ID], queued{pk, pk.Sent(now, ho, rq), rq})
 		if n%10 == 0 {
-			readOne(now, hosts, queues)
+			finishPrefills(now, hosts, queues)
 		}
-		if tell && n%12 == 0 {
-			tellAll(now, entries)
+		if announce && n%12 == 0 {
+			announceAll(now, entries)
 		}
 		if n > 100 {
-			worst = max(worst, aboveMean(queues))
+			worst = max(worst, excessQueue(queues))
 		}
 	}
 	return worst
 }
 
-// readOne has each engine read the first prompt of its queue.
-func readOne(now time.Time, hosts []core.Host, queues map[core.UpstreamID][]queued) {
+// finishPrefills has each engine finish the first prompt of its queue.
+func finishPrefills(now time.Time, hosts []core.Host, queues map[core.UpstreamID][]queued) {
 	for _, ho := range hosts {
 		if qu := queues[ho.ID]; len(qu) > 0 {
 			qu[0].entry.Begun(now, qu[0].flight, qu[0].rq, nil)
@@ -273,7 +270,7 @@
 	}
 }
 
-func tellAll(now time.Time, entries []*balance.Picker) {
+func announceAll(now time.Time, entries []*balance.Picker) {
 	for i, pk := range entries {
 		lo := pk.Load()
 		for j, other := range entries {
@@ -284,8 +281,8 @@
 	}
 }
 
-// aboveMean is by how much the longest queue is above the mean.
-func aboveMean(queues map[core.UpstreamID][]queued) float64 {
+// excessQueue is by how much the longest queue is above the mean.
+func excessQueue(queues map[core.UpstreamID][]queued) float64 {
 	sum, most := 0, 0
 	for _, qu := range queues {
 		sum += len(qu)
@@ -294,26 +291,26 @@
 	return float64(most) - float64(sum)/12
 }
 
-// An entry has read a prompt at some engine and told so. Another entry must send
-// the next request with it there, and forget what an entry told that is gone.
-func TestToldPromptsAndGoneEntries(t *testing.T) {
+// An entry has announced the prompt that it sent to an engine. Another entry must send the next
+// request with that prompt there, and drop the announced load of an entry that is gone.
+func TestAnnouncedPromptsAndExpiredLoads(t *testing.T) {
 	hosts := pool(12, 64)
 	rnd := rand.New(rand.NewPCG(9, 1))
 	one, two := balance.New("muc-a", "muc"), balance.New("muc-a", "muc")
 	for _, ho := range hosts {
 		two.Pick(start, []core.Host{ho}, draft("x", 0), rnd.Float64)
 	}
-	odd := hosts[5]
-	one.Sent(start, odd, draft("plan-7", 0))
+	engine := hosts[5]
+	one.Sent(start, engine, draft("plan-7", 0))
 	two.Told(start, 1, one.Load())
 	ho, _ := two.Pick(start.Add(3*time.Second), hosts, draft("plan-7", 1), rnd.Float64)
-	assert.Equal(t, ho.ID, odd.ID, "it is kept there, and what its entry had there is forgotten")
+	assert.Equal(t, ho.ID, engine.ID, "the prompt is cached there, and the announced load there has expired")
 }
 
-// An engine has told an entry that has just started what it keeps. The prompt
-// must go on there, and not be read anew beside it; a part counts only while all
-// parts before it are kept, for the same model.
-func TestPromptsThatAnEngineTellsOf(t *testing.T) {
+// An engine has reported its cached parts to an entry that has just started. The prompt must go
+// there and not need prefill elsewhere; a part counts only while all parts before it are cached,
+// for the same model.
+func TestPromptsReportedByEngine(t *testing.T) {
 	hosts := pool(12, 64)
 	rnd := rand.New(rand.NewPCG(9, 1))
 	rq := draft("plan-7", 0)
@@ -334,18 +331,18 @@
 	assert.Equal(t, pk.Sent(start, hosts[3], rq).Basis().Kept, core.Tokens(0))
 }
 
-// TestNothingIsAssumedWhereEntriesTell guards against a prompt that waits at the engine
-// which all entries prefer for it, though nobody has sent its beginning there.
-func TestNothingIsAssumedWhereEntriesTell(t *testing.T) {
+// TestNoPrefixHomeWithSiblingLoads guards against a prompt that waits at the engine which all
+// entries prefer for it, though nobody has sent its prefix there.
+func TestNoPrefixHomeWithSiblingLoads(t *testing.T) {
 	rnd := rand.New(rand.NewPCG(5, 1))
 	hosts := pool(8, 64)
 	rq := balance.Request{Service: "s", Model: "large", Engine: true, Prompt: 16_000, Parts: parts("plan", 1), Pool: "draft"}
-	alone, told := balance.New("muc-a", "muc"), balance.New("muc-a", "muc")
+	alone, informed := balance.New("muc-a", "muc"), balance.New("muc-a", "muc")
 	home, _ := alone.Pick(start, hosts, rq, rnd.Float64)
 	busy := balance.Load{Shares: []balance.Share{{Upstream: balance.HashOf(home.ID), Own: 1, Pending: 200 * time.Millisecond}}}
-	told.Told(start, 7, busy)
+	informed.Told(start, 7, busy)
 	for range 20 {
-		ho, _ := told.Pick(start, hosts, rq, rnd.Float64)
+		ho, _ := informed.Pick(start, hosts, rq, rnd.Float64)
 		assert.Assert(t, ho.ID != home.ID)
 	}
 }
--- a/core/balance/bench_test.go
+++ b/core/balance/bench_test.go
@@ -8,14 +8,14 @@
 	"skylarkstand/core/balance"
 )
 
-// BenchmarkPick is one choice at an entry that 150 others tell what they have at
-// 1,500 engines.
+// BenchmarkPick measures one selection at an entry that receives the loads of 150 others at 1,500
+// engines.
 func BenchmarkPick(b *testing.B) {
 	const entries, engines, each = 150, 1500, 12
 	rnd := rand.New(rand.NewPCG(1, 1))
 	hosts := pool(engines, 64)
 	pk := balance.New("muc-a", "muc")
-	tell := func(from uint64) {
+	announce := func(from uint64) {
 		var lo balance.Load
 		for range each {
 			lo.Shares = append(lo.Shares, balance.Share{Upstream: balance.HashOf(hosts[rnd.IntN(engines)].ID), Own: 1})
@@ -23,12 +23,12 @@
 		pk.Told(start, from, lo)
 	}
 	for i := range entries {
-		tell(uint64(i))
+		announce(uint64(i))
 	}
 	n := 0
 	for b.Loop() {
 		n++
-		tell(uint64(n % entries))
+		announce(uint64(n % entries))
 		rq := draft(fmt.Sprint("plan-", n%200), n)
 		ho, _ := pk.Pick(start, hosts, rq, rnd.Float64)
 		pk.Ended(start, pk.Sent(start, ho, rq), balance.Good)
--- a/core/balance/fact.go
+++ b/core/balance/fact.go
@@ -7,84 +7,84 @@
 	"skylarkstand/core/mechanism"
 )
 
-// Fact is what an entry has found out of an upstream beyond doubt: nobody listens
-// at its address, another one has the address, or it answers again. Whether one is
-// slow or fails is no fact: the entry itself may be cut off.
+// Fact is a certain observation of an upstream: nothing listens at its address, another upstream
+// has the address, or it answers again. Slowness and failures are no facts: the entry itself may be
+// cut off.
 //
-// It is made for many entries of which each sees little: a crashed upstream looks
-// idle, and every entry would send callers there to find out.
+// It is made for many entries of which each sees few responses: a crashed upstream looks idle, and
+// without facts every entry would send requests there to find out.
 type Fact struct {
-	// Upstream is the hash of its id, see [HashOf], and Start tells one start of it
+	// Upstream is the hash of its id, see [HashOf]; Start distinguishes one start of the process
 	// from another.
 	Upstream uint64
 	Start    uint16
-	// Rest is how long nothing should be sent there; 0 is that it answers.
+	// Rest is how long nothing should be sent there; 0 means that it answers.
 	Rest time.Duration
-	// Away counts the attempts in a row that found nobody.
+	// Away counts the consecutive attempts that reached nothing.
 	Away int
 }
 
-// found notes that something is to be told of a peer.
-func (pk *Picker) found(pe *peer) { pk.facts[pe] = true }
+// addFact queues a peer's state for the next announcement.
+func (pk *Picker) addFact(pe *peer) { pk.newFacts[pe] = true }
 
-// Facts returns what this entry has found out since the last call.
+// Facts returns the facts that this entry observed since the last invocation.
 func (pk *Picker) Facts(now time.Time) []Fact {
 	var out []Fact
-	for pe := range pk.facts {
-		rest := max(pe.down.Sub(now), 0)
-		if rest == 0 && !pe.down.IsZero() {
-			continue // Its rest is over, and nothing is known since.
+	for pe := range pk.newFacts {
+		rest := max(pe.downUntil.Sub(now), 0)
+		if rest == 0 && !pe.downUntil.IsZero() {
+			continue // It may be used again, and nothing new was observed.
 		}
 		out = append(out, Fact{
-			Upstream: pe.hash, Start: uint16(pe.born), Rest: rest, Away: pe.away, //nolint:gosec // The low bits do.
+			Upstream: pe.hash, Start: uint16(pe.born), Rest: rest, Away: pe.failedConnects, //nolint:gosec // The low bits do.
 		})
 	}
-	clear(pk.facts)
+	clear(pk.newFacts)
 	return out
 }
 
-// ToldFacts takes in what another entry has found out.
+// ToldFacts applies the facts that another entry announced.
 func (pk *Picker) ToldFacts(now time.Time, facts []Fact) {
 	if pk.off.Has(mechanism.ToldFacts) {
 		return
 	}
 	for _, fa := range facts {
-		pe := pk.hashed[fa.Upstream]
+		pe := pk.byHash[fa.Upstream]
 		if pe == nil || uint16(pe.born) != fa.Start { //nolint:gosec // As above.
 			continue
 		}
 		if fa.Rest <= 0 {
-			pe.back(now)
+			pe.markReachable(now)
 			continue
 		}
-		pe.away = max(pe.away, fa.Away)
-		if until := now.Add(min(fa.Rest, replacedFor)); until.After(pe.down) {
-			pe.down = until
-			pe.awayUntil = until
+		pe.failedConnects = max(pe.failedConnects, fa.Away)
+		if until := now.Add(min(fa.Rest, replacedFor)); until.After(pe.downUntil) {
+			pe.downUntil = until
+			pe.unreachableUntil = until
 		}
 	}
 }
 
-// answered notes that an answer came from an upstream.
-func (pk *Picker) answered(now time.Time, pe *peer) {
-	pe.heard = now
-	if pe.away > 0 {
-		pe.back(now)
-		pk.found(pe)
+// recordResponse records that a response came from an upstream.
+func (pk *Picker) recordResponse(now time.Time, pe *peer) {
+	pe.lastData = now
+	if pe.failedConnects > 0 {
+		pe.markReachable(now)
+		pk.addFact(pe)
 	}
 }
 
-// back ends the rest of an upstream that answers.
-func (pe *peer) back(now time.Time) {
-	pe.down, pe.away = time.Time{}, 0
-	if pe.awayUntil.After(now) {
-		pe.awayUntil = now
+// markReachable ends the unavailability of an upstream that answers.
+func (pe *peer) markReachable(now time.Time) {
+	pe.downUntil, pe.failedConnects = time.Time{}, 0
+	if pe.unreachableUntil.After(now) {
+		pe.unreachableUntil = now
 	}
 }
 
-// AwayWithin reports whether an upstream did not answer some time ago at most, by
-// what this entry or another one has found.
+// AwayWithin reports whether an upstream was unreachable within the given time before now, as this
+// entry or another one observed.
 func (pk *Picker) AwayWithin(now time.Time, ho *core.Host, span time.Duration) bool {
 	pe := pk.peers[ho.ID]
-	return pe != nil && pe.born == ho.Born && !pe.awayUntil.IsZero() && now.Before(pe.awayUntil.Add(span))
+	return pe != nil && pe.born == ho.Born && !pe.unreachableUntil.IsZero() && now.Before(pe.unreachableUntil.Add(span))
 }
--- a/core/balance/fact_test.go
+++ b/core/balance/fact_test.go
@@ -12,20 +12,20 @@
 	"skylarkstand/core/balance"
 )
 
-// Guards against callers of every entry who are sent to an upstream that another
-// entry has found dead.
-func TestEntriesTellOfACrashedUpstream(t *testing.T) {
-	const entries, away = 33, 4 * time.Second
+// Guards against requests of every entry that are sent to an upstream which another entry has found
+// crashed.
+func TestEntriesAnnounceCrashedUpstream(t *testing.T) {
+	const entries, downtime = 33, 4 * time.Second
 	rnd := rand.New(rand.NewPCG(3, 1))
 	hosts := pool(20, 64)
-	pks := make([]*balance.Picker, entries)
-	for i := range pks {
-		pks[i] = balance.New("muc-a", "muc")
+	pickers := make([]*balance.Picker, entries)
+	for i := range pickers {
+		pickers[i] = balance.New("muc-a", "muc")
 	}
-	crashed, tried, after := hosts[0].ID, 0, 0
+	crashed, attempts, recovered := hosts[0].ID, 0, 0
 	for n := range 1600 { // Ten seconds.
 		now := start.Add(time.Duration(n) * 6250 * time.Microsecond)
-		pk := pks[rnd.IntN(entries)]
+		pk := pickers[rnd.IntN(entries)]
 		rq := draft(fmt.Sprint("p", rnd.IntN(900)), n)
 		ho, _ := pk.Pick(now, hosts, rq, rnd.Float64)
 		fl := pk.Sent(now, ho, rq)
@@ -33,33 +33,33 @@
 		case ho.ID != crashed:
 			pk.Begun(now, fl, rq, nil)
 			pk.Ended(now, fl, balance.Good)
-		case now.Sub(start) < away:
-			tried++
+		case now.Sub(start) < downtime:
+			attempts++
 			pk.Ended(now, fl, balance.Absent)
 		default:
-			after++
+			recovered++
 			pk.Begun(now, fl, rq, nil)
 			pk.Ended(now, fl, balance.Good)
 		}
 		if n%40 != 0 {
 			continue
 		}
-		for i, pk := range pks {
+		for i, pk := range pickers {
 			facts := pk.Facts(now)
-			for j, other := range pks {
+			for j, other := range pickers {
 				if i != j {
 					other.ToldFacts(now, facts)
 				}
 			}
 		}
 	}
-	assert.Assert(t, tried <= 10, "%d attempts at an upstream that some entry knew to be dead", tried)
-	assert.Assert(t, after >= 10, "it gets work again: %d", after)
+	assert.Assert(t, attempts <= 10, "%d attempts at a crashed upstream", attempts)
+	assert.Assert(t, recovered >= 10, "%d calls after the upstream answered again", recovered)
 }
 
-// Guards against a new start of an upstream that is kept without work for what was
-// found out of the one before, and against rests without an end.
-func TestFactsAreOfOneStart(t *testing.T) {
+// Guards against a restarted upstream that gets no work because of facts about its previous start,
+// and against unavailability without an end.
+func TestFactsApplyToOneStart(t *testing.T) {
 	ho := core.Host{ID: "up-0", Service: "s", Zone: "muc-a", Region: "muc", Slots: 64, Born: 1}
 	rnd := rand.New(rand.NewPCG(4, 1))
 	one, two := balance.New("muc-a", "muc"), balance.New("muc-a", "muc")
@@ -79,9 +79,9 @@
 	assert.Equal(t, two.Avoided(start.Add(11*time.Second), []core.Host{ho}), 0)
 }
 
-// Guards against a dead upstream that others take to answer again, since what was
-// found out of it is told only after its rest is over.
-func TestRestThatIsOverIsNoAnswer(t *testing.T) {
+// Guards against a crashed upstream that others assume to answer again, because the fact about it
+// is announced only after its unavailability has expired.
+func TestExpiredFactIsNotAnnounced(t *testing.T) {
 	ho := core.Host{ID: "up-0", Service: "s", Zone: "muc-a", Region: "muc", Slots: 64}
 	for _, out := range []balance.Outcome{balance.Absent, balance.Replaced} {
 		pk := balance.New("muc-a", "muc")
@@ -90,9 +90,9 @@
 	}
 }
 
-// Guards against an upstream that stays without work at the other entries although
-// one of them has had an answer from it.
-func TestUpstreamThatAnswersAgain(t *testing.T) {
+// Guards against an upstream that gets no work from the other entries although one of them has
+// received a response from it.
+func TestRecoveredUpstreamIsAnnounced(t *testing.T) {
 	ho := core.Host{ID: "up-0", Service: "s", Zone: "muc-a", Region: "muc", Slots: 64}
 	one, two := balance.New("muc-a", "muc"), balance.New("muc-a", "muc")
 	rq := draft("p", 0)
@@ -106,5 +106,5 @@
 	one.Begun(now, one.Sent(now, ho, rq), rq, nil)
 	two.ToldFacts(now, one.Facts(now))
 	assert.Equal(t, two.Avoided(now, []core.Host{ho}), 0)
-	assert.Equal(t, len(two.Facts(now)), 1, "what was found out before is told, what was told is not")
+	assert.Equal(t, len(two.Facts(now)), 1, "own facts are announced, received ones are not")
 }
--- a/core/balance/far_test.go
+++ b/core/balance/far_test.go
@@ -12,8 +12,8 @@
 	"skylarkstand/core/balance"
 )
 
-// twoRegions are engines here and in another region, of which entries here hear
-// nothing but what answers report.
+// twoRegions returns engines of the local and of another region. Entries here get the load of the
+// others only from responses.
 func twoRegions() []core.Host {
 	hosts := pool(4, 64)
 	for i := range 4 {
@@ -22,8 +22,8 @@
 	return hosts
 }
 
-// busyHere tells that prompts wait at the engines of the own region.
-func busyHere(pk *balance.Picker, wait time.Duration) {
+// announceLocalWait announces that prompts wait at the engines of the local region.
+func announceLocalWait(pk *balance.Picker, wait time.Duration) {
 	var lo balance.Load
 	for _, ho := range pool(4, 64) {
 		lo.Shares = append(lo.Shares, balance.Share{Upstream: balance.HashOf(ho.ID), Own: 2, Pending: wait})
@@ -31,37 +31,37 @@
 	pk.Told(start, 7, lo)
 }
 
-// Guards against herds that cross to another region, whose engines look idle since
-// its entries tell nobody here what they have there.
-func TestEnginesOfAnotherRegionAreNotTakenForIdle(t *testing.T) {
+// Guards against many entries that move to another region at once, whose engines look idle since
+// its entries announce no load here.
+func TestRemoteEnginesAreNotAssumedIdle(t *testing.T) {
 	rnd := rand.New(rand.NewPCG(5, 1))
 	pk := balance.New("muc-a", "muc")
-	busyHere(pk, 800*time.Millisecond)
+	announceLocalWait(pk, 800*time.Millisecond)
 	for range 20 {
-		// Its prompt shares nothing, so that no engine is preferred for it.
+		// The prompt shares nothing, so that no engine is preferred for it.
 		rq := balance.Request{Service: "s", Model: "large", Engine: true, Prompt: 1000, Pool: "ask"}
 		ho, _ := pk.Pick(start, twoRegions(), rq, rnd.Float64)
 		assert.Equal(t, ho.Region, core.Region("muc"))
 	}
 }
 
-// Guards against a gate that lets everybody in while engines of another region look
+// Guards against an admission control that admits everything while engines of another region look
 // idle.
-func TestWaitIsThatOfTheOwnRegion(t *testing.T) {
+func TestWaitIsThatOfLocalRegion(t *testing.T) {
 	pk := balance.New("muc-a", "muc")
-	busyHere(pk, 900*time.Millisecond)
+	announceLocalWait(pk, 900*time.Millisecond)
 	hosts := twoRegions()
 	assert.Equal(t, pk.Wait(start, hosts), 900*time.Millisecond)
 	hosts[0], hosts[5] = hosts[5], hosts[0]
 	assert.Equal(t, pk.Wait(start, hosts), 900*time.Millisecond)
-	assert.Assert(t, pk.Wait(start, hosts[6:]) <= 900*time.Millisecond, "there is no other")
+	assert.Assert(t, pk.Wait(start, hosts[6:]) <= 900*time.Millisecond, "the list has no local engine")
 }
 
-// askPlain is a request whose prompt shares nothing, so that no engine is preferred.
-var askPlain = balance.Request{Service: "s", Model: "large", Engine: true, Prompt: 1000, Pool: "ask"}
+// unsharedRequest has a prompt that shares nothing, so that no engine is preferred for it.
+var unsharedRequest = balance.Request{Service: "s", Model: "large", Engine: true, Prompt: 1000, Pool: "ask"}
 
-// toldFrom is a region's load, the same at each of its engines.
-func toldFrom(region core.Region, wait time.Duration) balance.RegionLoad {
+// regionLoad returns a region's load, the same at each of its engines.
+func regionLoad(region core.Region, wait time.Duration) balance.RegionLoad {
 	lo := balance.RegionLoad{Region: balance.HashOf(region)}
 	for i := range 4 {
 		id := core.UpstreamID(fmt.Sprint("far-", i))
@@ -70,44 +70,44 @@
 	return lo
 }
 
-// TestWorkGoesWhereARegionTellsThatItIsIdle guards against callers that wait in a
-// region that has lost engines, while those of another one are idle, and against
-// herds to one that is busier still.
-func TestWorkGoesWhereARegionTellsThatItIsIdle(t *testing.T) {
+// TestWorkGoesToRegionThatAnnouncesIdleEngines guards against callers that wait in a region that
+// has lost engines while those of another one are idle, and against many entries that move to one
+// that is busier still.
+func TestWorkGoesToRegionThatAnnouncesIdleEngines(t *testing.T) {
 	scenarios := []struct {
-		testName string
-		told     balance.RegionLoad
-		age      time.Duration
-		want     core.Region
+		testName  string
+		announced balance.RegionLoad
+		age       time.Duration
+		want      core.Region
 	}{
-		{"it is idle", toldFrom("nue", 0), 0, "nue"},
-		{"it is busier", toldFrom("nue", 2*time.Second), 0, "muc"},
-		{"it was idle long ago", toldFrom("nue", 0), 3 * time.Second, "muc"},
-		{"only this region told", toldFrom("muc", 0), 0, "muc"},
+		{"idle", regionLoad("nue", 0), 0, "nue"},
+		{"busier", regionLoad("nue", 2*time.Second), 0, "muc"},
+		{"idle in an expired announcement", regionLoad("nue", 0), 3 * time.Second, "muc"},
+		{"announced by the local region only", regionLoad("muc", 0), 0, "muc"},
 	}
 	for _, sc := range scenarios {
 		t.Run(sc.testName, func(t *testing.T) {
 			rnd := rand.New(rand.NewPCG(5, 1))
 			pk := balance.New("muc-a", "muc")
-			busyHere(pk, 800*time.Millisecond)
-			pk.ToldRegion(start.Add(-sc.age), sc.told)
+			announceLocalWait(pk, 800*time.Millisecond)
+			pk.ToldRegion(start.Add(-sc.age), sc.announced)
 			for range 20 {
-				ho, _ := pk.Pick(start, twoRegions(), askPlain, rnd.Float64)
+				ho, _ := pk.Pick(start, twoRegions(), unsharedRequest, rnd.Float64)
 				assert.Equal(t, ho.Region, sc.want)
 			}
 		})
 	}
 }
 
-// TestRegionLoadIsThatOfAllItsEntries guards against a region that tells the load
-// of one entry for its own, and against datagrams that grow with its upstreams.
-func TestRegionLoadIsThatOfAllItsEntries(t *testing.T) {
+// TestRegionLoadSumsAllEntries guards against a region that announces the load of one entry as its
+// own, and against datagrams that grow with the number of its upstreams.
+func TestRegionLoadSumsAllEntries(t *testing.T) {
 	pk := balance.New("muc-a", "muc")
 	hosts := pool(4, 64)
 	for i := range hosts {
-		_ = pk.Sent(start, hosts[i], askPlain)
+		_ = pk.Sent(start, hosts[i], unsharedRequest)
 	}
-	busyHere(pk, 400*time.Millisecond)
+	announceLocalWait(pk, 400*time.Millisecond)
 	lo := pk.RegionLoad(start, 3)
 	assert.Equal(t, lo.Region, balance.HashOf(core.Region("muc")))
 	assert.Equal(t, len(lo.Shares), 3)
@@ -117,13 +117,13 @@
 	}
 	lo = pk.RegionLoad(start.Add(time.Minute), 64)
 	for _, sh := range lo.Shares {
-		assert.Equal(t, sh.Own, 1, "what others told is old")
+		assert.Equal(t, sh.Own, 1, "the announced loads have expired")
 	}
 }
 
-// TestCallsForAnotherRegionAreToldThere guards against a long prompt that goes to
-// another region and is not known there, so that others are sent to wait behind it.
-func TestCallsForAnotherRegionAreToldThere(t *testing.T) {
+// TestRemoteCallsAreAnnouncedThere guards against a long prompt that goes to another region and is
+// unknown there, so that other prompts are sent to wait behind it.
+func TestRemoteCallsAreAnnouncedThere(t *testing.T) {
 	here, there := balance.New("muc-a", "muc"), balance.New("nue-a", "nue")
 	hosts := twoRegions()
 	far := hosts[len(hosts)-1]
@@ -133,22 +133,22 @@
 	assert.Equal(t, len(sent), 1)
 	assert.Equal(t, sent[0].To, balance.HashOf(core.Region("nue")))
 	assert.Equal(t, len(sent[0].Shares), 1)
-	assert.Equal(t, len(here.RemoteCalls()), 0, "it is told once")
+	assert.Equal(t, len(here.RemoteCalls()), 0, "calls are announced once")
 
 	wait := func() time.Duration { return there.Wait(start, []core.Host{far}) }
 	there.ToldRemoteCalls(start, sent[0])
-	assert.Equal(t, wait(), time.Duration(0), "the region has told nothing")
+	assert.Equal(t, wait(), time.Duration(0), "the region has announced no load")
 	there.Told(start, 7, balance.Load{})
 	there.ToldRegion(start, balance.RegionLoad{Region: sent[0].From})
 	there.ToldRemoteCalls(start, sent[0])
 	assert.Assert(t, wait() > 500*time.Millisecond, "%s", wait())
 	there.ToldRegion(start, balance.RegionLoad{Region: sent[0].From, Shares: sent[0].Shares})
-	assert.Equal(t, wait(), sent[0].Shares[0].Pending, "it counts once")
+	assert.Equal(t, wait(), sent[0].Shares[0].Pending, "the call counts once")
 }
 
-// TestPromptsOfOtherRegionsAreNotTold guards against hashes of a prompt that are known in a
-// region which its request must not be served in.
-func TestPromptsOfOtherRegionsAreNotTold(t *testing.T) {
+// TestRemoteOnlyPromptsAreNotAnnounced guards against hashes of a prompt that become known in a
+// region in which its request must not be served.
+func TestRemoteOnlyPromptsAreNotAnnounced(t *testing.T) {
 	pk := balance.New("muc-a", "muc")
 	rq := draft("plan-1", 1)
 	rq.RemoteOnly = true
--- a/core/balance/learn.go
+++ b/core/balance/learn.go
@@ -6,51 +6,52 @@
 	"skylarkstand/core"
 )
 
-// trusted is how many answers make a learned time reliable.
-const trusted = 8
+// minSamples is how many responses make a learned latency reliable.
+const minSamples = 8
 
-// poolKey separates answers that take unlike times.
-type poolKey struct {
+// latencyKey separates responses whose latencies differ.
+type latencyKey struct {
 	service core.ServiceID
 	model   core.ModelID
 	route   string
 }
 
-// pool follows the usual time to an answer's header.
-type pool struct {
+// latency is a moving average of the time to the response header.
+type latency struct {
 	mean  float64 // seconds
 	count int
 }
 
-// poolWeight weighs the newest answer; poolOddest bounds it, in means.
+// latencyWeight is the weight of the newest sample; maxOutlier caps a sample, as a multiple of the
+// mean.
 const (
-	poolWeight = 1.0 / 24
-	poolOddest = 4
+	latencyWeight = 1.0 / 24
+	maxOutlier    = 4
 )
 
-func (pk *Picker) pool(rq Request) *pool {
-	key := poolKey{rq.Service, rq.Model, rq.Pool}
-	pl := pk.pools[key]
+func (pk *Picker) latency(rq Request) *latency {
+	key := latencyKey{rq.Service, rq.Model, rq.Pool}
+	pl := pk.latencies[key]
 	if pl == nil {
-		pl = new(pool)
-		pk.pools[key] = pl
+		pl = new(latency)
+		pk.latencies[key] = pl
 	}
 	return pl
 }
 
-func (pl *pool) learn(took time.Duration) {
+func (pl *latency) learn(took time.Duration) {
 	pl.count++
 	val := took.Seconds()
 	if pl.count > 1 {
-		val = min(val, poolOddest*pl.mean)
+		val = min(val, maxOutlier*pl.mean)
 	}
-	pl.mean += max(poolWeight, 1/float64(pl.count)) * (val - pl.mean)
+	pl.mean += max(latencyWeight, 1/float64(pl.count)) * (val - pl.mean)
 }
 
-// usual returns the mean, or what is assumed before any answer.
-func (pl *pool) usual(assumed time.Duration) time.Duration {
+// meanOr returns the mean, or a default before the first response.
+func (pl *latency) meanOr(fallback time.Duration) time.Duration {
 	if pl.count == 0 {
-		return assumed
+		return fallback
 	}
 	return time.Duration(pl.mean * float64(time.Second))
 }
--- a/core/balance/peer.go
+++ b/core/balance/peer.go
@@ -7,68 +7,68 @@
 	"skylarkstand/core"
 )
 
-// peer is what is known of one upstream.
+// peer is the state of one upstream.
 type peer struct {
 	born int64
 	hash uint64
-	// far is an upstream of another region; region is the hash of its region.
-	far    bool
+	// remote is set for an upstream of another region; region is the hash of its region.
+	remote bool
 	region uint64
-	// own counts this entry's attempts there, pending is the time that the
-	// prompts among them need that were not begun.
-	own, unbegun int
-	pending      time.Duration
-	// queued is what an answer reported to wait there beside the own attempts.
-	queued float64
-	// others is what an answer reported beside the own attempts, at a time.
-	others   float64
-	reported time.Time
-	// heard is when anything last came of any attempt there.
-	heard time.Time
-	// fails follows the share of attempts that failed, at the time last.
-	fails float64
-	last  time.Time
-	// down is until when nothing is sent after it could not be reached; away
-	// counts how often in a row.
-	down time.Time
-	away int
-	// awayUntil is when it was last known not to answer.
-	awayUntil time.Time
-	full      time.Time
-	ratio     float64
-	cache     cache
-	// avoided is whether the upstream counts as avoided, for whoever asks why
-	// work goes elsewhere.
+	// own counts this entry's attempts there, unanswered those without a response header. pending
+	// is the prefill time of the prompts among the unanswered ones.
+	own, unanswered int
+	pending         time.Duration
+	// reportedQueue is the reported number of queued requests beyond this entry's own.
+	reportedQueue float64
+	// reportedOthers is the reported number of requests beyond this entry's own, as of reportedAt.
+	reportedOthers float64
+	reportedAt     time.Time
+	// lastData is when any attempt there last received anything.
+	lastData time.Time
+	// failures is a moving average of the share of failed attempts, as of lastOutcome.
+	failures    float64
+	lastOutcome time.Time
+	// downUntil is until when nothing is sent after the upstream could not be reached;
+	// failedConnects counts the consecutive attempts that could not reach it.
+	downUntil      time.Time
+	failedConnects int
+	// unreachableUntil is the end of the time for which it was last known not to answer.
+	unreachableUntil time.Time
+	fullUntil        time.Time
+	slowRatio        float64
+	cache            prefixCache
+	// avoided is whether the upstream counts as avoided, for logs that explain why work goes
+	// elsewhere.
 	avoided bool
 }
 
-// Turn is a change of what an entry makes of an upstream.
+// Turn is a change in whether an entry avoids an upstream.
 type Turn int
 
-// The turns.
+// The changes.
 const (
 	// Same: no change.
 	Same Turn = iota
-	// Avoided: work is kept from it from now on, while others are there.
+	// Avoided: work goes to other upstreams from now on, while there are any.
 	Avoided
-	// Trusted: it is as good as the others again.
+	// Trusted: the upstream is selected like the others again.
 	Trusted
 )
 
-// avoidedFrom is the share of failures from which an upstream counts as
-// avoided: that after one failure of a sound one. It then seems slower by 0.2 s,
-// which is more than the load of a calm pool makes of any.
-const avoidedFrom = failWeight
+// avoidedFailureRate is the failure rate from which an upstream counts as avoided: that after one
+// failure of a healthy one. The upstream then seems slower by 0.2 s, which is more than what the
+// load of a lightly loaded pool adds to any.
+const avoidedFailureRate = failureWeight
 
-// avoids reports whether work is kept from the upstream.
-func (pe *peer) avoids(now time.Time) bool {
-	return now.Before(pe.down) || pe.badness(now) >= avoidedFrom
+// isAvoided reports whether work is kept from the upstream.
+func (pe *peer) isAvoided(now time.Time) bool {
+	return now.Before(pe.downUntil) || pe.failureRate(now) >= avoidedFailureRate
 }
 
-// turn notes whether the upstream is avoided after an outcome.
-func (pe *peer) turn(now time.Time) Turn {
+// updateAvoided updates after an outcome whether the upstream is avoided, and returns the change.
+func (pe *peer) updateAvoided(now time.Time) Turn {
 	was := pe.avoided
-	pe.avoided = pe.avoids(now)
+	pe.avoided = pe.isAvoided(now)
 	switch {
 	case pe.avoided == was:
 		return Same
@@ -80,152 +80,153 @@
 }
 
 const (
-	// reportHalf is the age at which a report of others' load counts half:
-	// answers take a second or two.
-	reportHalf = 1500 * time.Millisecond
-	// queueHalf is the age at which a report of a queue counts half.
-	queueHalf = 400 * time.Millisecond
-	// failWeight weighs the newest outcome. Four failures in a row lift an
-	// upstream from sound to 0.68.
-	failWeight = 0.25
-	// failHalf is the time in which a bad past is forgiven by half, so that
-	// an upstream that recovers is tried again within seconds.
-	failHalf = 4 * time.Second
-	// failCost is what a certain failure is worth in time, for work that can
-	// run again and for work that cannot.
-	failCost     = 1500 * time.Millisecond
-	failCostOnce = 6 * time.Second
-	// failMargin is the failures above the best candidate's that are ignored, as
-	// chance.
-	failMargin = 0.12
-	// downFirst and downMost bound how long an upstream rests that could not
-	// be reached, and absentMost how long one where nobody listens: a crashed one
-	// is back after some seconds, and a connection that is refused costs little.
-	downFirst  = 400 * time.Millisecond
-	downMost   = 3 * time.Second
-	absentMost = 1500 * time.Millisecond
-	downCost   = 20 * time.Second
-	// replacedFor is how long nothing is sent to an upstream whose address has
-	// another one by now. It is gone for good; only the list is late, by as much
-	// as a cut between it and the store lasts.
+	// reportHalfLife is the age at which a report of others' load counts half: responses take a
+	// second or two.
+	reportHalfLife = 1500 * time.Millisecond
+	// queueHalfLife is the age at which a report of a queue counts half.
+	queueHalfLife = 400 * time.Millisecond
+	// failureWeight is the weight of the newest outcome. Four failures in a row raise the failure
+	// rate from 0 to 0.68.
+	failureWeight = 0.25
+	// failureHalfLife is the time in which the failure rate halves without new outcomes, so that an
+	// upstream that recovers is tried again within seconds.
+	failureHalfLife = 4 * time.Second
+	// failureCost is the cost of a certain failure as time, for work that can run again, and
+	// failureCostOnce for work that cannot.
+	failureCost     = 1500 * time.Millisecond
+	failureCostOnce = 6 * time.Second
+	// failureMargin is the failure rate above the best candidate's that is ignored as chance.
+	failureMargin = 0.12
+	// minDown and maxDown bound how long nothing is sent to an upstream that could not be reached,
+	// and maxAbsent bounds it for one where nothing listens: a crashed upstream is back after some
+	// seconds, and a refused connection costs little.
+	minDown   = 400 * time.Millisecond
+	maxDown   = 3 * time.Second
+	maxAbsent = 1500 * time.Millisecond
+	downCost  = 20 * time.Second
+	// replacedFor is how long nothing is sent to an upstream whose address belongs to another one.
+	// It is gone for good; only the host list is outdated, for as long as a network partition
+	// between it and the store lasts.
 	replacedFor = 10 * time.Second
-	// fullFor is how long a refusal for want of room counts.
+	// fullFor is how long a refusal for lack of capacity counts.
 	fullFor = 250 * time.Millisecond
-	// ratioWeight is the weight of the newest answer in an upstream's pace, and
-	// maxRatio caps the weight of a single observation.
+	// ratioWeight is the weight of the newest response in an upstream's slow ratio, and maxRatio
+	// caps a single observation.
 	ratioWeight = 0.2
 	maxRatio    = 8.0
-	// ratioMargin is the slowness that is taken for chance.
+	// ratioMargin is the slow ratio that is ignored as chance.
 	ratioMargin = 1.5
 )
 
-// peer returns what is known of an upstream. One that comes back under its id
-// with another start is a new one.
+// peer returns the state of an upstream. One that comes back under the same id with another start
+// gets a new state.
 func (pk *Picker) peer(ho *core.Host) *peer {
 	pe := pk.peers[ho.ID]
 	if pe == nil || pe.born != ho.Born {
-		pe = &peer{born: ho.Born, hash: HashOf(ho.ID), far: ho.Region != pk.region, region: HashOf(ho.Region), ratio: 1, cache: newCache()}
-		pk.peers[ho.ID], pk.hashed[pe.hash] = pe, pe
+		pe = &peer{born: ho.Born, hash: HashOf(ho.ID), remote: ho.Region != pk.region, region: HashOf(ho.Region), slowRatio: 1, cache: newPrefixCache()}
+		pk.peers[ho.ID], pk.byHash[pe.hash] = pe, pe
 	}
 	return pe
 }
 
-// Forget drops what is known of an upstream that is gone.
+// Forget deletes the state of an upstream that is gone.
 func (pk *Picker) Forget(id core.UpstreamID) {
 	delete(pk.peers, id)
-	delete(pk.hashed, HashOf(id))
+	delete(pk.byHash, HashOf(id))
 }
 
-// load is the calls at the upstream: the own ones, and the others' as they
-// were reported, fading with age.
+// load returns the calls at the upstream: this entry's own, and the others' as they were reported,
+// decaying with age.
 func (pe *peer) load(now time.Time) float64 {
-	return float64(pe.own) + pe.others*fade(now.Sub(pe.reported), reportHalf)
+	return float64(pe.own) + pe.reportedOthers*decay(now.Sub(pe.reportedAt), reportHalfLife)
 }
 
-// fade is the weight of something that halves with each half of age.
-func fade(age, half time.Duration) float64 {
-	return math.Exp2(-float64(max(age, 0)) / float64(half))
+// decay is the weight of a value of the given age that halves with each half-life.
+func decay(age, halfLife time.Duration) float64 {
+	return math.Exp2(-float64(max(age, 0)) / float64(halfLife))
 }
 
-func (pe *peer) report(now time.Time, lo core.Load) {
-	pe.others = max(float64(lo.Running+lo.Queued-pe.own), 0)
-	pe.queued = max(float64(lo.Queued-pe.unbegun), 0)
-	pe.reported = now
+func (pe *peer) recordReport(now time.Time, lo core.Load) {
+	pe.reportedOthers = max(float64(lo.Running+lo.Queued-pe.own), 0)
+	pe.reportedQueue = max(float64(lo.Queued-pe.unanswered), 0)
+	pe.reportedAt = now
 }
 
-// waiting is the time that others' prompts need that wait there, each the usual
-// one. A report of it is old as soon as an engine has read a prompt.
-func (pe *peer) waiting(now time.Time, usual time.Duration) time.Duration {
-	return time.Duration(pe.queued * fade(now.Sub(pe.reported), queueHalf) * float64(usual))
+// reportedWait returns the prefill time of the other entries' queued prompts, each taken as the
+// usual one. A report of a queue is outdated as soon as the engine has finished a prefill.
+func (pe *peer) reportedWait(now time.Time, usual time.Duration) time.Duration {
+	return time.Duration(pe.reportedQueue * decay(now.Sub(pe.reportedAt), queueHalfLife) * float64(usual))
 }
 
-func (pe *peer) badness(now time.Time) float64 { return pe.fails * fade(now.Sub(pe.last), failHalf) }
+func (pe *peer) failureRate(now time.Time) float64 {
+	return pe.failures * decay(now.Sub(pe.lastOutcome), failureHalfLife)
+}
 
-// rests is what speaks against an upstream that could not be reached or had no
-// room a moment ago, in time.
-func (pe *peer) rests(now time.Time) time.Duration {
+// unavailableCost is the penalty, as time, for an upstream that could not be reached or had no
+// capacity a moment ago.
+func (pe *peer) unavailableCost(now time.Time) time.Duration {
 	var cost time.Duration
-	if now.Before(pe.down) {
+	if now.Before(pe.downUntil) {
 		cost += downCost
 	}
-	if now.Before(pe.full) {
+	if now.Before(pe.fullUntil) {
 		cost += fullCost
 	}
 	return cost
 }
 
-// avoid is what an upstream's failures speak against it, in time.
-func (pe *peer) avoid(now time.Time, fi field, rq Request) time.Duration {
-	worse := max(pe.badness(now)-fi.badness-failMargin, 0)
-	// What fails has to be read again elsewhere, whatever was kept here.
-	unit := failCost + scale(fi.read, rq.Prompt) + fi.again
+// failurePenalty is the penalty, as time, for an upstream's failure rate.
+func (pe *peer) failurePenalty(now time.Time, fi decision, rq Request) time.Duration {
+	excess := max(pe.failureRate(now)-fi.minFailureRate-failureMargin, 0)
+	// A failed request needs prefill again elsewhere, whatever was cached here.
+	cost := failureCost + scale(fi.prefill, rq.Prompt) + fi.repeatedPrefill
 	if rq.Once {
-		unit = failCostOnce
+		cost = failureCostOnce
 	}
-	return time.Duration(worse * float64(unit))
+	return time.Duration(excess * float64(cost))
 }
 
-func (pe *peer) ended(now time.Time, out Outcome) {
-	bad := 0.0
+func (pe *peer) recordOutcome(now time.Time, out Outcome) {
+	failed := 0.0
 	switch out {
 	case Abandoned:
 		return
 	case Refused:
-		pe.full = now.Add(fullFor)
+		pe.fullUntil = now.Add(fullFor)
 		return
 	case Unreached, Absent:
-		pe.away++
-		most := downMost
+		pe.failedConnects++
+		most := maxDown
 		if out == Absent {
-			most = absentMost
+			most = maxAbsent
 		}
-		pe.down = now.Add(min(downFirst<<min(pe.away-1, 4), most))
-		pe.awayUntil = pe.down
+		pe.downUntil = now.Add(min(minDown<<min(pe.failedConnects-1, 4), most))
+		pe.unreachableUntil = pe.downUntil
 		return
 	case Replaced:
-		pe.down = now.Add(replacedFor)
+		pe.downUntil = now.Add(replacedFor)
 		return
 	case Failed, Overdue:
-		bad = 1
+		failed = 1
 	case Good:
-		pe.away = 0
+		pe.failedConnects = 0
 	}
-	pe.fails = pe.badness(now)
-	pe.fails += failWeight * (bad - pe.fails)
-	pe.last = now
+	pe.failures = pe.failureRate(now)
+	pe.failures += failureWeight * (failed - pe.failures)
+	pe.lastOutcome = now
 }
 
-// paced follows how long answers took to begin, against the usual of the pool
-// and what their prompts alone need.
-func (pe *peer) paced(pl *pool, took, read time.Duration) {
-	if pl.count < trusted {
+// recordLatency updates the slow ratio: the time that a response took to begin, against the mean of
+// its kind and the prefill time of its own prompt.
+func (pe *peer) recordLatency(pl *latency, took, prefill time.Duration) {
+	if pl.count < minSamples {
 		return
 	}
-	ratio := float64(took) / float64(max(pl.usual(0), read, time.Millisecond))
-	pe.ratio += ratioWeight * (min(ratio, maxRatio) - pe.ratio)
+	ratio := float64(took) / float64(max(pl.meanOr(0), prefill, time.Millisecond))
+	pe.slowRatio += ratioWeight * (min(ratio, maxRatio) - pe.slowRatio)
 }
 
-// slowness is the factor on an upstream's expected time.
-func (pe *peer) slowness() float64 {
-	return max(pe.ratio/ratioMargin, 1)
+// slowFactor is the factor on an upstream's expected time.
+func (pe *peer) slowFactor() float64 {
+	return max(pe.slowRatio/ratioMargin, 1)
 }
--- a/core/balance/rank.go
+++ b/core/balance/rank.go
@@ -2,34 +2,32 @@
 
 import "time"
 
-// longReads are the times to read a prompt from which a call goes one rank
-// further back at an engine each.
+// longPrefills are the prefill times above which a call moves one rank further back each.
 //
-// Engines read one prompt after the other, in the order of rank and arrival, and
-// the longest take a hundred times the shortest. When more come than an engine
-// can read, a short prompt behind a long one is late for nothing; the long one
-// behind ten short ones is as late as it was.
-var longReads = []time.Duration{150 * time.Millisecond, 500 * time.Millisecond, 1500 * time.Millisecond}
+// Engines process one prompt at a time, in the order of rank and arrival, and the longest take a
+// hundred times as long as the shortest. When more prompts come than an engine can process, a short
+// prompt behind a long one is late without need; the long one behind ten short ones is as late as
+// it was.
+var longPrefills = []time.Duration{150 * time.Millisecond, 500 * time.Millisecond, 1500 * time.Millisecond}
 
 const (
-	// lastPriority is the last of the routes' priorities that the rank tells
-	// apart: it leaves room for lengths among the engines' ten ranks.
-	lastPriority = 4
-	// sparedLong is the share of long prompts that are not put back, so that the
-	// longest are not left without an answer while an overload lasts.
-	sparedLong = 0.25
+	// maxPriority is the last of the routes' priorities that ranks distinguish: it leaves room for
+	// prompt lengths among the engines' ten ranks.
+	maxPriority = 4
+	// exemptShare is the share of long prompts that are not moved back, so that the longest are not
+	// starved while an overload lasts.
+	exemptShare = 0.25
 )
 
-// Rank returns the place of a call in an engine's queue, 0 is first: by the
-// priority of its request and the time that its prompt takes to be read. Draw is
-// a random number from 0 to 1.
-func Rank(priority int, read time.Duration, draw float64) int {
-	rank := min(max(priority, 0), lastPriority)
-	if draw < sparedLong {
+// Rank returns the rank of a call in an engine's queue, 0 is first: from the priority of its
+// request and the prefill time of its prompt. Draw is a random number from 0 to 1.
+func Rank(priority int, prefill time.Duration, draw float64) int {
+	rank := min(max(priority, 0), maxPriority)
+	if draw < exemptShare {
 		return rank
 	}
-	for _, long := range longReads {
-		if read > long {
+	for _, limit := range longPrefills {
+		if prefill > limit {
 			rank++
 		}
 	}
--- a/core/balance/remote.go
+++ b/core/balance/remote.go
@@ -9,39 +9,37 @@
 	"skylarkstand/core/mechanism"
 )
 
-// RegionLoad is what all entries of one region have at upstreams, as one of them
-// knows it.
+// RegionLoad is the work that all entries of one region have at upstreams, as one of them knows it.
 //
-// It is made for a region that has lost a part of its engines: work may go to
-// another region, whose entries tell theirs what waits there. Guessed from the own
-// waits, remote engines look as busy as the own ones although they are idle.
+// It is made for a region that has lost a part of its engines: work may go to another region, whose
+// entries report their queues to the entries here. If that load were derived from the local waits,
+// remote engines would look as busy as the local ones although they are idle.
 type RegionLoad struct {
 	// Region is the hash of its name, see [HashOf].
 	Region uint64
-	// Shares are the upstreams with the most work, and Rest the mean of the others
-	// that have any.
+	// Shares are the upstreams with the most work, and Rest the mean of the others that have any.
 	Shares []Share
 	Rest   Share
 }
 
-// remoteLife is how long a region's load counts; it comes every [RemoteEvery] from
-// one entry or another.
-const remoteLife = 2500 * time.Millisecond
+// remoteLoadTTL is how long a region's load counts; one entry or another announces it every
+// [RemoteEvery].
+const remoteLoadTTL = 2500 * time.Millisecond
 
-// RemoteEvery is how often an entry tells one of each other region.
+// RemoteEvery is how often an entry announces its region's load to one entry of each other region.
 const RemoteEvery = time.Second
 
-// remoteLoad is the load of another region.
+// remoteLoad is the announced load of another region.
 type remoteLoad struct {
 	at     time.Time
 	shares map[uint64]Share
 	rest   Share
 }
 
-// RegionLoad returns what this entry knows of its region, with at most so many
-// upstreams in full.
+// RegionLoad returns the known load of the local region, with at most so many upstreams listed
+// individually.
 func (pk *Picker) RegionLoad(now time.Time, most int) RegionLoad {
-	sum := maps.Clone(pk.toldSums(now).shares)
+	sum := maps.Clone(pk.siblingTotals(now).shares)
 	for _, pe := range pk.peers {
 		if pe.own > 0 {
 			addShare(sum, Share{pe.hash, pe.own, pe.pending})
@@ -52,13 +50,13 @@
 		return cmp.Or(cmp.Compare(b.Pending, a.Pending), cmp.Compare(b.Own, a.Own), cmp.Compare(a.Upstream, b.Upstream))
 	})
 	if len(lo.Shares) > most {
-		lo.Rest = mean(lo.Shares[most:])
+		lo.Rest = meanShare(lo.Shares[most:])
 		lo.Shares = lo.Shares[:most]
 	}
 	return lo
 }
 
-func mean(shares []Share) Share {
+func meanShare(shares []Share) Share {
 	var sum Share
 	for _, sh := range shares {
 		sum.Own += sh.Own
@@ -67,7 +65,7 @@
 	return Share{Own: sum.Own / len(shares), Pending: sum.Pending / time.Duration(len(shares))}
 }
 
-// ToldRegion takes in another region's load.
+// ToldRegion applies the load that another region announced.
 func (pk *Picker) ToldRegion(now time.Time, lo RegionLoad) {
 	if pk.off.Has(mechanism.ToldRegions) || lo.Region == HashOf(pk.region) {
 		return
@@ -79,37 +77,37 @@
 	pk.remote[lo.Region] = rl
 }
 
-// RemoteCalls is work that went to upstreams of another region.
+// RemoteCalls are the calls to upstreams of another region.
 type RemoteCalls struct {
-	// To is the hash of that region's name, and From that of the teller's.
+	// To is the hash of that region's name, and From that of the sender's.
 	To, From uint64
 	Shares   []Share
 }
 
-// noteRemoteCall notes work that the entries of its upstream's region are to be told of.
-func (pk *Picker) noteRemoteCall(pe *peer, sh Share) {
-	if pe.far && len(pk.remoteCalls[pe.region]) < maxRecent {
-		pk.remoteCalls[pe.region] = append(pk.remoteCalls[pe.region], sh)
+// addRemoteCall queues a call for the announcement to the entries of its upstream's region.
+func (pk *Picker) addRemoteCall(pe *peer, sh Share) {
+	if pe.remote && len(pk.newRemoteCalls[pe.region]) < maxUnannounced {
+		pk.newRemoteCalls[pe.region] = append(pk.newRemoteCalls[pe.region], sh)
 	}
 }
 
-// RemoteCalls returns the work that went to other regions since the last call. A long
-// prompt there holds up all that come after it, and what a region tells once a second
-// is too late for them.
+// RemoteCalls returns the calls to other regions since its last invocation. A long prompt there delays
+// all that come after it, and the load that a region announces once a second comes too late for
+// them.
 func (pk *Picker) RemoteCalls() []RemoteCalls {
 	var out []RemoteCalls
-	for region, shares := range pk.remoteCalls {
+	for region, shares := range pk.newRemoteCalls {
 		out = append(out, RemoteCalls{To: region, From: HashOf(pk.region), Shares: shares})
 	}
-	clear(pk.remoteCalls)
+	clear(pk.newRemoteCalls)
 	return out
 }
 
-// ToldRemoteCalls adds what an entry of another region has just sent here to what that
-// region told before. Where it has told nothing lately, it is passed over.
+// ToldRemoteCalls adds the calls that an entry of another region has just sent here to the load
+// that that region announced before. They are ignored if it announced none lately.
 func (pk *Picker) ToldRemoteCalls(now time.Time, sent RemoteCalls) {
 	rl, known := pk.remote[sent.From]
-	if !known || now.Sub(rl.at) > remoteLife {
+	if !known || now.Sub(rl.at) > remoteLoadTTL {
 		return
 	}
 	for _, sh := range sent.Shares {
@@ -117,11 +115,11 @@
 	}
 }
 
-// atRemoteEntries returns what the entries of other regions have at an upstream, and
-// reports whether those of its own region have told.
-func (pk *Picker) atRemoteEntries(now time.Time, pe *peer) (own float64, pending time.Duration, known bool) {
+// remoteWork returns the work that entries of other regions have at an upstream, and reports
+// whether the entries of its own region announced their load.
+func (pk *Picker) remoteWork(now time.Time, pe *peer) (own float64, pending time.Duration, known bool) {
 	for region, rl := range pk.remote {
-		if now.Sub(rl.at) > remoteLife {
+		if now.Sub(rl.at) > remoteLoadTTL {
 			continue
 		}
 		sh, listed := rl.shares[pe.hash]
