--- a/core/rendezvous/rendezvous.go
+++ b/core/rendezvous/rendezvous.go
@@ -1,9 +1,9 @@
-// Package rendezvous ranks members for a key by highest random weight: every
-// process that knows the same members comes to the same order without asking
-// anybody, and a member that goes changes only the places that it held.
+// Package rendezvous ranks members for a key by highest random weight: every process with the same
+// list of members computes the same order without communication, and a member that leaves changes
+// only the places that it held.
 //
-// A preferred home is a hint. Processes that know different members rank
-// differently for a while, so nothing that must be right may depend on it.
+// A preferred member is a hint. Processes with different lists of members rank differently for a
+// while, so correctness must not depend on it.
 //
 // # Usage
 //
@@ -17,7 +17,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Weight returns a member's weight for a key. The highest is preferred.
+// Weight returns a member's weight for a key. The member with the highest weight is preferred.
 func Weight(key, member string) uint64 {
 	var dig xxhash.Digest
 	dig.Reset()
@@ -27,8 +27,8 @@
 	return dig.Sum64()
 }
 
-// Rank returns the place of a member for a key, 0 for the most preferred, or -1 where
-// it is none.
+// Rank returns the place of a member for a key, 0 for the most preferred, or -1 if it isn't in the
+// list.
 func Rank[S ~string](key string, members []S, self S) int {
 	own, rank, found := Weight(key, string(self)), 0, false
 	for _, me := range members {
@@ -46,7 +46,7 @@
 	return rank
 }
 
-// Top returns the n preferred members for a key, the most preferred first.
+// Top returns the n most preferred members for a key, the most preferred first.
 func Top[T any](key string, members []T, n int, name func(T) string) []T {
 	type ranked struct {
 		member T
--- a/core/rendezvous/rendezvous_test.go
+++ b/core/rendezvous/rendezvous_test.go
@@ -8,8 +8,8 @@
 	"skylarkstand/core/rendezvous"
 )
 
-// TestRankIsThePlaceInTheOrder guards against two members that take the same place.
-func TestRankIsThePlaceInTheOrder(t *testing.T) {
+// TestRankMatchesTop guards against two members with the same rank.
+func TestRankMatchesTop(t *testing.T) {
 	members := []string{"a", "b", "c", "d", "e", "f"}
 	for _, key := range []string{"one", "two", "three"} {
 		top := rendezvous.Top(key, members, len(members), func(me string) string { return me })
