--- a/core/route/route.go
+++ b/core/route/route.go
@@ -1,11 +1,9 @@
-// Package route holds the configuration of exchanges: which host and path
-// prefix leads to which service, what may be repeated there, and which keys
-// belong to which workspace.
+// Package route holds the routing configuration: which host and path prefix lead to which service,
+// what may be retried there, and which keys belong to which workspace.
 //
-// A [Table] is immutable. [InForce] holds the one that requests are decided by
-// and takes only newer ones, in whatever order they arrive: a process that
-// hears of a configuration late, twice or from a peer that is behind never
-// goes back to an older one.
+// A [Table] is immutable. [InForce] holds the table in force and adopts only newer ones, in
+// whatever order they arrive: a process that receives a configuration late, twice or from a sibling
+// that is behind never goes back to an older one.
 //
 // # Usage
 //
@@ -29,10 +27,10 @@
 	"skylarkstand/core/warmup"
 )
 
-// Version numbers the configurations of exchanges. It grows in uneven steps.
+// Version numbers the routing configurations. It grows, but not always by one.
 type Version uint64
 
-// Document is a configuration as it was written.
+// Document is a configuration as written.
 type Document struct {
 	Version    Version
 	Routes     []Route
@@ -41,34 +39,34 @@
 	Limits     Limits
 }
 
-// Route leads the requests of a host below a path prefix to services.
+// Route maps the requests of a host below a path prefix to services.
 type Route struct {
 	ID     string
 	Host   string
 	Prefix string
-	// Stream says that answers are rows of events.
+	// Stream is set when responses are event streams.
 	Stream bool
 	Repeat core.Repeat
-	// Timeout is the longest time that a caller is kept waiting for its whole
-	// answer; Aim the time to a good answer, or to a stream's first event.
+	// Timeout bounds the time until a caller has its whole response; Aim is the target time of a
+	// response, or of a stream's first event.
 	Timeout, Aim time.Duration
-	// Gap is the longest pause between two events of a good stream.
+	// Gap is the target for the longest pause between two events of a stream.
 	Gap time.Duration
-	// Priority is the rank; 0 goes first.
+	// Priority orders routes; 0 goes first.
 	Priority int
-	// Splits are the services that share the requests, by weight.
+	// Splits are the services among which the requests are divided, by weight.
 	Splits []Split
-	// MaxAttempts bounds the upstreams that one request runs on.
+	// MaxAttempts bounds the number of upstreams that one request runs on.
 	MaxAttempts int
-	// Public says that no key is asked for.
+	// Public is set when no key is required.
 	Public bool
-	// Cascade holds the models to choose from, smallest first.
+	// Cascade lists the models to choose from, smallest first.
 	Cascade []core.ModelID
-	// Regions are those that its requests may be served in.
+	// Regions are those in which the requests may be served.
 	Regions core.Regions
 }
 
-// Split is one service's share of a route.
+// Split is one service's weight on a route.
 type Split struct {
 	Service core.ServiceID
 	Weight  int
@@ -77,52 +75,53 @@
 // Service is a pool of upstreams.
 type Service struct {
 	ID core.ServiceID
-	// aim is the tightest of the routes that lead here, 0 without any, and first
+	// targetLatency is the least Aim of the routes that lead here, 0 without any, and minPriority
 	// the priority of those that go first.
-	aim   time.Duration
-	first int
-	// cascades says that a route that leads here has models to choose from.
-	cascades bool
-	// MaxConnections bounds the connections to one upstream, of all entries.
+	targetLatency time.Duration
+	minPriority   int
+	// hasCascade is set when a route that leads here has models to choose from.
+	hasCascade bool
+	// MaxConnections bounds the connections to one upstream, of all entries together.
 	MaxConnections int
-	// Warmup is what an upstream can take while it is cold.
+	// Warmup is the load that an upstream can take while it is cold.
 	Warmup warmup.Bound
 }
 
-// Aim returns the tightest aim of the routes that lead to the service; 0 is none.
-func (sv *Service) Aim() time.Duration { return sv.aim }
+// Aim returns the least target latency of the routes that lead to the service; 0 is none.
+func (sv *Service) Aim() time.Duration { return sv.targetLatency }
 
 // First returns the priority of the routes to the service that go first.
-func (sv *Service) First() int { return sv.first }
+func (sv *Service) First() int { return sv.minPriority }
 
-// learn notes a route that leads to the service.
-func (sv *Service) learn(rt *Route) {
-	if rt.Aim > 0 && (sv.aim == 0 || rt.Aim < sv.aim) {
-		sv.aim = rt.Aim
+// addRoute updates the service's values with a route that leads to it.
+func (sv *Service) addRoute(rt *Route) {
+	if rt.Aim > 0 && (sv.targetLatency == 0 || rt.Aim < sv.targetLatency) {
+		sv.targetLatency = rt.Aim
 	}
-	sv.first = min(sv.first, rt.Priority)
-	sv.cascades = sv.cascades || len(rt.Cascade) > 0
+	sv.minPriority = min(sv.minPriority, rt.Priority)
+	sv.hasCascade = sv.hasCascade || len(rt.Cascade) > 0
 }
 
 // Workspace is a customer with its keys.
 type Workspace struct {
 	ID   core.WorkspaceID
 	Keys []core.APIKey
-	// Priority goes before the route's when Ranked.
+	// Priority overrides that of the route if Ranked is set.
 	Priority int
 	Ranked   bool
-	// Regions are those that its requests may be served in.
+	// Regions are those in which the workspace's requests may be served.
 	Regions core.Regions
 }
 
-// Limits bound what a caller may send. Zero is no bound.
+// Limits bound the size of a caller's requests and the time its connection may be idle. Zero is no
+// bound.
 type Limits struct {
 	HeaderBytes, BodyBytes int
-	// Idle is how long a kept connection may stay unused.
+	// Idle is how long a keep-alive connection may stay unused.
 	Idle time.Duration
 }
 
-// Table is a configuration made ready for lookups.
+// Table is a configuration prepared for lookups.
 type Table struct {
 	Version  Version
 	Limits   Limits
@@ -131,14 +130,14 @@
 	keys     map[core.APIKey]*Workspace
 }
 
-// New returns the table of a document, or what is wrong with it.
+// New returns the table of a document, or an error if the document is invalid.
 func New(doc Document) (*Table, error) {
 	tb := &Table{
 		Version: doc.Version, Limits: doc.Limits, hosts: map[string][]*Route{},
 		services: map[core.ServiceID]*Service{}, keys: map[core.APIKey]*Workspace{},
 	}
 	for _, sv := range doc.Services {
-		sv.aim, sv.first = 0, math.MaxInt
+		sv.targetLatency, sv.minPriority = 0, math.MaxInt
 		tb.services[sv.ID] = &sv
 	}
 	for i := range doc.Workspaces {
@@ -153,7 +152,7 @@
 		}
 		tb.hosts[rt.Host] = append(tb.hosts[rt.Host], rt)
 		for _, sp := range rt.Splits {
-			tb.services[sp.Service].learn(rt)
+			tb.services[sp.Service].addRoute(rt)
 		}
 	}
 	for _, rts := range tb.hosts {
@@ -190,11 +189,11 @@
 	return nil
 }
 
-// Engines lists the services that routes with a choice of models lead to.
+// Engines lists the services of the routes that have a choice of models.
 func (tb *Table) Engines() []core.ServiceID {
 	var out []core.ServiceID
 	for id, sv := range tb.services {
-		if sv.cascades {
+		if sv.hasCascade {
 			out = append(out, id)
 		}
 	}
@@ -207,11 +206,11 @@
 // Workspace returns the workspace that holds a key, or nil.
 func (tb *Table) Workspace(key core.APIKey) *Workspace { return tb.keys[key] }
 
-// Keyed reports whether keys are asked for at all: a configuration without
-// workspaces lets everybody in.
+// Keyed reports whether keys are required at all: a configuration without any key admits every
+// caller.
 func (tb *Table) Keyed() bool { return len(tb.keys) > 0 }
 
-// Choose returns the service for a draw from 0 to 1.
+// Choose returns the service for a random number from 0 to 1.
 func (rt *Route) Choose(draw float64) core.ServiceID {
 	sum := 0
 	for _, sp := range rt.Splits {
@@ -227,23 +226,22 @@
 	return rt.Splits[0].Service
 }
 
-// InForce holds the table that requests are decided by.
+// InForce holds the table in force.
 type InForce struct {
-	cur   atomic.Pointer[Table]
-	known chan struct{}
+	cur    atomic.Pointer[Table]
+	loaded chan struct{}
 }
 
 // NewInForce returns an InForce without a table.
-func NewInForce() *InForce { return &InForce{known: make(chan struct{})} }
+func NewInForce() *InForce { return &InForce{loaded: make(chan struct{})} }
 
-// Known is closed once there is a table.
-func (inf *InForce) Known() <-chan struct{} { return inf.known }
+// Known returns a channel that is closed once there is a table.
+func (inf *InForce) Known() <-chan struct{} { return inf.loaded }
 
 // Current returns the table in force, or nil before the first.
 func (inf *InForce) Current() *Table { return inf.cur.Load() }
 
-// Adopt puts a table in force unless the one in force is as new, and reports
-// whether it did.
+// Adopt replaces the table in force by a newer one, and reports whether it did.
 func (inf *InForce) Adopt(tb *Table) bool {
 	for {
 		old := inf.cur.Load()
@@ -252,7 +250,7 @@
 		}
 		if inf.cur.CompareAndSwap(old, tb) {
 			if old == nil {
-				close(inf.known)
+				close(inf.loaded)
 			}
 			return true
 		}
--- a/core/route/route_test.go
+++ b/core/route/route_test.go
@@ -39,7 +39,7 @@
 	}
 }
 
-// Operators split a route between two services by weight, one of them at nought.
+// Operators may give a service of a split the weight 0: it must get no requests.
 func TestChoose(t *testing.T) {
 	tb := table(t, 1, route.Route{Host: "a", Prefix: "/", Splits: []route.Split{{"desk", 90}, {"drafter", 10}}})
 	rnd := rand.New(rand.NewPCG(1, 1))
@@ -52,9 +52,9 @@
 	assert.Equal(t, string(tb.Find("a", "/").Choose(0)), "drafter")
 }
 
-// Configurations arrive late, twice and in any order, from the store and from
-// other entries. A key that was taken away must not work again because an older
-// one arrives after a newer.
+// Configurations arrive late, twice and in any order, from the store and from sibling entries. A
+// key that was revoked must not work again because an older configuration arrives after a newer
+// one.
 func TestAdoptNeverGoesBack(t *testing.T) {
 	for seed := range uint64(20) {
 		inf := route.NewInForce()
@@ -80,9 +80,9 @@
 	}
 }
 
-// Operators make a mistake in a configuration. It must be refused as a whole,
-// with the route that is wrong, so that the one in force stays.
-func TestMistakes(t *testing.T) {
+// An invalid configuration must be rejected as a whole, with the route named in the error, so that
+// the one in force stays.
+func TestInvalidDocuments(t *testing.T) {
 	for _, sc := range []struct {
 		rt   route.Route
 		want string
