--- a/core/fleet/fleet.go
+++ b/core/fleet/fleet.go
@@ -1,16 +1,14 @@
-// Package fleet keeps which upstreams there are, from the platform's list.
+// Package fleet maintains the set of upstreams from the platform's host list.
 //
-// The list is news of leases: an entry that vanishes may mean that its
-// upstream left, or only that the store was away and leases ran out
-// meanwhile. Taking every removal at its word would leave a service without
-// upstreams at the very moment when the store comes back, although all of them
-// run; keeping every one for long would send work to hosts that are gone. So a
-// removal counts at once while the store has been well, and only after a grace
-// when it has not.
+// The list reflects leases: when a host vanishes from it, its upstream may be gone, or the store
+// was unavailable and the lease ran out meanwhile. Applying every removal at once would leave a
+// service without upstreams at the moment when the store comes back, although all of them run;
+// delaying every removal would send work to hosts that are gone. So a removal takes effect at once
+// while the store has been available, and only after a grace period when it has not.
 //
-// It is also the one place that says which upstreams may get new work: those that
-// are ready, in a region that the request may be served in, and in an availability
-// zone that is not evacuated.
+// The package is also the one place that decides which upstreams may get new work: those that are
+// ready, in a region in which the request may be served, and in an availability zone that is not
+// evacuated.
 //
 // # Usage
 //
@@ -31,23 +29,23 @@
 	"skylarkstand/core"
 )
 
-// DefaultGrace is how long an upstream stays after a removal that may be a
-// lapsed lease. Upstreams that live write themselves back within about two
-// seconds of the store's return; half a second is for the way here.
+// DefaultGrace is how long an upstream stays after a removal that an expired lease may have caused.
+// Running upstreams register again within about two seconds of the store's return; half a second is
+// for the propagation to this process.
 const DefaultGrace = 2500 * time.Millisecond
 
-// Fleet is safe for concurrent use.
+// Fleet is the set of known upstreams. It is safe for concurrent use.
 type Fleet struct {
 	grace time.Duration
 
 	mu      sync.Mutex
 	members map[core.UpstreamID]*member
-	// evacuated are the availability zones that get no new work.
+	// evacuated holds the availability zones that get no new work.
 	evacuated map[core.Zone]bool
-	// lists are built when asked for, and dropped when something changes.
+	// lists caches the lists by key; every change clears it.
 	lists map[listKey][]core.Host
-	// next is when the first grace ends; zero when none runs.
-	next time.Time
+	// nextExpiry is when the first grace period ends; zero when none runs.
+	nextExpiry time.Time
 }
 
 type listKey struct {
@@ -59,8 +57,8 @@
 
 type member struct {
 	host core.Host
-	// gone is when the member stops counting; zero while it is listed.
-	gone time.Time
+	// expiresAt is the end of the grace period; zero while the host is listed.
+	expiresAt time.Time
 }
 
 // Option changes a Fleet at construction.
@@ -78,7 +76,7 @@
 	return fl
 }
 
-// Put takes over an upstream's line of the list.
+// Put adds or replaces an upstream from its entry in the host list.
 func (fl *Fleet) Put(ho core.Host) {
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
@@ -86,9 +84,9 @@
 	clear(fl.lists)
 }
 
-// Remove notes that an upstream's line is gone. A doubtful removal is one that
-// the store's own trouble may have caused; the upstream then stays for the
-// grace, unless it had said that it was leaving.
+// Remove applies the removal of an upstream from the host list. A doubtful removal is one that a
+// failure of the store may have caused; the upstream then stays for the grace period, unless it had
+// announced that it was leaving.
 func (fl *Fleet) Remove(id core.UpstreamID, now time.Time, doubtful bool) {
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
@@ -101,21 +99,20 @@
 		delete(fl.members, id)
 		return
 	}
-	me.gone = now.Add(fl.grace)
-	if fl.next.IsZero() || me.gone.Before(fl.next) {
-		fl.next = me.gone
+	me.expiresAt = now.Add(fl.grace)
+	if fl.nextExpiry.IsZero() || me.expiresAt.Before(fl.nextExpiry) {
+		fl.nextExpiry = me.expiresAt
 	}
 }
 
-// Serving lists the upstreams of a service that may get new work within the
-// given regions, by id. The list is shared and must not be changed.
+// Serving lists the upstreams of a service that may get new work within the given regions, by id.
+// The returned slice is shared and must not be changed.
 func (fl *Fleet) Serving(sv core.ServiceID, now time.Time, within core.Regions) []core.Host {
 	return fl.list(now, listKey{service: sv, regions: within})
 }
 
-// Ready lists all upstreams of a service that are ready, by id, with those that
-// get no new work since their zone is evacuated. The list is shared and must not
-// be changed.
+// Ready lists all ready upstreams of a service by id, including those that get no new work because
+// their zone is evacuated. The returned slice is shared and must not be changed.
 func (fl *Fleet) Ready(sv core.ServiceID, now time.Time) []core.Host {
 	return fl.list(now, listKey{service: sv, all: true})
 }
@@ -129,7 +126,7 @@
 		return list
 	}
 	for _, me := range fl.members {
-		if fl.selects(key, &me.host) {
+		if fl.matches(key, &me.host) {
 			list = append(list, me.host)
 		}
 	}
@@ -138,7 +135,7 @@
 	return list
 }
 
-func (fl *Fleet) selects(key listKey, ho *core.Host) bool {
+func (fl *Fleet) matches(key listKey, ho *core.Host) bool {
 	if ho.Service != key.service || ho.Leaving {
 		return false
 	}
@@ -162,18 +159,18 @@
 	clear(fl.lists)
 }
 
-// Evacuated lists the availability zones that get no new work, in order.
+// Evacuated lists the availability zones that get no new work, sorted.
 func (fl *Fleet) Evacuated() []core.Zone {
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
 	return slices.Sorted(maps.Keys(fl.evacuated))
 }
 
-// Count is how many upstreams of a service are in each state. Evacuated are those
-// that are ready in a zone that gets no new work.
+// Count is the number of upstreams of a service by state. Evacuated counts those that are ready in
+// a zone that gets no new work.
 type Count struct{ Serving, Leaving, Doubtful, Evacuated int }
 
-// Counts returns the upstreams by service.
+// Counts returns the number of upstreams by service and state.
 func (fl *Fleet) Counts(now time.Time) map[core.ServiceID]Count {
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
@@ -182,7 +179,7 @@
 	for _, me := range fl.members {
 		co := out[me.host.Service]
 		switch {
-		case !me.gone.IsZero():
+		case !me.expiresAt.IsZero():
 			co.Doubtful++
 		case me.host.Leaving:
 			co.Leaving++
@@ -196,25 +193,25 @@
 	return out
 }
 
-// expire drops the members whose grace has ended.
+// expire deletes the members whose grace period has ended.
 func (fl *Fleet) expire(now time.Time) {
-	if fl.next.IsZero() || now.Before(fl.next) {
+	if fl.nextExpiry.IsZero() || now.Before(fl.nextExpiry) {
 		return
 	}
-	fl.next = time.Time{}
+	fl.nextExpiry = time.Time{}
 	for id, me := range fl.members {
 		switch {
-		case me.gone.IsZero():
-		case !now.Before(me.gone):
+		case me.expiresAt.IsZero():
+		case !now.Before(me.expiresAt):
 			delete(fl.members, id)
-		case fl.next.IsZero() || me.gone.Before(fl.next):
-			fl.next = me.gone
+		case fl.nextExpiry.IsZero() || me.expiresAt.Before(fl.nextExpiry):
+			fl.nextExpiry = me.expiresAt
 		}
 	}
 	clear(fl.lists)
 }
 
-// Len returns how many upstreams are known.
+// Len returns the number of upstreams.
 func (fl *Fleet) Len() int {
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
--- a/core/fleet/fleet_test.go
+++ b/core/fleet/fleet_test.go
@@ -21,40 +21,39 @@
 	return out
 }
 
-func listed(fl *fleet.Fleet, names string) {
+func putAll(fl *fleet.Fleet, names string) {
 	for _, na := range names {
 		fl.Put(core.Host{ID: core.UpstreamID(na), Service: "desk"})
 	}
 }
 
-// The store was away, all leases ran out, and at its return every upstream
-// vanishes from the list although all of them run; they write themselves back
-// within two seconds. Were they taken for gone, callers would be refused by a
-// service that is idle. One that does not come back must be gone then.
-func TestLapsedLeases(t *testing.T) {
+// After an outage of the store all leases have run out, and every upstream vanishes from the list
+// although all of them run; they register again within two seconds. If they were removed at once,
+// callers of an idle service would be refused. An upstream that does not register again must be
+// removed after the grace period.
+func TestExpiredLeases(t *testing.T) {
 	fl := fleet.New()
-	listed(fl, "abc")
+	putAll(fl, "abc")
 	for _, id := range []core.UpstreamID{"a", "b", "c"} {
 		fl.Remove(id, start, true)
 	}
 	assert.Equal(t, ids(fl.Serving("desk", start.Add(time.Second), core.Regions{})), "abc")
-	listed(fl, "ab")
+	putAll(fl, "ab")
 	assert.Equal(t, ids(fl.Serving("desk", start.Add(2400*time.Millisecond), core.Regions{})), "abc")
 	assert.Equal(t, ids(fl.Serving("desk", start.Add(2600*time.Millisecond), core.Regions{})), "ab")
 	assert.Equal(t, ids(fl.Serving("desk", start.Add(time.Hour), core.Regions{})), "ab")
 }
 
-// An upstream leaves: it says so first, or its line just goes. It must get no
-// new work from the moment that this is heard, also when the store is in trouble
-// and it had said so before.
+// An upstream that leaves announces it first, or is just removed from the list. It must get no new
+// work from then on, also when the removal is doubtful and it had announced that it was leaving.
 func TestLeaving(t *testing.T) {
 	scenarios := []struct {
 		testName string
 		leave    func(fl *fleet.Fleet)
 	}{
-		{"says so", func(fl *fleet.Fleet) { fl.Put(core.Host{ID: "b", Service: "desk", Leaving: true}) }},
-		{"is gone", func(fl *fleet.Fleet) { fl.Remove("b", start, false) }},
-		{"says so and is gone in doubt", func(fl *fleet.Fleet) {
+		{"announces it", func(fl *fleet.Fleet) { fl.Put(core.Host{ID: "b", Service: "desk", Leaving: true}) }},
+		{"is removed", func(fl *fleet.Fleet) { fl.Remove("b", start, false) }},
+		{"announces it and is doubtfully removed", func(fl *fleet.Fleet) {
 			fl.Put(core.Host{ID: "b", Service: "desk", Leaving: true})
 			fl.Remove("b", start, true)
 		}},
@@ -62,7 +61,7 @@
 	for _, sc := range scenarios {
 		t.Run(sc.testName, func(t *testing.T) {
 			fl := fleet.New()
-			listed(fl, "abc")
+			putAll(fl, "abc")
 			assert.Equal(t, ids(fl.Serving("desk", start, core.Regions{})), "abc")
 			sc.leave(fl)
 			assert.Equal(t, ids(fl.Serving("desk", start, core.Regions{})), "ac")
@@ -70,11 +69,11 @@
 	}
 }
 
-// An address is given to an upstream of another service under a new id. Work for
-// the old service must not go there.
-func TestServicesAreKeptApart(t *testing.T) {
+// An address moves to an upstream of another service under a new id. Work for the old service must
+// not go there.
+func TestServicesAreSeparate(t *testing.T) {
 	fl := fleet.New()
-	listed(fl, "ab")
+	putAll(fl, "ab")
 	fl.Remove("b", start, false)
 	fl.Put(core.Host{ID: "c", Service: "drafter", Addr: "b"})
 	assert.Equal(t, ids(fl.Serving("desk", start, core.Regions{})), "a")
@@ -82,8 +81,8 @@
 	assert.Equal(t, fmt.Sprint(fl.Len()), "2")
 }
 
-// TestEvacuatedZone guards against new work in a zone while its evacuation lasts,
-// also for upstreams that are listed meanwhile.
+// TestEvacuatedZone guards against new work in a zone during its evacuation, also for upstreams
+// that are added meanwhile.
 func TestEvacuatedZone(t *testing.T) {
 	fl := fleet.New()
 	put := func(id core.UpstreamID, zo core.Zone, re core.Region) {
