--- a/core/warmup/tracker.go
+++ b/core/warmup/tracker.go
@@ -9,29 +9,28 @@
 	"skylarkstand/core/rendezvous"
 )
 
-// Bound is what a service's upstreams can take while they are cold.
+// Bound is the load that a service's upstreams can take while they are cold.
 type Bound struct {
-	// Rate is the requests a second; 0 is no bound.
+	// Rate is in requests a second; 0 is no bound.
 	Rate float64
 	// Duration is how long an upstream is cold after its start.
 	Duration time.Duration
 }
 
-// Notice is news from the store that an upstream has started, or is cold again.
+// Notice reports a change in the store: an upstream has started, or is cold again.
 type Notice struct {
 	Upstream core.UpstreamID
-	// ColdFor is how long the upstream stays cold, [core.WarmingUnknown], or 0 for
-	// a warm one.
+	// ColdFor is how long the upstream stays cold, [core.WarmingUnknown], or 0 for a warm one.
 	ColdFor time.Duration
-	// Entries are those that share the permits, as they were registered at the
-	// notice's revision. They must not be changed afterwards.
+	// Entries are those that share the permits, as registered at the notice's revision. The slice
+	// must not be changed afterwards.
 	Entries []core.ProcessID
-	// Exact says that Entries are certain.
+	// Exact is set when Entries is known to be the list at that revision.
 	Exact bool
 }
 
-// Tracker knows which upstreams are cold and which permits are this entry's. It
-// is safe for concurrent use.
+// Tracker tracks which upstreams are cold and which permits belong to this entry. It is safe for
+// concurrent use.
 type Tracker struct {
 	self             core.ProcessID
 	overshoot, slack float64
@@ -42,19 +41,19 @@
 
 // span is the time from one notice about an upstream to the next.
 type span struct {
-	// coldUntil is zero for a warm upstream. Unknown says that it was not told,
-	// so that the service's duration counts from noticed.
+	// coldUntil is zero for a warm upstream. unknown is set when the duration was not reported, so
+	// that the service's duration counts from noticedAt.
 	coldUntil time.Time
 	unknown   bool
-	noticed   time.Time
-	// entries share the permits, and exact says that they are certain.
+	noticedAt time.Time
+	// entries share the permits; exact is set when the list is certain.
 	entries []core.ProcessID
 	exact   bool
-	// rank is this entry's place among them, noRank where it is none of them and
-	// unranked until it is asked for: few upstreams are ever cold.
+	// rank is this entry's place among them, noRank if it is not listed, and unranked until it is
+	// needed: few upstreams are ever cold.
 	rank int
-	// busy are the permits that are taken.
-	busy []*Permit
+	// taken are the permits in use.
+	taken []*Permit
 }
 
 const (
@@ -65,8 +64,8 @@
 // Option changes a Tracker at construction.
 type Option func(*Tracker)
 
-// Overshoot sets how many requests a cold upstream can take in one second: factor
-// times its rate, and slack requests besides.
+// Overshoot sets how many requests a cold upstream can take in one second: factor times its rate,
+// plus slack requests.
 func Overshoot(factor, slack float64) Option {
 	return func(tr *Tracker) { tr.overshoot, tr.slack = factor, slack }
 }
@@ -80,37 +79,35 @@
 	return tr
 }
 
-// Permits returns how many requests a cold upstream may get in one second from
-// all entries.
+// Permits returns how many requests a cold upstream may get in one second from all entries.
 func (tr *Tracker) Permits(bo Bound) int { return int(bo.Rate*tr.overshoot + tr.slack) }
 
-// Started begins a span with permits of its own.
+// Started begins a new span, with its own permits.
 func (tr *Tracker) Started(now time.Time, no Notice) {
 	sp := &span{entries: no.Entries, exact: no.Exact, rank: unranked}
-	sp.note(now, no.ColdFor)
+	sp.setRemaining(now, no.ColdFor)
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
 	tr.spans[no.Upstream] = sp
 }
 
-// SetRemaining notes for how long an upstream stays cold from now on; see
-// [Notice.ColdFor].
+// SetRemaining updates how long an upstream stays cold from now on; see [Notice.ColdFor].
 func (tr *Tracker) SetRemaining(now time.Time, id core.UpstreamID, left time.Duration) {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
 	if sp := tr.spans[id]; sp != nil {
-		sp.note(now, left)
+		sp.setRemaining(now, left)
 	}
 }
 
-// Forget drops an upstream that is gone.
+// Forget deletes the state of an upstream that is gone.
 func (tr *Tracker) Forget(id core.UpstreamID) {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
 	delete(tr.spans, id)
 }
 
-// Cold reports whether an upstream is cold, as far as it was told.
+// Cold reports whether an upstream is cold, as far as was reported.
 func (tr *Tracker) Cold(now time.Time, id core.UpstreamID, bo Bound) bool {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
@@ -118,46 +115,46 @@
 	return sp != nil && bo.Rate > 0 && sp.cold(now, bo)
 }
 
-// Open returns the upstreams that this entry may send a request to now. Suspect
-// reports whether one may be cold without having told so.
+// Open returns the upstreams to which this entry may send a request now. Suspect reports whether an
+// upstream may be cold without a notice.
 func (tr *Tracker) Open(now time.Time, hosts []core.Host, bo Bound, suspect func(*core.Host) bool) []core.Host {
 	if bo.Rate <= 0 {
 		return hosts
 	}
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
-	out, whole := hosts, true // Copied only when something is left out.
+	out, complete := hosts, true // The slice is copied only when an upstream is left out.
 	for i := range hosts {
-		open := tr.free(now, &hosts[i], bo, suspect(&hosts[i]))
+		available := tr.available(now, &hosts[i], bo, suspect(&hosts[i]))
 		switch {
-		case whole && !open:
-			out, whole = slices.Clone(hosts[:i]), false
-		case !whole && open:
+		case complete && !available:
+			out, complete = slices.Clone(hosts[:i]), false
+		case !complete && available:
 			out = append(out, hosts[i])
 		}
 	}
 	return out
 }
 
-// Take returns a permit for a request to an upstream, or false where none is free.
-// A warm upstream needs none, and the permit is nil.
+// Take returns a permit for a request to an upstream, or false if none is free. A warm upstream
+// needs none, and the permit is nil.
 func (tr *Tracker) Take(now time.Time, ho *core.Host, bo Bound, suspect bool) (*Permit, bool) {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
 	sp := tr.spans[ho.ID]
-	if !tr.free(now, ho, bo, suspect) {
+	if !tr.available(now, ho, bo, suspect) {
 		return nil, false
 	}
 	if sp == nil || bo.Rate <= 0 || !suspect && !sp.limited(now, bo) {
 		return nil, true
 	}
 	pe := &Permit{tr: tr}
-	sp.busy = append(sp.busy, pe)
+	sp.taken = append(sp.taken, pe)
 	return pe, true
 }
 
-// free reports whether this entry may send a request to an upstream now.
-func (tr *Tracker) free(now time.Time, ho *core.Host, bo Bound, suspect bool) bool {
+// available reports whether this entry may send a request to an upstream now.
+func (tr *Tracker) available(now time.Time, ho *core.Host, bo Bound, suspect bool) bool {
 	sp := tr.spans[ho.ID]
 	if sp == nil || bo.Rate <= 0 {
 		return true
@@ -169,35 +166,35 @@
 	if cold && !sp.exact {
 		return false
 	}
-	sp.busy = slices.DeleteFunc(sp.busy, func(pe *Permit) bool { return pe.released && !now.Before(pe.freeAt) })
+	sp.taken = slices.DeleteFunc(sp.taken, func(pe *Permit) bool { return pe.released && !now.Before(pe.freeAt) })
 	if !cold && !suspect {
-		return len(sp.busy) == 0 // It was warm in the entry's first copy of the list.
+		return len(sp.taken) == 0 // It was warm in this entry's first copy of the list.
 	}
-	return len(sp.busy) < tr.own(ho.ID, sp, bo)
+	return len(sp.taken) < tr.ownPermits(ho.ID, sp, bo)
 }
 
-// note takes in how long the upstream stays cold.
-func (sp *span) note(now time.Time, left time.Duration) {
-	sp.noticed, sp.unknown = now, left < 0
+// setRemaining records how long the upstream stays cold.
+func (sp *span) setRemaining(now time.Time, left time.Duration) {
+	sp.noticedAt, sp.unknown = now, left < 0
 	sp.coldUntil = now.Add(max(left, 0))
 }
 
 func (sp *span) cold(now time.Time, bo Bound) bool {
 	if sp.unknown {
-		return now.Before(sp.noticed.Add(bo.Duration))
+		return now.Before(sp.noticedAt.Add(bo.Duration))
 	}
 	return now.Before(sp.coldUntil)
 }
 
-// limited reports whether permits are needed: by a cold upstream, and by one that
-// was warm in a copy of the list that does not tell what came before.
+// limited reports whether requests need permits: for a cold upstream, and for one that was warm in
+// a copy of the list that does not show what came before.
 func (sp *span) limited(now time.Time, bo Bound) bool {
-	return sp.cold(now, bo) || !sp.exact && now.Before(sp.noticed.Add(bo.Duration))
+	return sp.cold(now, bo) || !sp.exact && now.Before(sp.noticedAt.Add(bo.Duration))
 }
 
-// own is how many of all permits are this entry's. They are assigned in turn. An
-// entry that was not registered may use one where it knows of no cold upstream.
-func (tr *Tracker) own(id core.UpstreamID, sp *span, bo Bound) int {
+// ownPermits returns how many of all permits belong to this entry. They are assigned round-robin.
+// An entry that was not registered may use one where it has no notice that the upstream is cold.
+func (tr *Tracker) ownPermits(id core.UpstreamID, sp *span, bo Bound) int {
 	if sp.rank == unranked {
 		sp.rank = rendezvous.Rank(string(id), sp.entries, tr.self)
 	}
@@ -218,13 +215,13 @@
 	freeAt   time.Time
 }
 
-// pause is the time from the beginning of an answer until its permit is free
-// again: the second over which requests are counted, and a margin for clocks.
-const pause = time.Second + 50*time.Millisecond
+// permitCooldown is the time from the beginning of a response until its permit is free again: the
+// second over which requests are counted, and a margin for clock differences.
+const permitCooldown = time.Second + 50*time.Millisecond
 
-// Release frees a permit at the beginning of an answer, or at the end of an attempt
-// without one. Its request was sent before that, so the next one is sent more than a
-// second later. The first call counts.
+// Release frees a permit when the response begins, or when an attempt ends without one. The request
+// was sent before that, so the next one is sent more than a second later. Only the first call has
+// an effect.
 func (pe *Permit) Release(now time.Time) {
 	if pe == nil {
 		return
@@ -232,6 +229,6 @@
 	pe.tr.mu.Lock()
 	defer pe.tr.mu.Unlock()
 	if !pe.released {
-		pe.released, pe.freeAt = true, now.Add(pause)
+		pe.released, pe.freeAt = true, now.Add(permitCooldown)
 	}
 }
--- a/core/warmup/tracker_test.go
+++ b/core/warmup/tracker_test.go
@@ -16,8 +16,8 @@
 	host  = core.Host{ID: "up"}
 )
 
-func calm(*core.Host) bool    { return false }
-func suspect(*core.Host) bool { return true }
+func notSuspect(*core.Host) bool { return false }
+func suspect(*core.Host) bool    { return true }
 
 func newTracker(self core.ProcessID) *warmup.Tracker {
 	return warmup.New(self, warmup.Overshoot(1.5, 5))
@@ -27,8 +27,8 @@
 	return warmup.Notice{Upstream: host.ID, ColdFor: coldFor, Entries: entries, Exact: exact}
 }
 
-// takes counts the permits that a tracker gives at once.
-func takes(tr *warmup.Tracker, now time.Time) int {
+// takeAll counts the permits that a tracker grants at once.
+func takeAll(tr *warmup.Tracker, now time.Time) int {
 	n := 0
 	for {
 		pe, ok := tr.Take(now, &host, bound, false)
@@ -39,9 +39,9 @@
 	}
 }
 
-// TestPermitsAreDealtOnce guards against two entries that own the same permit, and
-// against permits that nobody owns.
-func TestPermitsAreDealtOnce(t *testing.T) {
+// TestEachPermitHasOneOwner guards against two entries that own the same permit, and against
+// permits without an owner.
+func TestEachPermitHasOneOwner(t *testing.T) {
 	for _, count := range []int{1, 2, 3, 4, 5, 12, 13, 40} {
 		var all []core.ProcessID
 		for i := range count {
@@ -51,14 +51,14 @@
 		for _, self := range all {
 			tr := newTracker(self)
 			tr.Started(start, notice(3*time.Second, true, all...))
-			sum += takes(tr, start)
+			sum += takeAll(tr, start)
 		}
 		assert.Equal(t, sum, 12, "%d entries", count)
 	}
 }
 
-// TestWarmUpstreamIsNotLimited guards against a limit on upstreams that are warm,
-// or whose service declares none.
+// TestWarmUpstreamIsNotLimited guards against a limit on upstreams that are warm, or whose service
+// declares no rate.
 func TestWarmUpstreamIsNotLimited(t *testing.T) {
 	tr := newTracker("a")
 	tr.Started(start, notice(0, true, "b"))
@@ -69,26 +69,26 @@
 	tr.Started(start, notice(time.Hour, true, "b"))
 	_, ok := tr.Take(start, &host, bound, false)
 	assert.Assert(t, !ok)
-	assert.Equal(t, len(tr.Open(start, []core.Host{host}, bound, calm)), 0)
+	assert.Equal(t, len(tr.Open(start, []core.Host{host}, bound, notSuspect)), 0)
 	_, ok = tr.Take(start, &host, warmup.Bound{}, false)
 	assert.Assert(t, ok, "the service declares no rate")
 	assert.Equal(t, len(tr.Open(start, []core.Host{host}, warmup.Bound{}, suspect)), 1)
 }
 
-// TestColdEnds guards against an upstream that stays limited once it is warm, and
-// one that is taken for warm too early.
+// TestColdEnds guards against an upstream that stays limited once it is warm, and one that counts
+// as warm too early.
 func TestColdEnds(t *testing.T) {
 	scenarios := []struct {
 		testName string
 		coldFor  time.Duration
-		later    time.Duration // what a line tells after a second; negative is none
+		later    time.Duration // reported after a second; negative is no report
 		coldAt   time.Duration
 		ends     time.Duration
 	}{
-		{"as it told", 2 * time.Second, -1, 2*time.Second - 1, 2 * time.Second},
-		{"as its service says", core.WarmingUnknown, -1, 3*time.Second - 1, 3 * time.Second},
-		{"later than it told at first", 2 * time.Second, 4 * time.Second, 5*time.Second - 1, 5 * time.Second},
-		{"earlier than its service says", core.WarmingUnknown, 0, 0, time.Second},
+		{"as reported", 2 * time.Second, -1, 2*time.Second - 1, 2 * time.Second},
+		{"as the service declares", core.WarmingUnknown, -1, 3*time.Second - 1, 3 * time.Second},
+		{"later than first reported", 2 * time.Second, 4 * time.Second, 5*time.Second - 1, 5 * time.Second},
+		{"earlier than the service declares", core.WarmingUnknown, 0, 0, time.Second},
 	}
 	for _, sc := range scenarios {
 		t.Run(sc.testName, func(t *testing.T) {
@@ -107,8 +107,8 @@
 	}
 }
 
-// TestPermitIsHeldUntilItsRequestHasArrived guards against a request that is sent
-// late and arrives together with the next one.
+// TestPermitIsHeldUntilItsRequestHasArrived guards against a request that is sent late and arrives
+// together with the next one.
 func TestPermitIsHeldUntilItsRequestHasArrived(t *testing.T) {
 	tr := newTracker("a")
 	tr.Started(start, notice(time.Hour, true, "a"))
@@ -117,35 +117,35 @@
 		last, _ = tr.Take(start, &host, bound, false)
 	}
 	at := start.Add(10 * time.Second)
-	assert.Equal(t, takes(tr, at), 0, "none has begun to be answered")
+	assert.Equal(t, takeAll(tr, at), 0, "no response has begun")
 	last.Release(at)
 	last.Release(at.Add(-time.Minute))
-	assert.Equal(t, takes(tr, at.Add(time.Second)), 0)
-	assert.Equal(t, takes(tr, at.Add(1100*time.Millisecond)), 1)
+	assert.Equal(t, takeAll(tr, at.Add(time.Second)), 0)
+	assert.Equal(t, takeAll(tr, at.Add(1100*time.Millisecond)), 1)
 }
 
-// TestEntryThatSkippedChangesOwnsNothing guards against an entry that counts its
-// permits by another list of entries than the others.
+// TestEntryThatSkippedChangesOwnsNothing guards against an entry that computes its permits from
+// another list of entries than the others.
 func TestEntryThatSkippedChangesOwnsNothing(t *testing.T) {
 	tr := newTracker("a")
 	tr.Started(start, notice(3*time.Second, false, "a"))
-	assert.Equal(t, takes(tr, start), 0)
+	assert.Equal(t, takeAll(tr, start), 0)
 	tr.Started(start, notice(3*time.Second, true, "b"))
-	assert.Equal(t, takes(tr, start), 0, "it was not registered then")
+	assert.Equal(t, takeAll(tr, start), 0, "the entry was not registered at the notice")
 }
 
-// TestEntryThatStartsIsLimited guards against an entry that takes all upstreams of
-// its first copy for warm, of which some are back from an evacuation.
-func TestEntryThatStartsIsLimited(t *testing.T) {
+// TestNewEntryIsLimited guards against an entry that treats all upstreams in its first copy of the
+// list as warm, although some are back from an evacuation.
+func TestNewEntryIsLimited(t *testing.T) {
 	tr := newTracker("new")
 	tr.Started(start, notice(0, false, "a", "b"))
-	assert.Equal(t, takes(tr, start), 1)
+	assert.Equal(t, takeAll(tr, start), 1)
 	_, ok := tr.Take(start.Add(bound.Duration), &host, bound, false)
-	assert.Assert(t, ok, "it would be warm by now")
+	assert.Assert(t, ok, "a cold upstream would be warm by now")
 }
 
-// TestSuspectIsLimited guards against a herd at an upstream that answers again
-// before the store has told of its start.
+// TestSuspectIsLimited guards against many entries that send requests at once to an upstream that
+// answers again before the store has reported its start.
 func TestSuspectIsLimited(t *testing.T) {
 	tr := newTracker("a")
 	tr.Started(start, notice(0, true, "a", "b", "c", "d"))
@@ -157,5 +157,5 @@
 	}
 	assert.Equal(t, n, 3)
 	assert.Equal(t, len(tr.Open(start, []core.Host{host}, bound, suspect)), 0)
-	assert.Equal(t, len(tr.Open(start, []core.Host{host}, bound, calm)), 1)
+	assert.Equal(t, len(tr.Open(start, []core.Host{host}, bound, notSuspect)), 1)
 }
