--- a/core/forward/answer.go
+++ b/core/forward/answer.go
@@ -12,66 +12,66 @@
 	"skylarkstand/core/mechanism"
 )
 
-// Answer is an exchange's answer. It belongs to one goroutine.
+// Answer is the answer of an exchange. It must be used by one goroutine at a time.
 type Answer struct {
 	jb  *job
 	ctx context.Context
 	at  *attempt
-	// status and header are those of the first attempt that the caller got
-	// something of.
+	// status and header are those of the first attempt of which the caller received something.
 	status     int
 	header     http.Header
 	confidence int
 	ev         *events
-	// held is the first piece, which was read before the answer was accepted.
-	held []byte
-	err  error
-	// last is the id of the last event that was passed on.
-	last string
-	sent int
-	// pause is the longest time between two events so far, and heardAt when the
-	// last one came, of any attempt.
-	pause   time.Duration
-	heardAt time.Time
-	whole   []byte
-	done    bool
+	// pending is the first piece, which is read before the answer is accepted.
+	pending []byte
+	err     error
+	// lastEventID is the id of the last event that the caller received.
+	lastEventID string
+	sentBytes   int
+	// longestGap is the longest time between two events so far, across attempts, and lastEventAt
+	// is when the last event arrived.
+	longestGap  time.Duration
+	lastEventAt time.Time
+	chunkBuf    []byte
+	done        bool
 }
 
 const (
-	// wholeLimit is the size up to which an answer in one piece is held until
-	// it is whole, so that one that breaks off can be asked for again in place
-	// of reaching the caller as a torso.
-	wholeLimit = 256 << 10
-	// pieceSize is what larger ones are passed on in.
-	pieceSize = 16 << 10
+	// bufferLimit is the size in bytes up to which an answer that is not a stream is buffered
+	// until it is whole, so that one that breaks off can be retried and no truncated answer
+	// reaches the caller.
+	bufferLimit = 256 << 10
+	// chunkSize is the size in bytes of the pieces in which larger answers are passed on.
+	chunkSize = 16 << 10
 )
 
-// answer makes the attempt's reply the answer. It returns nil when the body
-// breaks before anything of it can be passed on and another attempt may follow.
-func (jb *job) answer(ctx context.Context, at *attempt) *Answer {
+// newAnswer makes an attempt's reply the answer. It returns nil when the body breaks before
+// anything of it can be passed on and another attempt may follow.
+func (jb *job) newAnswer(ctx context.Context, at *attempt) *Answer {
 	ans := &Answer{
 		jb: jb, ctx: ctx, at: at, status: at.reply.Status, header: at.reply.Header,
-		confidence: at.reply.Confidence, last: at.after,
+		confidence: at.reply.Confidence, lastEventID: at.after,
 	}
 	if jb.rt.Stream && at.reply.Status < http.StatusMultipleChoices {
 		ans.ev = newEvents(at.reply.Body)
-		ans.held, ans.err = ans.event()
+		ans.pending, ans.err = ans.nextEvent()
 	} else {
-		ans.held, ans.err = ans.readWhole()
+		ans.pending, ans.err = ans.readWhole()
 	}
 	if ans.err == nil || errors.Is(ans.err, io.EOF) {
-		ans.first()
+		ans.recordFirstEvent()
 		return ans
 	}
-	at.blame(ans.err)
-	at.drop(lost)
+	at.recordFailure(ans.err)
+	at.discard(lost)
 	return nil
 }
 
-// first lets the choice of models learn how long the caller waited beyond the
-// reading of its own prompt, which a long one takes at an idle engine too. Half of
-// the time counts at least: an entry that starts under load takes waits for reading.
-func (ans *Answer) first() {
+// recordFirstEvent updates the escalation policy with the time that the caller waited for its
+// first event, less the prefill of its own prompt, which takes long for a long prompt even at an
+// idle engine. At least half of the time counts: an entry that starts under load mistakes
+// queueing for prefill time.
+func (ans *Answer) recordFirstEvent() {
 	jb, fw := ans.jb, ans.jb.fw
 	if ans.ev == nil || len(jb.rt.Cascade) < 2 {
 		return
@@ -79,33 +79,33 @@
 	fw.mu.Lock()
 	defer fw.mu.Unlock()
 	took := time.Since(jb.ex.Arrived)
-	fw.ladder(jb.lane()).Begun(max(took-jb.reading, took/2), jb.rt.Aim)
+	fw.escalationPolicy(jb.trafficClass()).Begun(max(took-jb.prefillTime, took/2), jb.rt.Aim)
 }
 
-// Status is the HTTP status of the answer.
+// Status returns the HTTP status of the answer.
 func (ans *Answer) Status() int { return ans.status }
 
-// Header is the answer's header.
+// Header returns the header of the answer.
 func (ans *Answer) Header() http.Header { return ans.header }
 
-// Stream reports whether the answer comes in events that the caller waits for.
+// Stream reports whether the answer is a stream of events that the caller waits for.
 func (ans *Answer) Stream() bool { return ans.ev != nil }
 
-// Length returns the length of an answer that is whole already, or -1.
+// Length returns the length in bytes of an answer that is whole already, or -1.
 func (ans *Answer) Length() int {
 	if ans.ev == nil && errors.Is(ans.err, io.EOF) {
-		return len(ans.held)
+		return len(ans.pending)
 	}
 	return -1
 }
 
-// Next returns the next piece. The answer is whole only when it ends with
+// Next returns the next piece of the answer. The answer is complete only when it ends with
 // io.EOF.
 func (ans *Answer) Next() ([]byte, error) {
-	if ans.held != nil {
-		piece := ans.held
-		ans.held = nil
-		ans.passed(piece)
+	if ans.pending != nil {
+		piece := ans.pending
+		ans.pending = nil
+		ans.recordPassed(piece)
 		return piece, nil
 	}
 	if ans.err != nil {
@@ -114,32 +114,32 @@
 	var piece []byte
 	var err error
 	if ans.ev != nil {
-		piece, err = ans.event()
+		piece, err = ans.nextEvent()
 	} else {
-		piece, err = ans.chunk()
+		piece, err = ans.readChunk()
 	}
 	if err != nil {
 		return nil, ans.finish(err)
 	}
-	ans.passed(piece)
+	ans.recordPassed(piece)
 	return piece, nil
 }
 
-func (ans *Answer) passed(piece []byte) {
-	ans.sent += len(piece)
+func (ans *Answer) recordPassed(piece []byte) {
+	ans.sentBytes += len(piece)
 	if ans.ev != nil {
-		ans.last = eventID(piece, ans.last)
+		ans.lastEventID = eventID(piece, ans.lastEventID)
 	}
 }
 
-// readWhole reads an answer that comes in one piece, up to its limit.
+// readWhole reads an answer that is not a stream, up to bufferLimit.
 func (ans *Answer) readWhole() ([]byte, error) {
-	data, err := io.ReadAll(io.LimitReader(ans.at.reply.Body, wholeLimit))
+	data, err := io.ReadAll(io.LimitReader(ans.at.reply.Body, bufferLimit))
 	switch {
 	case err != nil:
 		return nil, err
-	case len(data) == wholeLimit:
-		return data, nil // More may follow; it is passed on as it comes.
+	case len(data) == bufferLimit:
+		return data, nil // More may follow; readChunk passes it on.
 	case len(data) == 0:
 		return nil, io.EOF
 	default:
@@ -147,14 +147,14 @@
 	}
 }
 
-func (ans *Answer) chunk() ([]byte, error) {
-	if ans.whole == nil {
-		ans.whole = make([]byte, pieceSize)
+func (ans *Answer) readChunk() ([]byte, error) {
+	if ans.chunkBuf == nil {
+		ans.chunkBuf = make([]byte, chunkSize)
 	}
 	for {
-		n, err := ans.at.reply.Body.Read(ans.whole)
+		n, err := ans.at.reply.Body.Read(ans.chunkBuf)
 		if n > 0 {
-			return ans.whole[:n], nil
+			return ans.chunkBuf[:n], nil
 		}
 		if err != nil {
 			return nil, err
@@ -162,21 +162,21 @@
 	}
 }
 
-// event returns the next whole event; when the stream breaks, it goes on
-// elsewhere if it may.
-func (ans *Answer) event() ([]byte, error) {
+// nextEvent returns the next whole event. When the stream breaks, it resumes at another upstream
+// if that is allowed.
+func (ans *Answer) nextEvent() ([]byte, error) {
 	for {
-		piece, err := ans.read()
+		piece, err := ans.readEvent()
 		if err == nil {
-			ans.at.heard()
-			ans.paused(time.Now())
+			ans.at.recordPiece()
+			ans.recordEventTime(time.Now())
 			return piece, nil
 		}
 		if errors.Is(err, io.EOF) {
 			return nil, err
 		}
 		ok := ans.resume(err)
-		if ans.sent > 0 {
+		if ans.sentBytes > 0 {
 			ans.jb.fw.meters.resumed(ok)
 		}
 		if !ok {
@@ -185,18 +185,18 @@
 	}
 }
 
-// paused notes when an event came.
-func (ans *Answer) paused(now time.Time) {
-	if !ans.heardAt.IsZero() {
-		ans.pause = max(ans.pause, now.Sub(ans.heardAt))
+// recordEventTime records when an event arrived.
+func (ans *Answer) recordEventTime(now time.Time) {
+	if !ans.lastEventAt.IsZero() {
+		ans.longestGap = max(ans.longestGap, now.Sub(ans.lastEventAt))
 	}
-	ans.heardAt = now
+	ans.lastEventAt = now
 }
 
-// read returns the next event of the present attempt, within the time that a
-// stream may be silent.
-func (ans *Answer) read() ([]byte, error) {
-	if wait := stall(ans.jb.rt); wait > 0 {
+// readEvent returns the next event of the current attempt. It cancels the attempt when the
+// stream stays silent for too long.
+func (ans *Answer) readEvent() ([]byte, error) {
+	if wait := stallTimeout(ans.jb.rt); wait > 0 {
 		at := ans.at
 		ti := time.AfterFunc(wait, func() { at.cancel(errStalled) })
 		defer ti.Stop()
@@ -204,36 +204,36 @@
 	return ans.ev.next()
 }
 
-// resume goes on with a broken stream at another upstream, after the last event
-// that the caller has. Nothing of the broken attempt may follow what the new
-// one sends, so that one is dropped first.
+// resume continues a broken stream at another upstream, after the last event that the caller
+// received. The broken attempt is discarded first: nothing of it may follow what the new one
+// sends.
 func (ans *Answer) resume(cause error) bool {
 	jb := ans.jb
 	switch {
-	case ans.sent == 0:
-		return false // Nothing was passed on: a new attempt begins anew.
-	case jb.rt.Repeat != core.Resumable || jb.off(mechanism.Resumption):
-		jb.noRepeat = "the route's streams are not resumed"
+	case ans.sentBytes == 0:
+		return false // Nothing was passed on: a retry starts from the beginning.
+	case jb.rt.Repeat != core.Resumable || jb.disabled(mechanism.Resumption):
+		jb.noRetryReason = "the route's streams are not resumed"
 		return false
 	case ans.ctx.Err() != nil:
-		jb.noRepeat = reason(ans.ctx)
+		jb.noRetryReason = endReason(ans.ctx)
 		return false
 	}
-	for ve := lost; jb.mayRepeat(ans.ctx); {
-		ans.at.blame(cause)
-		ans.at.drop(ve)
-		at, fl := jb.begin(ans.last)
+	for ve := lost; jb.mayRetry(ans.ctx); {
+		ans.at.recordFailure(cause)
+		ans.at.discard(ve)
+		at, fl := jb.beginAttempt(ans.lastEventID)
 		if fl != nil {
 			return false
 		}
 		ve = at.run(ans.ctx)
 		ans.at = at
 		if (ve == taken || ve == unsure) && at.reply.Status == ans.status {
-			event.Log(jb.fw.deps.Log, event.StreamResumed, "request", jb.ex.ID, "upstream", at.to.ID, "after", ans.last, "cause", cause.Error())
+			event.Log(jb.fw.deps.Log, event.StreamResumed, "request", jb.ex.ID, "upstream", at.to.ID, "after", ans.lastEventID, "cause", cause.Error())
 			ans.ev = newEvents(at.reply.Body)
 			return true
 		}
-		cause = errors.New(at.why)
+		cause = errors.New(at.reason)
 	}
 	return false
 }
@@ -254,14 +254,14 @@
 			ve = failed
 		}
 	case errors.Is(err, errCallerGone):
-		// The server may not have noticed yet. Without this the upstream would be
-		// blamed for an answer that nobody wanted.
+		// The HTTP server may not have noticed the disconnect yet. Without this cancel, the
+		// failure would count against the upstream.
 		ans.at.cancel(nil)
 		ve, code = lost, core.CodeCallerGone
-		ans.at.blame(err)
+		ans.at.recordFailure(err)
 	default:
 		ve, code = lost, endCode(ans.ctx)
-		ans.at.blame(err)
+		ans.at.recordFailure(err)
 	}
 	ans.at.end(ve)
 	jb.fw.meters.ended(code, took)
@@ -270,10 +270,10 @@
 	return err
 }
 
-// errCallerGone ends an answer that its caller did not wait for.
+// errCallerGone ends an answer that its caller did not receive whole.
 var errCallerGone = errors.New("the caller left before the end")
 
-// Close gives the answer up if it has not ended.
+// Close cancels the answer if it has not ended, and frees its resources.
 func (ans *Answer) Close() {
 	if !ans.done {
 		_ = ans.finish(errCallerGone)
--- a/core/forward/attempt.go
+++ b/core/forward/attempt.go
@@ -15,7 +15,7 @@
 	"skylarkstand/core/warmup"
 )
 
-// attempt is one call of an upstream, from its choice to its end.
+// attempt is one call of an upstream, from the choice of the upstream to the end of its answer.
 type attempt struct {
 	jb *job
 	// number counts the request's attempts from 1.
@@ -23,67 +23,69 @@
 	to     core.Host
 	rq     balance.Request
 	flight *balance.Flight
-	// permit is what an attempt at a cold upstream needs; nil at a warm one.
+	// permit allows an attempt at a cold upstream; nil at a warm one.
 	permit *warmup.Permit
 	sent   time.Time
 	after  string
-	// left is the time that the upstream has; bounded is false when there is
-	// no bound.
+	// left is the time limit that is sent to the upstream; bounded is false when there is no
+	// limit.
 	left    time.Duration
 	bounded bool
-	// rank is the place in the upstream's queue.
-	rank int
-	// patience is how long the header may take; 0 is to the end. Read is the
-	// expected wait for the prompts at the upstream.
-	patience, read time.Duration
+	// queueRank is the request's rank in the upstream's queue.
+	queueRank int
+	// headerTimeout is the limit for the response header; 0 means no limit of its own.
+	// prefillWait is the expected time until the upstream has prefilled the prompts in its queue
+	// and this one.
+	headerTimeout, prefillWait time.Duration
 
 	ctx    context.Context
 	cancel context.CancelCauseFunc
 	reply  *core.Reply
 	began  time.Time
 	pieces int
-	// heardAt is when the last piece came.
-	heardAt time.Time
-	why     string
-	ended   bool
-	// shown is set once it was told whether the attempt failed.
-	shown atomic.Bool
+	// lastPieceAt is when the last piece of the answer arrived.
+	lastPieceAt time.Time
+	reason      string
+	ended       bool
+	// outcomeReported is set once the outcome was reported to the canary guard.
+	outcomeReported atomic.Bool
 }
 
-// run calls the upstream and judges the header of its answer.
+// run calls the upstream and classifies the header of its answer.
 func (at *attempt) run(ctx context.Context) verdict {
 	at.ctx, at.cancel = context.WithCancelCause(ctx)
-	if at.patience > 0 {
-		defer at.watch()()
+	if at.headerTimeout > 0 {
+		defer at.watchHeader()()
 	}
 	defer at.watchOverdue()()
-	re, err := at.jb.fw.access.Call(at.ctx, at.call())
+	re, err := at.jb.fw.access.Call(at.ctx, at.newCall())
 	if err != nil {
-		return at.fail(err)
+		return at.failedVerdict(err)
 	}
 	at.reply, at.began = re, time.Now()
 	at.permit.Release(at.began)
-	at.header()
-	ve := judge(re)
-	if ve == taken && re.Status < http.StatusMultipleChoices && at.jb.doubts(re) {
+	at.recordHeader()
+	ve := classify(re)
+	if ve == taken && re.Status < http.StatusMultipleChoices && at.jb.shouldEscalate(re) {
 		ve = unsure
 	}
 	switch ve {
 	case taken:
 	case unsure:
-		at.why = fmt.Sprintf("confidence %d, below the %.0f that suffices now", re.Confidence, at.jb.sure)
+		at.reason = fmt.Sprintf("confidence %d is below the threshold of %.0f", re.Confidence, at.jb.threshold)
 	default:
-		at.why = fmt.Sprintf("status %d", re.Status)
+		at.reason = fmt.Sprintf("status %d", re.Status)
 	}
 	return ve
 }
 
-// pool separates what is compared between versions.
+// pool is the key under which the canary guard compares versions: only attempts of the same
+// route and model are compared.
 func (at *attempt) pool() string { return at.jb.rt.ID + "/" + string(at.rq.Model) }
 
-// show hands on whether the attempt failed, the first time.
-func (at *attempt) show(ou canary.Outcome) {
-	if !at.shown.Swap(true) {
+// reportOutcome reports the attempt's outcome to the canary guard, the first time it is called.
+func (at *attempt) reportOutcome(ou canary.Outcome) {
+	if !at.outcomeReported.Swap(true) {
 		at.observe(ou)
 	}
 }
@@ -93,20 +95,20 @@
 	at.jb.fw.parts.Canary.Observe(ou)
 }
 
-// pacePieces is how many pieces the pace of an answer is taken over, so that a
-// single late one is no matter.
-const pacePieces = 5
+// minRatePieces is the number of pieces over which the rate of an answer is measured, so that a
+// single late piece does not matter.
+const minRatePieces = 5
 
-// heard notes a piece of the answer.
-func (at *attempt) heard() {
+// recordPiece records the arrival of a piece of the answer.
+func (at *attempt) recordPiece() {
 	now := time.Now()
 	if at.pieces > 0 {
-		at.jb.fw.meters.gaps.RecordDuration(now.Sub(at.heardAt))
+		at.jb.fw.meters.gaps.RecordDuration(now.Sub(at.lastPieceAt))
 	}
 	at.pieces++
-	at.heardAt = now
-	if at.pieces == pacePieces {
-		ou := at.times()
+	at.lastPieceAt = now
+	if at.pieces == minRatePieces {
+		ou := at.timing()
 		ou.Going = true
 		at.observe(ou)
 	}
@@ -116,11 +118,11 @@
 	fw.picker.Heard(now, at.flight)
 }
 
-func (at *attempt) call() *core.Call {
+func (at *attempt) newCall() *core.Call {
 	jb := at.jb
 	ca := &core.Call{
 		Exchange: jb.ex, To: at.to, Workspace: jb.workspace, Model: at.rq.Model,
-		After: at.after, Priority: at.rank, Connections: jb.connections(),
+		After: at.after, Priority: at.queueRank, Connections: jb.maxConnections(),
 	}
 	if at.bounded {
 		ca.Left = max(at.left-time.Since(at.sent), time.Millisecond)
@@ -128,22 +130,22 @@
 	return ca
 }
 
-// connections is this entry's part of those that one upstream accepts.
-func (jb *job) connections() int {
+// maxConnections is this entry's share of the connections that one upstream accepts.
+func (jb *job) maxConnections() int {
 	sv := jb.tb.Service(jb.service)
 	if sv == nil || sv.MaxConnections <= 0 {
 		return 0
 	}
-	return max(sv.MaxConnections/connectionPart, 1)
+	return max(sv.MaxConnections/connectionDivisor, 1)
 }
 
-// connectionPart divides the connections that an upstream accepts: entries see
-// unlike shares of the callers, the busiest up to twice the mean of four.
-const connectionPart = 2
+// connectionDivisor divides the connections that an upstream accepts between the entries.
+// Entries get unequal shares of the callers: the busiest up to twice the mean of four.
+const connectionDivisor = 2
 
-// fail judges a call without an answer.
-func (at *attempt) fail(err error) verdict {
-	at.blame(err)
+// failedVerdict classifies a call that returned no response header.
+func (at *attempt) failedVerdict(err error) verdict {
+	at.recordFailure(err)
 	var fl *core.Failure
 	if !errors.As(err, &fl) || fl.Ran != core.NotRun {
 		return lost
@@ -154,20 +156,20 @@
 	return unreached
 }
 
-// blame notes why the attempt brought no whole answer. What ended its context
-// says more than the error of the connection that was dropped for it.
-func (at *attempt) blame(err error) {
-	at.why = err.Error()
+// recordFailure records why the attempt returned no whole answer. If its context ended, the
+// cause of that says more than the resulting connection error.
+func (at *attempt) recordFailure(err error) {
+	at.reason = err.Error()
 	if fl := (*core.Failure)(nil); errors.As(err, &fl) {
-		at.why = fl.Message
+		at.reason = fl.Message
 	}
 	if at.ctx.Err() != nil {
-		at.why = reason(at.ctx)
+		at.reason = endReason(at.ctx)
 	}
 }
 
-// header lets the choice of upstreams learn from the header of an answer.
-func (at *attempt) header() {
+// recordHeader updates the load balancer with the response header.
+func (at *attempt) recordHeader() {
 	fw := at.jb.fw
 	fw.mu.Lock()
 	defer fw.mu.Unlock()
@@ -180,31 +182,31 @@
 	fw.picker.Begun(at.began, at.flight, at.rq, at.reply.Load)
 }
 
-// drop gives up an attempt whose answer is not used.
-func (at *attempt) drop(ve verdict) {
+// discard ends an attempt whose answer is not used.
+func (at *attempt) discard(ve verdict) {
 	if ve.notRun() {
 		at.jb.runs--
 	}
 	if at.reply != nil {
-		at.finishBody(ve)
+		at.closeBody(ve)
 	}
 	if ve == failed {
-		at.suspected()
+		at.deferBlame()
 	}
 	at.end(ve)
 	at.cancel(nil)
 }
 
-// finishBody reads the short body of a refusal to its end, so that the
-// connection can be kept, and drops any other: closing makes the upstream stop.
-func (at *attempt) finishBody(ve verdict) {
+// closeBody reads the short body of a refusal to its end, so that the connection can be reused.
+// Any other body is closed unread, which makes the upstream stop its work.
+func (at *attempt) closeBody(ve verdict) {
 	if ve == refused || ve == stranger || ve == failed {
 		drain(at.reply.Body)
 	}
 	at.reply.Body.Close()
 }
 
-// end notes the attempt's end with all that learn from it.
+// end reports the attempt's end to the load balancer, the canary guard, the metrics and the log.
 func (at *attempt) end(ve verdict) {
 	if at.ended {
 		return
@@ -212,53 +214,53 @@
 	at.ended = true
 	jb, now := at.jb, time.Now()
 	at.permit.Release(now)
-	gone := ve == lost && blameless(context.Cause(at.ctx))
+	notItsFault := ve == lost && notUpstreamFault(context.Cause(at.ctx))
 	fw := jb.fw
 	fw.mu.Lock()
-	out := at.settle(now, ve)
+	out := at.resolveBlame(now, ve)
 	switch {
-	case gone || jb.suspect == at:
+	case notItsFault || jb.suspect == at:
 		out = balance.Abandoned
-	case errors.Is(context.Cause(at.ctx), errSilent):
+	case errors.Is(context.Cause(at.ctx), errHeaderTimeout):
 		out = balance.Overdue
 	}
 	turn, failing := fw.picker.Ended(now, at.flight, out)
 	fw.mu.Unlock()
-	at.show(at.evidence(ve, gone))
+	at.reportOutcome(at.canaryOutcome(ve, notItsFault))
 	fw.parts.Canary.Ended(now, jb.ex.Session, at.to)
 	fw.meters.attempt(ve)
 	if ve != taken {
 		event.Log(fw.deps.Log, event.AttemptEnded, "request", jb.ex.ID, "attempt", at.number, "upstream", at.to.ID,
-			"address", at.to.Addr, "version", at.to.Version, "model", at.rq.Model, "verdict", ve.String(), "why", at.why,
+			"address", at.to.Addr, "version", at.to.Version, "model", at.rq.Model, "verdict", ve.String(), "why", at.reason,
 			"took", now.Sub(at.sent), "pieces", at.pieces)
 	}
 	at.logTurn(turn, ve, failing)
 }
 
-// blameless reports whether an attempt was given up for reasons that say nothing
-// about its upstream: the caller left, or this process stops.
-func blameless(cause error) bool {
+// notUpstreamFault reports whether an attempt was canceled for a reason that says nothing about
+// its upstream: the caller disconnected, or this process stops.
+func notUpstreamFault(cause error) bool {
 	return errors.Is(cause, context.Canceled) || errors.Is(cause, ErrStopping)
 }
 
-// evidence is what the attempt's end says about its upstream's version.
-func (at *attempt) evidence(ve verdict, gone bool) canary.Outcome {
+// canaryOutcome is what the attempt's end says about its upstream's version.
+func (at *attempt) canaryOutcome(ve verdict, notItsFault bool) canary.Outcome {
 	ou := canary.Outcome{Whole: !at.jb.rt.Stream}
 	if ou.Whole {
-		ou = at.times()
+		ou = at.timing()
 	}
-	ou.Neutral = gone || ve.notRun()
+	ou.Neutral = notItsFault || ve.notRun()
 	ou.Failed = ve == failed || ve == lost
 	return ou
 }
 
-// times are how long the answer took to begin and between its pieces.
-func (at *attempt) times() canary.Outcome {
+// timing returns how long the answer took to begin and the mean time between its pieces.
+func (at *attempt) timing() canary.Outcome {
 	ou := canary.Outcome{Whole: !at.jb.rt.Stream}
 	if !at.began.IsZero() {
 		ou.First = at.began.Sub(at.sent)
 	}
-	if at.pieces >= pacePieces {
+	if at.pieces >= minRatePieces {
 		ou.Piece = time.Since(at.began) / time.Duration(at.pieces)
 	}
 	return ou
--- a/core/forward/candidates.go
+++ b/core/forward/candidates.go
@@ -10,8 +10,8 @@
 	"skylarkstand/core/warmup"
 )
 
-// regions returns where the request may be served: what its route and its
-// workspace both allow, by the newest configuration that has them.
+// regions returns the regions that both the route and the workspace allow, by the newest
+// configuration that has them.
 func (jb *job) regions() core.Regions {
 	tb := jb.fw.parts.InForce.Current()
 	if tb == nil || tb == jb.tb {
@@ -34,24 +34,26 @@
 	return rt.Regions.Intersect(ws.Regions)
 }
 
-// lane separates the requests of a service that wait for other upstreams: those
-// that may not be served in the entry's own region meet another load.
-type lane struct {
+// trafficClass separates the requests of a service that wait for different upstreams: requests
+// that may not be served in the entry's local region meet a different load.
+type trafficClass struct {
 	service core.ServiceID
 	remote  bool
 }
 
-func (jb *job) lane() lane { return lane{jb.service, !jb.regions().Allows(jb.fw.deps.Region)} }
+func (jb *job) trafficClass() trafficClass {
+	return trafficClass{jb.service, !jb.regions().Allows(jb.fw.deps.Region)}
+}
 
-// upstreams lists those that may get the request now, of any version. Every
-// choice of an upstream, and every estimate of what one would do, starts here:
-// no other part of this package asks the fleet. The forwarder's lock is held.
+// upstreams lists the upstreams that may get the request now, of any version. Every choice of an
+// upstream and every estimate of its load starts here: no other part of this package queries the
+// fleet. The forwarder's lock is held.
 func (jb *job) upstreams(now time.Time) []core.Host {
 	hosts := jb.fw.parts.Fleet.Serving(jb.service, now, jb.regions())
 	return jb.fw.parts.Warmup.Open(now, hosts, jb.warmup(), func(ho *core.Host) bool { return jb.suspectCold(now, ho) })
 }
 
-// warmup is what a cold upstream of the service can take.
+// warmup returns the limits for cold upstreams of the service.
 func (jb *job) warmup() warmup.Bound {
 	if sv := jb.tb.Service(jb.service); sv != nil {
 		return sv.Warmup
@@ -59,46 +61,46 @@
 	return warmup.Bound{}
 }
 
-// suspectCold reports whether an upstream may have started again without the
-// store having told so yet. The forwarder's lock is held.
+// suspectCold reports whether an upstream may have restarted before the store reported it. The
+// forwarder's lock is held.
 func (jb *job) suspectCold(now time.Time, ho *core.Host) bool {
 	return jb.fw.picker.AwayWithin(now, ho, jb.warmup().Duration)
 }
 
-// take takes a permit for an attempt at a cold upstream, or returns false where
-// another request has taken the last one. The forwarder's lock is held.
-func (jb *job) take(now time.Time, ho *core.Host) (*warmup.Permit, bool) {
+// takePermit takes a permit for an attempt at a cold upstream, or returns false when another
+// request took the last one. The forwarder's lock is held.
+func (jb *job) takePermit(now time.Time, ho *core.Host) (*warmup.Permit, bool) {
 	return jb.fw.parts.Warmup.Take(now, ho, jb.warmup(), jb.suspectCold(now, ho))
 }
 
-// candidates are the upstreams that the version of an attempt is chosen from.
+// candidates returns the upstreams from which the version of an attempt is chosen.
 func (jb *job) candidates(now time.Time) canary.Candidates {
 	jb.fw.mu.Lock()
 	defer jb.fw.mu.Unlock()
 	return canary.Candidates{Ready: jb.fw.parts.Fleet.Ready(jb.service, now), Eligible: jb.upstreams(now)}
 }
 
-// others reports whether there is an upstream that was not asked.
-func (jb *job) others() bool {
+// hasUntried reports whether there is an upstream that was not called yet.
+func (jb *job) hasUntried() bool {
 	jb.fw.mu.Lock()
 	defer jb.fw.mu.Unlock()
 	return slices.ContainsFunc(jb.upstreams(time.Now()), func(ho core.Host) bool { return !slices.Contains(jb.tried, ho.ID) })
 }
 
-// evacuatedBack is when a caller may come back to a service whose zones are all
-// evacuated: such an order stands for many seconds.
-const evacuatedBack = 5 * time.Second
+// evacuatedRetryAfter is the Retry-After for a service whose availability zones are all
+// evacuated: an evacuation lasts for many seconds.
+const evacuatedRetryAfter = 5 * time.Second
 
-// unserved refuses what no upstream may get, before anything waits for one.
-func (jb *job) unserved(now time.Time) *core.Failure {
+// checkServable refuses a request that no upstream may serve, before it waits for one.
+func (jb *job) checkServable(now time.Time) *core.Failure {
 	fl, re := jb.fw.parts.Fleet, jb.regions()
 	ready := fl.Ready(jb.service, now)
 	if len(ready) == 0 || len(fl.Serving(jb.service, now, re)) > 0 {
-		return nil // An empty service may fill in a moment; attempts find out.
+		return nil // An empty service may get upstreams soon; attempts find out.
 	}
 	if !slices.ContainsFunc(ready, func(ho core.Host) bool { return re.Allows(ho.Region) }) {
 		return core.Refuse(core.CodeNoRegion, 0, "service %s has no upstream in the regions that route and workspace allow: %s", jb.service, re)
 	}
-	return core.Refuse(core.CodeEvacuated, evacuatedBack, "all availability zones of service %s in the allowed regions (%s) are evacuated: %v",
+	return core.Refuse(core.CodeEvacuated, evacuatedRetryAfter, "all availability zones of service %s in the allowed regions (%s) are evacuated: %v",
 		jb.service, re, fl.Evacuated())
 }
--- a/core/forward/doc.go
+++ b/core/forward/doc.go
@@ -1,17 +1,16 @@
-// Package forward takes an exchange to an upstream and its answer back: it
-// finds the route and the workspace, chooses version, upstream and model, tries
-// again where that is safe, climbs in a cascade, and goes on with a stream
-// elsewhere when it breaks.
+// Package forward sends an exchange to an upstream and returns its answer. It resolves the route
+// and the workspace, chooses version, upstream and model, retries where that is safe, escalates
+// in a cascade, and resumes a broken stream at another upstream.
 //
-// The order of things decides what may be told to the caller. "Not run" is said
-// only when every attempt was refused by its upstream, or never left. Work that
-// may run at most once is not sent again after it may have run. An answer of
-// which the caller has nothing may be dropped for another; one that it has a
-// part of may only go on after the last whole event.
+// The order of events limits what the caller may be told. "Not run" is reported only when every
+// attempt was refused by its upstream or was never sent. Work that may run at most once is not
+// sent again once it may have run. An answer may be replaced by another one while the caller has
+// received nothing of it; a partly delivered answer may only be resumed after its last whole
+// event.
 //
-// Decisions are in packages of their own: [route], [balance], [canary],
-// [retry], and the rules of this package in judge.go and patience.go. They are
-// pure. Sockets are behind [core.Access].
+// The decisions are pure: they are made in [route], [balance], [canary] and [retry], and by this
+// package's classification of replies and its timeouts. Network access goes through
+// [core.Access].
 //
 // # Usage
 //
--- a/core/forward/events.go
+++ b/core/forward/events.go
@@ -8,27 +8,27 @@
 	"strings"
 )
 
-// events splits a stream into whole events. What comes after the last whole one
-// is kept back: an upstream that breaks may cut an event in the middle.
+// events splits a stream into whole events. An incomplete event at the end is withheld: an
+// upstream that breaks off may cut an event in the middle.
 type events struct {
 	br  *bufio.Reader
 	buf []byte
 	err error
 }
 
-// maxEvent bounds one event.
-const maxEvent = 1 << 20
+// maxEventSize bounds the size of one event, in bytes.
+const maxEventSize = 1 << 20
 
-// eventBuffer holds a few events of the usual size.
-const eventBuffer = 1024
+// eventBufferSize is the read buffer in bytes, enough for a few events of the usual size.
+const eventBufferSize = 1024
 
 var errLongEvent = errors.New("an event is longer than 1 MB")
 
-func newEvents(rd io.Reader) *events { return &events{br: bufio.NewReaderSize(rd, eventBuffer)} }
+func newEvents(rd io.Reader) *events { return &events{br: bufio.NewReaderSize(rd, eventBufferSize)} }
 
-// next returns the next event with the blank line that ends it. Its bytes are
-// valid until the next call. The end of a whole stream is io.EOF; what stands
-// there without a blank line belongs to the answer and comes as a last piece.
+// next returns the next event with the blank line that ends it. Its bytes are valid until the
+// next call. The end of a whole stream is io.EOF; a last part without a blank line belongs to
+// the answer and is returned as a last piece.
 func (ev *events) next() ([]byte, error) {
 	ev.buf = ev.buf[:0]
 	if ev.err != nil {
@@ -39,7 +39,7 @@
 		ev.buf = append(ev.buf, line...)
 		switch {
 		case errors.Is(err, bufio.ErrBufferFull):
-			if len(ev.buf) > maxEvent {
+			if len(ev.buf) > maxEventSize {
 				return nil, errLongEvent
 			}
 			continue
@@ -49,28 +49,28 @@
 		case err != nil:
 			return nil, err
 		}
-		if blank(line) && len(bytes.TrimSpace(ev.buf)) > 0 {
+		if isBlank(line) && len(bytes.TrimSpace(ev.buf)) > 0 {
 			return ev.buf, nil
 		}
 	}
 }
 
-func blank(line []byte) bool {
+func isBlank(line []byte) bool {
 	return len(line) == 1 || len(line) == 2 && line[0] == '\r'
 }
 
-// eventID returns the id of an event, or the one before when it has none.
-func eventID(event []byte, before string) string {
+// eventID returns the id of an event, or previous when it has none.
+func eventID(event []byte, previous string) string {
 	for line := range strings.Lines(string(event)) {
 		if rest, ok := strings.CutPrefix(line, "id:"); ok {
 			return strings.TrimSpace(rest)
 		}
 	}
-	return before
+	return previous
 }
 
-// drainLimit bounds what is read of an answer that nobody wants, to keep its
-// connection.
+// drainLimit bounds the bytes that are read of an unwanted answer so that its connection can be
+// reused.
 const drainLimit = 16 << 10
 
 func drain(rd io.Reader) { _, _ = io.CopyN(io.Discard, rd, drainLimit) }
--- a/core/forward/fault.go
+++ b/core/forward/fault.go
@@ -7,28 +7,27 @@
 	"skylarkstand/core/balance"
 )
 
-// Some failures are the request's own: an error that follows it to whichever
-// upstream runs it, and a time that is too short for its work. Held against the
-// upstreams, they have a small pool look as if a quarter of it were failing while
-// nothing is wrong: calls that may run only once then go to another region, and
-// the upstream that is left is the busiest.
-
-// enoughTime is how many times the usual time of its route a call must have had
-// for an upstream to be blamed for not ending it: the usual is a mean, which
-// sound upstreams exceed.
-const enoughTime = 2
-
-// suspected holds back what a failed attempt says of its upstream, since another
-// one is asked now: see settle. Where that one cannot be found, nothing shows whose
-// fault it was and nobody is blamed.
-func (at *attempt) suspected() { at.jb.suspect = at }
-
-// settle returns what the end of an attempt says about its upstream, and decides
-// about the one that failed before it: when both failed in the same way, the
-// request is to blame, and else the first upstream. The forwarder's lock is held.
-func (at *attempt) settle(now time.Time, ve verdict) balance.Outcome {
+// Some failures are caused by the request: an error that occurs at every upstream that runs it,
+// or a time limit that is too short for its work. Counted against the upstreams, they make a
+// small pool look as if a quarter of it were failing while nothing is wrong: calls that may run
+// only once then go to another region, and the remaining upstream becomes the busiest.
+
+// enoughTimeFactor is how many times the usual time of its route a call must have had for its
+// timeout to count against the upstream. The usual time is a mean, which healthy upstreams
+// exceed too.
+const enoughTimeFactor = 2
+
+// deferBlame defers the verdict on a failed attempt's upstream until the next attempt has ended;
+// see resolveBlame. When no other upstream can be tried, the cause stays unknown and the failure
+// does not count against the upstream.
+func (at *attempt) deferBlame() { at.jb.suspect = at }
+
+// resolveBlame returns what the end of an attempt says about its upstream, and decides about the
+// failed attempt before it: when both failed with the same status, the request is the cause,
+// otherwise the first upstream. The forwarder's lock is held.
+func (at *attempt) resolveBlame(now time.Time, ve verdict) balance.Outcome {
 	out := ve.outcome()
-	if ve == failed && at.tooShort() {
+	if ve == failed && at.timeTooShort() {
 		out = balance.Abandoned
 	}
 	if prev := at.jb.suspect; prev != nil && prev != at {
@@ -36,24 +35,24 @@
 		if ve == failed && prev.reply.Status == at.reply.Status {
 			return balance.Abandoned
 		}
-		prev.blamed(now)
+		prev.blameUpstream(now)
 	}
 	return out
 }
 
-// blamed holds an attempt's failure against its upstream after all.
-func (at *attempt) blamed(now time.Time) {
+// blameUpstream counts a failed attempt against its upstream.
+func (at *attempt) blameUpstream(now time.Time) {
 	turn, failing := at.jb.fw.picker.Blame(now, at.flight)
 	at.logTurn(turn, failed, failing)
 }
 
-// tooShort reports whether an upstream was told a time that the route's answers
-// usually need, and said at its end that it was not enough. While nothing is known
-// of the route, it is the route's.
-func (at *attempt) tooShort() bool {
+// timeTooShort reports whether the upstream reported a timeout after a time limit that is short
+// for this route. While the usual time of the route is unknown, the time limit is taken to be
+// the cause.
+func (at *attempt) timeTooShort() bool {
 	if at.reply == nil || at.reply.Status != http.StatusGatewayTimeout || !at.bounded {
 		return false
 	}
 	usual := at.jb.fw.picker.Usual(at.rq)
-	return usual == 0 || at.left < enoughTime*usual
+	return usual == 0 || at.left < enoughTimeFactor*usual
 }
--- a/core/forward/forward_test.go
+++ b/core/forward/forward_test.go
@@ -12,45 +12,44 @@
 	"skylarkstand/core"
 )
 
-// Upstreams end attempts in many ways. A caller that reads "not run" sends its
-// request again, also a subsidy claim; were that untrue once, two electricians
-// would turn up. And work that may run again should be answered by another
-// upstream without its caller noticing.
-func TestEndings(t *testing.T) {
+// Guards against a wrong "not run", which makes a caller send its request again: a repeated
+// subsidy claim would order a second electrician. Also guards against work that may run again
+// but isn't retried at another upstream.
+func TestAttemptOutcomes(t *testing.T) {
 	ok := answers(http.StatusOK, "done")
 	failing := answers(http.StatusInternalServerError, "broken")
 	scenarios := []struct {
-		testName string
-		path     string
-		acts     []act
-		calls    int
-		status   int      // 0: a failure
-		ran      core.Ran // of the failure
-		text     string
+		testName  string
+		path      string
+		behaviors []behavior
+		calls     int
+		status    int      // 0: a failure
+		ran       core.Ran // of the failure
+		text      string
 	}{
-		{"claim answered", "/claim/1", []act{ok}, 1, 200, "", "done"},
-		{"claim refused by one", "/claim/1", []act{full, ok}, 2, 200, "", "done"},
-		{"claim that cannot be sent at first", "/claim/1", []act{away, ok}, 2, 200, "", "done"},
-		{"claim refused by all", "/claim/1", []act{full}, 4, 0, core.NotRun, ""},
-		{"claim whose upstreams are away", "/claim/1", []act{away}, 4, 0, core.NotRun, ""},
-		{"claim cut off is not sent again", "/claim/1", []act{cut, ok}, 1, 0, core.RanUnknown, ""},
-		{"claim refused, then cut off", "/claim/1", []act{full, cut, ok}, 2, 0, core.RanUnknown, ""},
-		{"claim with an error is not sent again", "/claim/1", []act{failing, ok}, 1, 500, "", "broken"},
-		{"claim with a forged answer", "/claim/1", []act{forged, ok}, 1, 0, core.RanUnknown, ""},
-		{"claim whose answer breaks off", "/claim/1", []act{breaks("do"), ok}, 1, 0, core.RanUnknown, ""},
-		{"lookup cut off", "/lookup/1", []act{cut, ok}, 2, 200, "", "done"},
-		{"lookup with an error", "/lookup/1", []act{failing, ok}, 2, 200, "", "done"},
-		{"lookup with errors gives the upstream's own", "/lookup/1", []act{failing}, 2, 500, "", "broken"},
-		{"lookup with a forged answer", "/lookup/1", []act{forged, ok}, 2, 200, "", "done"},
-		{"lookup whose answer breaks off", "/lookup/1", []act{breaks("do"), ok}, 2, 200, "", "done"},
-		{"lookup cut off, then refused", "/lookup/1", []act{cut, full}, 4, 0, core.RanUnknown, ""},
-		{"lookup keeps to its attempts", "/lookup/1", []act{cut}, 2, 0, core.RanUnknown, ""},
+		{"claim answered", "/claim/1", []behavior{ok}, 1, 200, "", "done"},
+		{"claim refused by one upstream", "/claim/1", []behavior{refuses, ok}, 2, 200, "", "done"},
+		{"claim that cannot be sent at first", "/claim/1", []behavior{unreachable, ok}, 2, 200, "", "done"},
+		{"claim refused by all upstreams", "/claim/1", []behavior{refuses}, 4, 0, core.NotRun, ""},
+		{"claim whose upstreams are unreachable", "/claim/1", []behavior{unreachable}, 4, 0, core.NotRun, ""},
+		{"claim with a lost connection is not retried", "/claim/1", []behavior{losesConnection, ok}, 1, 0, core.RanUnknown, ""},
+		{"claim refused, then a lost connection", "/claim/1", []behavior{refuses, losesConnection, ok}, 2, 0, core.RanUnknown, ""},
+		{"claim with an error is not retried", "/claim/1", []behavior{failing, ok}, 1, 500, "", "broken"},
+		{"claim with an unsealed answer", "/claim/1", []behavior{unsealed, ok}, 1, 0, core.RanUnknown, ""},
+		{"claim whose answer breaks off", "/claim/1", []behavior{breaksOff("do"), ok}, 1, 0, core.RanUnknown, ""},
+		{"lookup with a lost connection", "/lookup/1", []behavior{losesConnection, ok}, 2, 200, "", "done"},
+		{"lookup with an error", "/lookup/1", []behavior{failing, ok}, 2, 200, "", "done"},
+		{"lookup with errors returns the upstream's own", "/lookup/1", []behavior{failing}, 2, 500, "", "broken"},
+		{"lookup with an unsealed answer", "/lookup/1", []behavior{unsealed, ok}, 2, 200, "", "done"},
+		{"lookup whose answer breaks off", "/lookup/1", []behavior{breaksOff("do"), ok}, 2, 200, "", "done"},
+		{"lookup with a lost connection, then refused", "/lookup/1", []behavior{losesConnection, refuses}, 4, 0, core.RanUnknown, ""},
+		{"lookup with its attempts used up", "/lookup/1", []behavior{losesConnection}, 2, 0, core.RanUnknown, ""},
 	}
 	for _, sc := range scenarios {
 		t.Run(sc.testName, func(t *testing.T) {
-			play(t, func(t *testing.T) {
-				wo := newWorld(t, sc.acts...)
-				status, text, err := wo.ask(t.Context(), sc.path)
+			runInBubble(t, func(t *testing.T) {
+				wo := newFixture(t, sc.behaviors...)
+				status, text, err := wo.send(t.Context(), sc.path)
 				assert.Equal(t, len(wo.calls), sc.calls)
 				if sc.status != 0 {
 					assert.NilError(t, err)
@@ -61,41 +60,41 @@
 				var fl *core.Failure
 				assert.Assert(t, errors.As(err, &fl), "%v", err)
 				assert.Equal(t, fl.Ran, sc.ran)
-				assert.Assert(t, fl.Ran != core.NotRun || fl.RetryAfter > 0, "a caller is told when to come back")
+				assert.Assert(t, fl.Ran != core.NotRun || fl.RetryAfter > 0, "a refusal has a Retry-After")
 			})
 		})
 	}
 }
 
-// An upstream breaks in the middle of a stream, also in the middle of an event.
-// The caller must get each event once, in order, and none that was glued from
-// two runs. Where the stream may not go on, it must not look complete.
-func TestBrokenStream(t *testing.T) {
+// An upstream breaks off in the middle of a stream, possibly in the middle of an event. Guards
+// against events that are duplicated, out of order or joined from two attempts, and against a
+// stream that can't be resumed but looks complete.
+func TestBrokenStreamResumption(t *testing.T) {
 	const one, two, three = "id: 1\ndata: a\n\n", "id: 2\ndata: b\n\n", "id: 3\ndata: c\n\n"
 	scenarios := []struct {
-		testName string
-		path     string
-		acts     []act
-		text     string
-		whole    bool
-		after    []string
+		testName  string
+		path      string
+		behaviors []behavior
+		text      string
+		whole     bool
+		after     []string
 	}{
-		{"whole", "/draft/1", []act{answers(200, one+two+three)}, one + two + three, true, []string{""}},
-		{"cut in an event", "/draft/1", []act{breaks(one + "id: 2\nda"), answers(200, two+three)}, one + two + three, true, []string{"", "1"}},
-		{"cut before its first event", "/draft/1", []act{breaks("id: 1"), answers(200, one+two)}, one + two, true, []string{"", ""}},
-		{"cut twice", "/draft/1", []act{breaks(one), breaks(two), answers(200, three)}, one + two + three, true, []string{"", "1", "2"}},
-		{"silent half-way", "/draft/1", []act{stalls(one), answers(200, two+three)}, one + two + three, true, []string{"", "1"}},
-		{"cut more often than allowed", "/draft/1", []act{breaks(one), breaks(two), breaks(three)}, one + two + three, false, []string{"", "1", "2"}},
-		{"nobody answers the resumption", "/draft/1", []act{breaks(one), cut}, one, false, []string{"", "1", "1"}},
-		{"nobody can be reached for the resumption", "/draft/1", []act{breaks(one), away}, one, false, []string{"", "1", "1", "1"}},
-		{"another error at the resumption", "/draft/1", []act{breaks(one), answers(500, "no"), answers(200, two)}, one + two, true, []string{"", "1", "1"}},
-		{"may not go on", "/chat/1", []act{breaks(one + "id: 2")}, one, false, []string{""}},
+		{"whole", "/draft/1", []behavior{answers(200, one+two+three)}, one + two + three, true, []string{""}},
+		{"cut in an event", "/draft/1", []behavior{breaksOff(one + "id: 2\nda"), answers(200, two+three)}, one + two + three, true, []string{"", "1"}},
+		{"cut before its first event", "/draft/1", []behavior{breaksOff("id: 1"), answers(200, one+two)}, one + two, true, []string{"", ""}},
+		{"cut twice", "/draft/1", []behavior{breaksOff(one), breaksOff(two), answers(200, three)}, one + two + three, true, []string{"", "1", "2"}},
+		{"stalled half-way", "/draft/1", []behavior{stalls(one), answers(200, two+three)}, one + two + three, true, []string{"", "1"}},
+		{"cut more often than the route's attempts", "/draft/1", []behavior{breaksOff(one), breaksOff(two), breaksOff(three)}, one + two + three, false, []string{"", "1", "2"}},
+		{"no upstream answers the resumption", "/draft/1", []behavior{breaksOff(one), losesConnection}, one, false, []string{"", "1", "1"}},
+		{"no upstream can be reached for the resumption", "/draft/1", []behavior{breaksOff(one), unreachable}, one, false, []string{"", "1", "1", "1"}},
+		{"another error at the resumption", "/draft/1", []behavior{breaksOff(one), answers(500, "no"), answers(200, two)}, one + two, true, []string{"", "1", "1"}},
+		{"not resumable", "/chat/1", []behavior{breaksOff(one + "id: 2")}, one, false, []string{""}},
 	}
 	for _, sc := range scenarios {
 		t.Run(sc.testName, func(t *testing.T) {
-			play(t, func(t *testing.T) {
-				wo := newWorld(t, sc.acts...)
-				_, text, err := wo.ask(t.Context(), sc.path)
+			runInBubble(t, func(t *testing.T) {
+				wo := newFixture(t, sc.behaviors...)
+				_, text, err := wo.send(t.Context(), sc.path)
 				assert.Equal(t, text, sc.text)
 				assert.Equal(t, err == nil, sc.whole, "%v", err)
 				var after []string
@@ -108,26 +107,26 @@
 	}
 }
 
-// The small model doubts its answer. The caller must get the large model's and
-// nothing of the small one's; where that cannot answer, it gets no mixture.
-func TestCascadeDropsADoubtfulAnswer(t *testing.T) {
+// The small model's answer has a low confidence. Guards against callers that receive any of it
+// besides, or mixed with, the large model's answer.
+func TestCascadeDiscardsLowConfidenceAnswer(t *testing.T) {
 	const small, large = "data: hm\n\n", "data: so\n\n"
 	scenarios := []struct {
-		testName string
-		acts     []act
-		text     string
-		models   []core.ModelID
+		testName  string
+		behaviors []behavior
+		text      string
+		models    []core.ModelID
 	}{
-		{"sure", []act{sure(80, small)}, small, []core.ModelID{"small"}},
-		{"doubtful", []act{sure(5, small), sure(90, large)}, large, []core.ModelID{"small", "large"}},
-		{"the largest is taken as it is", []act{sure(5, small), sure(5, large)}, large, []core.ModelID{"small", "large"}},
-		{"no confidence is told", []act{answers(200, small)}, small, []core.ModelID{"small"}},
+		{"high confidence", []behavior{withConfidence(80, small)}, small, []core.ModelID{"small"}},
+		{"low confidence", []behavior{withConfidence(5, small), withConfidence(90, large)}, large, []core.ModelID{"small", "large"}},
+		{"low confidence of the largest model", []behavior{withConfidence(5, small), withConfidence(5, large)}, large, []core.ModelID{"small", "large"}},
+		{"no confidence reported", []behavior{answers(200, small)}, small, []core.ModelID{"small"}},
 	}
 	for _, sc := range scenarios {
 		t.Run(sc.testName, func(t *testing.T) {
-			play(t, func(t *testing.T) {
-				wo := newWorld(t, sc.acts...)
-				_, text, err := wo.ask(t.Context(), "/draft/1")
+			runInBubble(t, func(t *testing.T) {
+				wo := newFixture(t, sc.behaviors...)
+				_, text, err := wo.send(t.Context(), "/draft/1")
 				assert.NilError(t, err)
 				assert.Equal(t, text, sc.text)
 				var models []core.ModelID
@@ -140,36 +139,35 @@
 	}
 }
 
-// A chat may run at most once, and its small model doubts the answer. Asking a
-// larger one would run it twice, so the largest must have it from the start.
-func TestCascadeOfWorkThatRunsOnce(t *testing.T) {
-	play(t, func(t *testing.T) {
-		wo := newWorld(t, sure(2, "data: hm\n\n"))
-		_, _, err := wo.ask(t.Context(), "/chat/1")
+// A chat may run at most once. Guards against running it a second time at a larger model after a
+// low-confidence answer: the largest model must run it from the start.
+func TestAtMostOnceWorkStartsAtTheLargestModel(t *testing.T) {
+	runInBubble(t, func(t *testing.T) {
+		wo := newFixture(t, withConfidence(2, "data: hm\n\n"))
+		_, _, err := wo.send(t.Context(), "/chat/1")
 		assert.NilError(t, err)
 		assert.Equal(t, len(wo.calls), 1)
 		assert.Equal(t, wo.calls[0].Model, core.ModelID("large"))
 	})
 }
 
-// An upstream takes a lookup and never answers, with its health check good. The
-// caller of work that may run again must be answered by another one, in time;
-// that of a claim hears at the route's timeout that its outcome is unknown, and
-// no upstream is handed more time than is left.
-func TestMuteUpstream(t *testing.T) {
-	play(t, func(t *testing.T) {
-		wo := newWorld(t, mute, answers(http.StatusOK, "done"))
+// An upstream accepts a request and never answers, while its health check passes. Guards against
+// callers of retryable work that wait for it, against a claim that doesn't end as unknown at the
+// route's timeout, and against upstreams that get more time than is left.
+func TestUnresponsiveUpstream(t *testing.T) {
+	runInBubble(t, func(t *testing.T) {
+		wo := newFixture(t, hangs, answers(http.StatusOK, "done"))
 		began := time.Now()
-		_, text, err := wo.ask(t.Context(), "/lookup/1")
+		_, text, err := wo.send(t.Context(), "/lookup/1")
 		assert.NilError(t, err)
 		assert.Equal(t, text, "done")
 		assert.Assert(t, time.Since(began) < 400*time.Millisecond, "took %s", time.Since(began))
 		assert.Assert(t, wo.calls[1].Left <= wo.calls[0].Left-time.Since(began), "%s, then %s", wo.calls[0].Left, wo.calls[1].Left)
 	})
-	play(t, func(t *testing.T) {
-		wo := newWorld(t, mute)
+	runInBubble(t, func(t *testing.T) {
+		wo := newFixture(t, hangs)
 		began := time.Now()
-		_, _, err := wo.ask(t.Context(), "/claim/1")
+		_, _, err := wo.send(t.Context(), "/claim/1")
 		var fl *core.Failure
 		assert.Assert(t, errors.As(err, &fl))
 		assert.Equal(t, fl.Ran, core.RanUnknown)
@@ -178,36 +176,36 @@
 	})
 }
 
-// A caller leaves while its request runs. The upstream must hear of it at once,
-// or it goes on with work that nobody waits for, and no other one may be asked.
-func TestCallerGone(t *testing.T) {
-	play(t, func(t *testing.T) {
+// A caller disconnects during its request. Guards against an upstream that isn't canceled at
+// once and works on for nobody, and against a retry elsewhere.
+func TestCallerDisconnects(t *testing.T) {
+	runInBubble(t, func(t *testing.T) {
 		var gone time.Time
-		wo := newWorld(t, func(ctx context.Context, ca *core.Call) (*core.Reply, error) {
+		wo := newFixture(t, func(ctx context.Context, ca *core.Call) (*core.Reply, error) {
 			<-ctx.Done()
 			gone = time.Now()
-			return mute(ctx, ca)
+			return hangs(ctx, ca)
 		})
 		ctx, cancel := context.WithCancel(t.Context())
 		time.AfterFunc(100*time.Millisecond, cancel)
 		began := time.Now()
-		_, _, err := wo.ask(ctx, "/lookup/1")
+		_, _, err := wo.send(ctx, "/lookup/1")
 		assert.ErrorContains(t, err, string(core.CodeCallerGone))
 		assert.Equal(t, gone.Sub(began), 100*time.Millisecond)
 		assert.Equal(t, len(wo.calls), 1)
 	})
 }
 
-// A process hears of no news for a while. A key that it does not know may be a
-// new one; told that it has no access, its caller would give up for good. With
-// recent news the same key is refused for good at once.
-func TestUnknownKeyWithOldNews(t *testing.T) {
+// An entry has had no confirmation of its configuration for a while, so an unknown key may be a
+// new one. Guards against a final refusal that makes its caller give up for good. With a recent
+// configuration the key is refused for good at once.
+func TestUnknownKeyWithStaleConfiguration(t *testing.T) {
 	for _, sc := range []struct {
 		age  time.Duration
 		code core.Code
 	}{{time.Second, core.CodeUnauthorized}, {time.Minute, core.CodeStaleConfig}} {
-		play(t, func(t *testing.T) {
-			wo := newWorld(t, answers(http.StatusOK, "done"))
+		runInBubble(t, func(t *testing.T) {
+			wo := newFixture(t, answers(http.StatusOK, "done"))
 			wo.age = sc.age
 			_, err := wo.fw.Forward(t.Context(), &core.Exchange{Host: "a.example", Path: "/claim/1", Key: "new", Arrived: time.Now()})
 			var fl *core.Failure
@@ -219,32 +217,32 @@
 	}
 }
 
-// All entries are stopped one after the other, so that callers find only ones
-// that stop. What ends in time for sure must be served; for the rest, a caller
-// that found nobody listening would use up its one retry at once, where it could
-// come back to the restarted process.
-func TestRequestsDuringAStop(t *testing.T) {
+// All entries are restarted one after the other, so callers reach only stopping ones. Guards
+// against refusing work that certainly finishes in time, and against closing the listener on the
+// rest: their callers would use up their one retry at once, instead of returning to the
+// restarted process.
+func TestRequestsDuringShutdown(t *testing.T) {
 	for _, sc := range []struct {
 		testName string
 		path     string
 		left     time.Duration
 		served   bool
 	}{
-		{"a claim that ends in time", "/claim/1", 5 * time.Second, true},
+		{"a claim that finishes in time", "/claim/1", 5 * time.Second, true},
 		{"a claim that might not", "/claim/1", 2 * time.Second, false},
 		{"a stream", "/draft/1", 5 * time.Second, false},
-		{"no stop", "/draft/1", 0, true},
+		{"no shutdown", "/draft/1", 0, true},
 	} {
 		t.Run(sc.testName, func(t *testing.T) {
-			play(t, func(t *testing.T) {
-				wo := newWorld(t, answers(http.StatusOK, "done"))
+			runInBubble(t, func(t *testing.T) {
+				wo := newFixture(t, answers(http.StatusOK, "done"))
 				wo.left = sc.left
-				_, _, err := wo.ask(t.Context(), sc.path)
+				_, _, err := wo.send(t.Context(), sc.path)
 				assert.Equal(t, err == nil, sc.served, "%v", err)
 				var fl *core.Failure
 				if errors.As(err, &fl) {
 					assert.Equal(t, fl.Ran, core.NotRun)
-					assert.Assert(t, fl.RetryAfter > sc.left, "back when a new process is there")
+					assert.Assert(t, fl.RetryAfter > sc.left, "the Retry-After reaches the new process")
 					assert.Equal(t, len(wo.calls), 0)
 				}
 			})
--- a/core/forward/job.go
+++ b/core/forward/job.go
@@ -14,7 +14,7 @@
 	"skylarkstand/core/warmup"
 )
 
-// job is one exchange on its way.
+// job is one exchange in progress.
 type job struct {
 	fw *Forwarder
 	ex *core.Exchange
@@ -27,50 +27,48 @@
 	priority  int
 
 	cancel context.CancelFunc
-	// tried are the upstreams that were asked, runs how many may have run it,
-	// and sends how many attempts left this entry.
+	// tried lists the upstreams that were called, runs counts the attempts that may have run the
+	// work, and sends counts the attempts that left this entry.
 	tried []core.UpstreamID
 	runs  int
 	sends int
-	// stage is the place in the cascade, from the smallest model, and next the
-	// one that should answer instead of a doubtful answer. doubted is the place
-	// and the confidence of the answer that was dropped last.
-	stage, next int
-	doubted     *doubted
-	// sure is the confidence that sufficed when an answer was looked at last, and
-	// kept why that answer was given.
-	sure float64
-	kept keptAnswer
-	// reading is the time that the attempts so far needed for the prompt alone.
-	reading time.Duration
-	// ran is set once the work may have run.
-	ran bool
-	// suspect is the attempt that failed last, while another one is under way that
-	// will show whose fault it was.
+	// stage is the index of the model in the cascade, from the smallest, and nextStage the index
+	// to escalate to. rejected is the stage and the confidence of the last discarded answer.
+	stage, nextStage int
+	rejected         *rejectedAnswer
+	// threshold is the minimum confidence at the last check of an answer, and answerReason is
+	// why that answer was returned.
+	threshold    float64
+	answerReason answerReason
+	// prefillTime is the prefill time of the attempts so far.
+	prefillTime time.Duration
+	// mayHaveRun is set once the work may have run.
+	mayHaveRun bool
+	// suspect is the last failed attempt while another attempt is in progress that will show
+	// whether the upstream or the request caused the failure.
 	suspect *attempt
-	// last is the newest failed attempt, and noRepeat why no other followed, for
-	// the log.
-	last     string
-	noRepeat string
+	// lastFailure is the reason of the newest failed attempt, and noRetryReason why no other one
+	// followed, for the log.
+	lastFailure   string
+	noRetryReason string
 }
 
-// maxSends bounds the attempts that reach no upstream, or are refused, beside
-// those that run: a pool that is gone must not be tried for as long as the
-// caller waits.
+// maxSends bounds the attempts of a request, counting those that reach no upstream or are
+// refused: without it, a pool that is gone would be tried for as long as the caller waits.
 const maxSends = 6
 
-// run makes attempts until one is answered.
+// run makes attempts until one of them yields an answer.
 func (jb *job) run(ctx context.Context) (*Answer, *core.Failure) {
-	left, bounded := jb.left(time.Now())
+	left, bounded := jb.timeLeft(time.Now())
 	if bounded {
 		ctx, jb.cancel = context.WithTimeoutCause(ctx, left, errOverdue)
 	} else {
 		ctx, jb.cancel = context.WithCancel(ctx)
 	}
-	jb.fw.arrived(jb)
-	jb.resumeWithModel()
+	jb.fw.countArrival(jb)
+	jb.selectResumeStage()
 	for {
-		at, fl := jb.begin(jb.ex.Resume)
+		at, fl := jb.beginAttempt(jb.ex.Resume)
 		if fl != nil {
 			return nil, fl
 		}
@@ -78,17 +76,18 @@
 		if ans != nil {
 			return ans, nil
 		}
-		if fl := jb.goOn(ctx, at, ve); fl != nil {
+		if fl := jb.failureAfter(ctx, at, ve); fl != nil {
 			return nil, fl
 		}
 	}
 }
 
-// errOverdue ends the context of a job whose time is up.
+// errOverdue is the cause when a job's context ends at its deadline.
 var errOverdue = errors.New("the time is up")
 
-// left returns the time until the caller's deadline or the route's timeout.
-func (jb *job) left(now time.Time) (time.Duration, bool) {
+// timeLeft returns the time until the caller's deadline or the route's timeout, and false when
+// there is neither.
+func (jb *job) timeLeft(now time.Time) (time.Duration, bool) {
 	limit := jb.rt.Timeout
 	if dl := jb.ex.Deadline; dl > 0 && (limit <= 0 || dl < limit) {
 		limit = dl
@@ -96,133 +95,133 @@
 	return limit - now.Sub(jb.ex.Arrived), limit > 0
 }
 
-// accept turns a good attempt into the answer, and a failed one into it when
-// nothing better can come. Otherwise it returns what the attempt came to: the
-// body may break after a good header.
+// accept makes a successful attempt the answer, and also a failed one when it cannot be retried.
+// Otherwise it returns the attempt's verdict, which differs from the given one when the body
+// breaks off after a good header.
 func (jb *job) accept(ctx context.Context, at *attempt, ve verdict) (*Answer, verdict) {
-	take := ve == taken || ve == unsure && !jb.climb(ctx) || ve == failed && !jb.mayRepeat(ctx)
+	take := ve == taken || ve == unsure && !jb.escalate(ctx) || ve == failed && !jb.mayRetry(ctx)
 	if !take {
-		at.drop(ve)
+		at.discard(ve)
 		return nil, ve
 	}
-	if ans := jb.answer(ctx, at); ans != nil {
+	if ans := jb.newAnswer(ctx, at); ans != nil {
 		return ans, ve
 	}
 	return nil, lost
 }
 
-// goOn decides after a failed attempt whether another follows; it returns the
-// failure when none does.
-func (jb *job) goOn(ctx context.Context, at *attempt, ve verdict) *core.Failure {
+// failureAfter returns the failure of the exchange when no attempt may follow a failed one, or
+// nil when another one follows.
+func (jb *job) failureAfter(ctx context.Context, at *attempt, ve verdict) *core.Failure {
 	if ve.ran() {
-		jb.ran = true
+		jb.mayHaveRun = true
 	}
-	jb.last = at.why
+	jb.lastFailure = at.reason
 	if ctx.Err() != nil {
-		return jb.overdue(ctx)
+		return jb.contextFailure(ctx)
 	}
 	switch ve {
 	case unsure, failed:
-		return nil // Allowed by accept.
+		return nil // accept has allowed another attempt.
 	case lost:
-		if !jb.mayRepeat(ctx) {
-			return jb.give(core.CodeOutcomeLost, 0, "the upstream's answer was lost: "+at.why)
+		if !jb.mayRetry(ctx) {
+			return jb.failure(core.CodeOutcomeLost, 0, "the upstream's answer was lost: "+at.reason)
 		}
 	case refused:
-		if jb.sends >= maxSends || !jb.spend(retry.Retry) {
-			return jb.give(core.CodeOverloaded, jb.backoff(), "the upstreams take no more work")
+		if jb.sends >= maxSends || !jb.spendRetry(retry.Retry) {
+			return jb.failure(core.CodeOverloaded, jb.backoff(), "the upstreams take no more work")
 		}
 	case stranger:
-		// Whoever has the address counts this as an arrival.
-		if jb.sends >= maxSends || !jb.spend(retry.Retry) {
-			return jb.give(core.CodeNoUpstream, jb.backoff(), "the upstreams that are listed are others by now")
+		// The process that now has the address counts this as an arrival.
+		if jb.sends >= maxSends || !jb.spendRetry(retry.Retry) {
+			return jb.failure(core.CodeNoUpstream, jb.backoff(), "the upstreams that are listed are others by now")
 		}
 	case unreached, absent:
 		if jb.sends >= maxSends {
-			return jb.give(core.CodeNoUpstream, jb.backoff(), "no upstream can be reached")
+			return jb.failure(core.CodeNoUpstream, jb.backoff(), "no upstream can be reached")
 		}
 	}
 	return nil
 }
 
-// mayRepeat reports whether work that may have run can run once more, and takes
-// it from the budget.
-func (jb *job) mayRepeat(ctx context.Context) bool {
-	left, bounded := jb.left(time.Now())
+// mayRetry reports whether work that may have run may run once more, and takes the retry from
+// the budget.
+func (jb *job) mayRetry(ctx context.Context) bool {
+	left, bounded := jb.timeLeft(time.Now())
 	switch {
 	case !jb.rt.Repeat.Repeatable():
-		jb.noRepeat = "the work may run once only"
-	case jb.runs >= jb.attempts():
-		jb.noRepeat = "the route's attempts are used up"
+		jb.noRetryReason = "the work may run once only"
+	case jb.runs >= jb.maxAttempts():
+		jb.noRetryReason = "the route's attempts are used up"
 	case ctx.Err() != nil:
-		jb.noRepeat = reason(ctx)
-	case bounded && left < 2*leastLeft:
-		jb.noRepeat = "the time is nearly up"
-	case !jb.others():
-		jb.noRepeat = "there is no upstream that was not asked"
-	case !jb.spend(retry.Retry):
-		jb.noRepeat = "the budget for repeats is used up"
+		jb.noRetryReason = endReason(ctx)
+	case bounded && left < 2*minTimeLeft:
+		jb.noRetryReason = "the time is nearly up"
+	case !jb.hasUntried():
+		jb.noRetryReason = "no untried upstream is left"
+	case !jb.spendRetry(retry.Retry):
+		jb.noRetryReason = "the budget for repeats is used up"
 	default:
-		jb.noRepeat = ""
+		jb.noRetryReason = ""
 	}
-	return jb.noRepeat == ""
+	return jb.noRetryReason == ""
 }
 
-func (jb *job) attempts() int { return max(jb.rt.MaxAttempts, 1) }
+func (jb *job) maxAttempts() int { return max(jb.rt.MaxAttempts, 1) }
 
-func (jb *job) spend(pu retry.Purpose) bool {
+func (jb *job) spendRetry(pu retry.Purpose) bool {
 	fw := jb.fw
 	fw.mu.Lock()
-	ok := fw.window(jb.service).Spend(time.Now(), pu)
+	ok := fw.retryWindow(jb.service).Spend(time.Now(), pu)
 	fw.mu.Unlock()
-	fw.meters.repeat(pu, ok)
+	fw.meters.budgetDecision(pu, ok)
 	return ok
 }
 
-// request is what the choice of an upstream depends on.
+// request returns the inputs to the choice of an upstream.
 func (jb *job) request() balance.Request {
 	return balance.Request{
 		Service: jb.service, Model: jb.model(), Parts: jb.ex.Parts, Prompt: jb.ex.Prompt,
 		Engine: len(jb.ex.Parts) > 0 || jb.ex.Prompt > 0, Pool: jb.rt.ID, Tried: jb.tried,
 		Once: !jb.rt.Repeat.Repeatable(), Slack: jb.slack(),
-		RemoteOnly: jb.lane().remote,
+		RemoteOnly: jb.trafficClass().remote,
 	}
 }
 
-// slack is the time until an answer begins too late to be good, or 0 without an
-// aim. One that is late already has the least.
+// slack is the time left to the target latency of the first event, or 0 without a target. It is
+// at least minTimeLeft, also for a request that is already late.
 func (jb *job) slack() time.Duration {
 	if jb.rt.Aim <= 0 {
 		return 0
 	}
-	return max(jb.rt.Aim-time.Since(jb.ex.Arrived), leastLeft)
+	return max(jb.rt.Aim-time.Since(jb.ex.Arrived), minTimeLeft)
 }
 
-// begin chooses the upstream of the next attempt.
-func (jb *job) begin(after string) (*attempt, *core.Failure) {
+// beginAttempt chooses the upstream of the next attempt.
+func (jb *job) beginAttempt(after string) (*attempt, *core.Failure) {
 	now := time.Now()
-	left, bounded := jb.left(now)
-	if bounded && left < leastLeft {
-		return nil, jb.give(core.CodeDeadline, comeBack, "the time was up before an upstream was asked")
+	left, bounded := jb.timeLeft(now)
+	if bounded && left < minTimeLeft {
+		return nil, jb.failure(core.CodeDeadline, shortRetryAfter, "the time was up before an upstream was asked")
 	}
 	fw, rq := jb.fw, jb.request()
-	hosts := fw.parts.Canary.Choose(now, jb.service, jb.ex.Session, fw.draw(), jb.candidates(now), fw.parts.Age() < staleAfter)
+	hosts := fw.parts.Canary.Choose(now, jb.service, jb.ex.Session, fw.draw(), jb.candidates(now), fw.parts.Age() < staleConfigAge)
 	fw.mu.Lock()
-	ho, pe, ok := jb.pick(now, hosts, rq)
+	ho, pe, ok := jb.pickUpstream(now, hosts, rq)
 	if !ok {
 		fw.mu.Unlock()
-		return nil, jb.give(core.CodeNoUpstream, jb.backoff(), "no upstream takes this work now")
+		return nil, jb.failure(core.CodeNoUpstream, jb.backoff(), "no upstream takes this work now")
 	}
 	at := &attempt{jb: jb, to: ho, rq: rq, sent: now, after: after, left: left, bounded: bounded, permit: pe}
 	at.flight = fw.picker.Sent(now, ho, rq)
-	at.read = at.flight.Read()
-	jb.reading += at.flight.Cost()
-	at.patience = patience(jb.rt, fw.picker.Usual(rq), at.read, left)
-	at.rank = balance.Rank(jb.priority, jb.rankedRead(at), fw.draw())
-	repeats := fw.window(jb.service).Left(now, retry.Retry)
+	at.prefillWait = at.flight.Read()
+	jb.prefillTime += at.flight.Cost()
+	at.headerTimeout = headerTimeout(jb.rt, fw.picker.Usual(rq), at.prefillWait, left)
+	at.queueRank = balance.Rank(jb.priority, jb.rankingCost(at), fw.draw())
+	retriesLeft := fw.retryWindow(jb.service).Left(now, retry.Retry)
 	fw.mu.Unlock()
 	select {
-	case fw.sent <- struct{}{}:
+	case fw.sentSignal <- struct{}{}:
 	default:
 	}
 	fw.parts.Canary.Sent(now, jb.ex.Session, ho)
@@ -230,72 +229,72 @@
 	jb.sends++
 	jb.runs++
 	at.number = jb.sends
-	if jb.runs >= jb.attempts() || jb.off(mechanism.EarlyRepeats) {
-		at.patience = 0
+	if jb.runs >= jb.maxAttempts() || jb.disabled(mechanism.EarlyRepeats) {
+		at.headerTimeout = 0
 	}
-	at.logBegin(len(hosts), repeats)
+	at.logBegin(len(hosts), retriesLeft)
 	return at, nil
 }
 
-// pick chooses an upstream and takes the permit that it may need. The forwarder's
-// lock is held.
-func (jb *job) pick(now time.Time, hosts []core.Host, rq balance.Request) (core.Host, *warmup.Permit, bool) {
+// pickUpstream chooses an upstream and takes a permit if it is cold. The forwarder's lock is
+// held.
+func (jb *job) pickUpstream(now time.Time, hosts []core.Host, rq balance.Request) (core.Host, *warmup.Permit, bool) {
 	for {
 		ho, ok := jb.fw.picker.Pick(now, hosts, rq, jb.fw.draw)
 		if !ok {
 			return core.Host{}, nil, false
 		}
-		if pe, ok := jb.take(now, &ho); ok {
+		if pe, ok := jb.takePermit(now, &ho); ok {
 			return ho, pe, true
 		}
-		// Another request has taken the last permit since the list was made.
+		// Another request took the last permit after the candidates were listed.
 		rq.Tried = append(slices.Clone(rq.Tried), ho.ID)
 	}
 }
 
-func (jb *job) off(na mechanism.Name) bool { return jb.fw.parts.Off.Has(na) }
+func (jb *job) disabled(na mechanism.Name) bool { return jb.fw.parts.Off.Has(na) }
 
-// rankedRead is the time to read an attempt's prompt that its rank goes by.
-func (jb *job) rankedRead(at *attempt) time.Duration {
-	if jb.off(mechanism.LengthRanks) {
+// rankingCost is the prefill time that sets an attempt's rank in the upstream's queue.
+func (jb *job) rankingCost(at *attempt) time.Duration {
+	if jb.disabled(mechanism.LengthRanks) {
 		return 0
 	}
 	return at.flight.Cost()
 }
 
-// backoff is the time after which a caller should try again: soon, but spread,
-// so that those who were refused together do not come back together.
+// backoff is the Retry-After of refused requests: short, but with jitter, so that callers that
+// were refused together do not retry together.
 func (jb *job) backoff() time.Duration {
 	const least, spread = 300 * time.Millisecond, 500 * time.Millisecond
-	return least + time.Duration(jb.fw.drawn()*float64(spread))
+	return least + time.Duration(jb.fw.jitterFraction()*float64(spread))
 }
 
-// give returns the failure of a job that ends without an answer.
-func (jb *job) give(code core.Code, back time.Duration, text string) *core.Failure {
-	if !jb.ran {
-		return core.Refuse(code, back, "%s", text)
+// failure returns the failure of a job that ends without an answer.
+func (jb *job) failure(code core.Code, retryAfter time.Duration, text string) *core.Failure {
+	if !jb.mayHaveRun {
+		return core.Refuse(code, retryAfter, "%s", text)
 	}
 	return &core.Failure{Code: code, Ran: core.RanUnknown, Message: text}
 }
 
-// ErrStopping ends the context of requests that a planned stop cannot wait for
-// any longer.
+// ErrStopping is the cause when requests in flight are canceled at the end of a planned stop.
 var ErrStopping = errors.New("the process is stopping")
 
-// overdue is the failure of a job whose time is up or whose caller is gone.
-func (jb *job) overdue(ctx context.Context) *core.Failure {
+// contextFailure is the failure of a job whose context ended: at its deadline, at a planned
+// stop, or because the caller disconnected.
+func (jb *job) contextFailure(ctx context.Context) *core.Failure {
 	switch code := endCode(ctx); code {
 	case core.CodeLeaving:
-		return jb.give(code, Restart, "the process ended before an answer came")
+		return jb.failure(code, Restart, "the process ended before an answer came")
 	case core.CodeDeadline:
-		return jb.give(code, comeBack, "no answer came in time")
+		return jb.failure(code, shortRetryAfter, "no answer came in time")
 	default:
-		return jb.give(core.CodeCallerGone, 0, reason(ctx))
+		return jb.failure(core.CodeCallerGone, 0, endReason(ctx))
 	}
 }
 
-// endCode is the code of what ended a job's context; while nothing did, the
-// upstream broke off.
+// endCode returns the code for the cause that ended a job's context. While the context is still
+// valid, the upstream broke off.
 func endCode(ctx context.Context) core.Code {
 	switch cause := context.Cause(ctx); {
 	case errors.Is(cause, ErrStopping):
@@ -309,9 +308,9 @@
 	}
 }
 
-// reason tells what ended a job's context. net/http cancels it when the caller's
+// endReason describes what ended a job's context. net/http cancels the context when the caller's
 // connection ends.
-func reason(ctx context.Context) string {
+func endReason(ctx context.Context) string {
 	if cause := context.Cause(ctx); !errors.Is(cause, context.Canceled) {
 		return cause.Error()
 	}
--- a/core/forward/judge.go
+++ b/core/forward/judge.go
@@ -7,25 +7,25 @@
 	"skylarkstand/core/balance"
 )
 
-// verdict is what an attempt came to.
+// verdict is the outcome of an attempt.
 type verdict int
 
 const (
 	// taken: the upstream's answer, a success or its own refusal of the content.
 	taken verdict = iota
-	// failed: the upstream's own failure. It ran the work.
+	// failed: the upstream ran the work and failed.
 	failed
-	// refused: the upstream vouches that it did not run the work.
+	// refused: the upstream guarantees that it did not run the work.
 	refused
 	// stranger: the address belongs to another upstream now. Not run.
 	stranger
-	// unreached: nothing left. Not run.
+	// unreached: nothing was sent. Not run.
 	unreached
-	// absent: nobody listens at the address. Not run.
+	// absent: no process listens at the address. Not run.
 	absent
-	// lost: no answer, or none that can be the upstream's. It may have run.
+	// lost: no answer, or one that cannot be the upstream's. It may have run.
 	lost
-	// unsure: a success whose model doubts it, and a larger one is there.
+	// unsure: a success with a confidence that is too low, and a larger model is available.
 	unsure
 )
 
@@ -37,7 +37,7 @@
 	return ve == refused || ve == stranger || ve == unreached || ve == absent
 }
 
-// outcome is what a verdict says about the upstream.
+// outcome returns what a verdict says about the upstream.
 func (ve verdict) outcome() balance.Outcome {
 	switch ve {
 	case taken, unsure:
@@ -55,12 +55,12 @@
 	}
 }
 
-// judge classifies a reply by its header.
+// classify classifies a reply by its header.
 //
-// A success without the upstream's proof, or with an encoding that nobody asked
-// for, comes from something else on the way: a caller would take foreign bytes
-// for its answer. It is a failed attempt that may have run.
-func judge(re *core.Reply) verdict {
+// A success without the upstream's seal, or with a content encoding that was not requested,
+// comes from something else on the path: the caller would take foreign bytes for its answer. It
+// counts as a failed attempt that may have run.
+func classify(re *core.Reply) verdict {
 	switch {
 	case re.Stranger:
 		return stranger
--- a/core/forward/log.go
+++ b/core/forward/log.go
@@ -9,63 +9,63 @@
 	"skylarkstand/core/event"
 )
 
-// logBegin logs the choice of the upstream with what it went by.
-func (at *attempt) logBegin(candidates int, repeats float64) {
+// logBegin logs the choice of the upstream with its inputs.
+func (at *attempt) logBegin(candidates int, retriesLeft float64) {
 	jb, ba := at.jb, at.flight.Basis()
 	event.Log(jb.fw.deps.Log, event.AttemptBegun, "request", jb.ex.ID, "route", jb.rt.ID, "attempt", at.number, "upstream", at.to.ID,
 		"version", at.to.Version, "model", at.rq.Model, "prompt", jb.ex.Prompt, "output", jb.ex.Output, "configuration", jb.tb.Version, "news-age", jb.fw.parts.Age(),
 		"candidates", candidates, "own", ba.Own, "others", round(ba.Others), "load-age", ba.LoadAge, "failing", round(ba.Failing),
-		"kept", ba.Kept, "waits", ba.Waits, "read", at.read, "rank", at.rank, "patience", at.patience, "left", at.left, "repeats-left", round(repeats), "after", at.after)
+		"kept", ba.Kept, "waits", ba.Waits, "read", at.prefillWait, "rank", at.queueRank, "patience", at.headerTimeout, "left", at.left, "repeats-left", round(retriesLeft), "after", at.after)
 }
 
-// logTurn logs what the attempt's end changed about its upstream.
+// logTurn logs how the attempt's end changed the standing of its upstream.
 func (at *attempt) logTurn(turn balance.Turn, ve verdict, failing float64) {
 	lg := at.jb.fw.deps.Log
 	switch turn {
 	case balance.Avoided:
 		event.Log(lg, event.UpstreamAvoided, "upstream", at.to.ID, "address", at.to.Addr, "verdict", ve.String(),
-			"why", at.why, "failing", round(failing), "request", at.jb.ex.ID)
+			"why", at.reason, "failing", round(failing), "request", at.jb.ex.ID)
 	case balance.Trusted:
 		event.Log(lg, event.UpstreamTrusted, "upstream", at.to.ID, "failing", round(failing))
 	case balance.Same:
 	}
 }
 
-// log writes the one line about the end of an exchange that had an answer.
+// log writes the single line about the end of an exchange with an answer.
 func (ans *Answer) log(code core.Code, took time.Duration) {
 	jb, at := ans.jb, ans.at
 	first := at.began.Sub(jb.ex.Arrived)
 	attrs := []any{
 		"request", jb.ex.ID, "route", jb.rt.ID, "workspace", jb.workspace, "service", jb.service, "upstream", at.to.ID,
 		"version", at.to.Version, "model", jb.model(), "session", jb.ex.Session, "prompt", jb.ex.Prompt, "output", jb.ex.Output,
-		"status", ans.status, "confidence", ans.confidence, "attempts", jb.sends, "bytes", ans.sent, "first", first, "took", took,
-		"aim", jb.rt.Aim, "pause", ans.pause, "gap", jb.rt.Gap, "larger", jb.larger(), "sure", round(jb.sure),
-		"kept-answer", jb.kept, "configuration", jb.tb.Version,
+		"status", ans.status, "confidence", ans.confidence, "attempts", jb.sends, "bytes", ans.sentBytes, "first", first, "took", took,
+		"aim", jb.rt.Aim, "pause", ans.longestGap, "gap", jb.rt.Gap, "larger", jb.largerModels(), "sure", round(jb.threshold),
+		"kept-answer", jb.answerReason, "configuration", jb.tb.Version,
 	}
 	if code == "" {
 		event.Log(jb.fw.deps.Log, event.ExchangeEnded, attrs...)
 		return
 	}
-	event.Log(jb.fw.deps.Log, event.ExchangeCut, append(attrs, "code", code, "message", at.why, "last", jb.last, "no-repeat", jb.noRepeat)...)
+	event.Log(jb.fw.deps.Log, event.ExchangeCut, append(attrs, "code", code, "message", at.reason, "last", jb.lastFailure, "no-repeat", jb.noRetryReason)...)
 }
 
-// log writes the one line about the end of an exchange that had none.
+// log writes the single line about the end of an exchange without an answer.
 func (jb *job) log(fl *core.Failure) {
 	now := time.Now()
 	took := now.Sub(jb.ex.Arrived)
 	jb.fw.meters.ended(fl.Code, took)
 	event.Log(jb.fw.deps.Log, event.ExchangeFailed, "request", jb.ex.ID, "route", jb.rt.ID, "workspace", jb.workspace,
-		"service", jb.service, "model", jb.model(), "code", fl.Code, "ran", fl.Ran, "message", fl.Message, "last", jb.last,
-		"no-repeat", jb.noRepeat, "attempts", jb.sends, "took", took, "retry-after", fl.RetryAfter, "configuration", jb.tb.Version,
+		"service", jb.service, "model", jb.model(), "code", fl.Code, "ran", fl.Ran, "message", fl.Message, "last", jb.lastFailure,
+		"no-repeat", jb.noRetryReason, "attempts", jb.sends, "took", took, "retry-after", fl.RetryAfter, "configuration", jb.tb.Version,
 		"news-age", jb.fw.parts.Age())
 }
 
-// refused writes the one line about an exchange that was turned away.
-func (fw *Forwarder) refused(ex *core.Exchange, fl *core.Failure) {
+// logRefused writes the single line about a refused exchange.
+func (fw *Forwarder) logRefused(ex *core.Exchange, fl *core.Failure) {
 	fw.meters.ended(fl.Code, 0)
 	event.Log(fw.deps.Log, event.ExchangeRefused, "request", ex.ID, "host", ex.Host, "path", ex.Path,
-		"code", fl.Code, "ran", fl.Ran, "message", fl.Message, "retry-after", fl.RetryAfter, "configuration", fw.version(), "news-age", fw.parts.Age())
+		"code", fl.Code, "ran", fl.Ran, "message", fl.Message, "retry-after", fl.RetryAfter, "configuration", fw.configVersion(), "news-age", fw.parts.Age())
 }
 
-// round cuts what is estimated to two places, for the log.
+// round rounds an estimate to two decimal places for the log.
 func round(val float64) float64 { return math.Round(100*val) / 100 }
--- a/core/forward/meters.go
+++ b/core/forward/meters.go
@@ -12,10 +12,10 @@
 	"skylarkstand/core/retry"
 )
 
-// meters count what exchanges come to.
+// meters records the metrics of exchanges.
 type meters struct {
 	scope tally.Scope
-	// took and gaps are recorded often.
+	// took and gaps are looked up once, since they are recorded often.
 	took, gaps tally.Histogram
 }
 
@@ -23,7 +23,7 @@
 	return meters{scope: scope, took: meter.ExchangeTime.Histogram(scope), gaps: meter.GapTime.Histogram(scope)}
 }
 
-// ended counts an exchange by its code, which is empty for an answer.
+// ended counts an exchange by its failure code, which is empty for an answer.
 func (me meters) ended(code core.Code, took time.Duration) {
 	if code == "" {
 		code = "answered"
@@ -34,7 +34,8 @@
 	}
 }
 
-// answered records when an answer began, and when its attempt was sent.
+// answered records how long after its arrival a request's last attempt was sent, and its answer
+// began.
 func (me meters) answered(sv core.ServiceID, wait, first time.Duration) {
 	meter.WaitTime.Record(me.scope, wait, string(sv))
 	meter.FirstByteTime.Record(me.scope, first, string(sv))
@@ -42,12 +43,12 @@
 
 func (me meters) attempt(ve verdict) { meter.Attempts.Inc(me.scope, ve.String()) }
 
-// repeat counts a question to the budget.
-func (me meters) repeat(pu retry.Purpose, granted bool) {
+// budgetDecision counts a request to the retry budget.
+func (me meters) budgetDecision(pu retry.Purpose, granted bool) {
 	meter.Repeats.Inc(me.scope, pu.String(), strconv.FormatBool(granted))
 }
 
-// resumed counts a stream that broke.
+// resumed counts a broken stream by whether it was resumed.
 func (me meters) resumed(ok bool) {
 	outcome := "no"
 	if ok {
@@ -56,22 +57,23 @@
 	meter.Resumptions.Inc(me.scope, outcome)
 }
 
-// String names a verdict in logs and metrics.
+// String returns the verdict's name in logs and metrics.
 func (ve verdict) String() string {
 	return [...]string{"taken", "failed", "refused", "stranger", "unreached", "absent", "lost", "unsure"}[ve]
 }
 
-// drawn is a random number for what is no choice of an upstream.
-func (fw *Forwarder) drawn() float64 { return rand.Float64() }
+// jitterFraction returns a random number from 0 to 1. Unlike draw, it is not used to choose
+// upstreams.
+func (fw *Forwarder) jitterFraction() float64 { return rand.Float64() }
 
-// arrived counts a request for its service.
-func (fw *Forwarder) arrived(jb *job) {
+// countArrival counts a request in the retry window of its service.
+func (fw *Forwarder) countArrival(jb *job) {
 	fw.mu.Lock()
 	defer fw.mu.Unlock()
-	fw.window(jb.service).Arrived(time.Now())
+	fw.retryWindow(jb.service).Arrived(time.Now())
 }
 
-// NewWindows returns what makes a window of repeats for each service.
+// NewWindows returns a function that makes the retry window of a service.
 func NewWindows(length time.Duration, ratio float64, slack func() float64) func() *retry.Window {
 	return func() *retry.Window { return retry.NewWindow(length, ratio, slack) }
 }
--- a/core/forward/model.go
+++ b/core/forward/model.go
@@ -9,7 +9,7 @@
 	"skylarkstand/core/retry"
 )
 
-// model returns the model of the present stage; empty leaves the caller's.
+// model returns the model of the current stage; empty keeps the caller's choice.
 func (jb *job) model() core.ModelID {
 	if !jb.ex.AnyModel || len(jb.rt.Cascade) == 0 {
 		return ""
@@ -17,22 +17,22 @@
 	return jb.rt.Cascade[min(jb.stage, len(jb.rt.Cascade)-1)]
 }
 
-// larger counts the models of the cascade that are larger than the present one.
-func (jb *job) larger() int {
+// largerModels counts the models of the cascade that are larger than the current one.
+func (jb *job) largerModels() int {
 	if !jb.ex.AnyModel {
 		return 0
 	}
 	return max(len(jb.rt.Cascade)-1-jb.stage, 0)
 }
 
-// resumeWithModel begins a stream that its caller has a part of with the model that
-// made that part: the largest one for which an engine keeps the whole prompt.
+// selectResumeStage resumes a partly delivered stream with the model that generated it: the
+// largest one for which an engine has the whole prompt in its prefix cache.
 //
-// The first answer was chosen already, by whichever entry. Begun with the
-// smallest model, the stream would be doubted and climb once more before its
-// caller hears anything, and the pause between two events would be too long.
-func (jb *job) resumeWithModel() {
-	if jb.ex.Resume == "" || !jb.ex.AnyModel || len(jb.ex.Parts) == 0 || jb.off(mechanism.StreamModels) {
+// Some entry has already chosen the model of the first answer. Started with the smallest model,
+// the resumed stream would escalate once more before the caller receives anything, and the pause
+// between two events would be too long.
+func (jb *job) selectResumeStage() {
+	if jb.ex.Resume == "" || !jb.ex.AnyModel || len(jb.ex.Parts) == 0 || jb.disabled(mechanism.StreamModels) {
 		return
 	}
 	fw, now := jb.fw, time.Now()
@@ -49,50 +49,50 @@
 	}
 }
 
-// keptAnswer says why the answer at hand was given, for the log.
-type keptAnswer string
+// answerReason is why an answer was returned, for the log.
+type answerReason string
 
-// The reasons.
+// The reasons to return an answer.
 const (
-	keptSufficed keptAnswer = "sufficed"
-	keptTooLate  keptAnswer = "too-late"
-	keptAttempts keptAnswer = "attempts"
-	keptRepeats  keptAnswer = "repeats"
+	reasonSufficed   answerReason = "sufficed"
+	reasonTooLate    answerReason = "too-late"
+	reasonNoAttempts answerReason = "attempts"
+	reasonNoBudget   answerReason = "repeats"
 )
 
-// doubted is an answer that its model was not sure of.
-type doubted struct{ stage, confidence int }
+// rejectedAnswer is an answer whose confidence was too low.
+type rejectedAnswer struct{ stage, confidence int }
 
-// doubts reports whether a larger model should answer in place of a reply.
-func (jb *job) doubts(re *core.Reply) bool {
+// shouldEscalate reports whether a larger model should answer instead.
+func (jb *job) shouldEscalate(re *core.Reply) bool {
 	if !jb.ex.AnyModel || re.Confidence == core.NoConfidence || len(jb.rt.Cascade) < 2 || !jb.rt.Repeat.Repeatable() {
 		return false
 	}
 	fw := jb.fw
 	fw.mu.Lock()
 	defer fw.mu.Unlock()
-	la := fw.ladder(jb.lane())
-	if jb.doubted != nil {
-		la.Climbed(jb.doubted.stage, jb.doubted.confidence, jb.stage, re.Confidence)
-		jb.doubted = nil
+	pol := fw.escalationPolicy(jb.trafficClass())
+	if jb.rejected != nil {
+		pol.Climbed(jb.rejected.stage, jb.rejected.confidence, jb.stage, re.Confidence)
+		jb.rejected = nil
 	}
-	next, climb := la.Next(len(jb.rt.Cascade), jb.stage, re.Confidence, jb.fits)
-	jb.sure = la.Sure()
+	next, escalate := pol.Next(len(jb.rt.Cascade), jb.stage, re.Confidence, jb.meetsTarget)
+	jb.threshold = pol.Sure()
 	switch {
-	case climb:
-		jb.next = next
-		jb.doubted = &doubted{jb.stage, re.Confidence}
-	case float64(re.Confidence) >= jb.sure:
-		jb.kept = keptSufficed
+	case escalate:
+		jb.nextStage = next
+		jb.rejected = &rejectedAnswer{jb.stage, re.Confidence}
+	case float64(re.Confidence) >= jb.threshold:
+		jb.answerReason = reasonSufficed
 	default:
-		jb.kept = keptTooLate
+		jb.answerReason = reasonTooLate
 	}
-	return climb
+	return escalate
 }
 
-// fits reports whether a model of the cascade would begin its answer while that
-// is still good. The forwarder's lock is held.
-func (jb *job) fits(stage int) bool {
+// meetsTarget reports whether a model of the cascade would begin its answer within the target
+// latency. The forwarder's lock is held.
+func (jb *job) meetsTarget(stage int) bool {
 	now := time.Now()
 	rq := jb.request()
 	rq.Model = jb.rt.Cascade[stage]
@@ -100,20 +100,20 @@
 	return jb.rt.Aim <= 0 || now.Sub(jb.ex.Arrived)+jb.fw.picker.Expect(now, hosts, rq) <= jb.rt.Aim
 }
 
-// climb reports whether the larger model may be asked, and moves there.
-func (jb *job) climb(ctx context.Context) bool {
+// escalate reports whether the larger model may be called, and moves to its stage.
+func (jb *job) escalate(ctx context.Context) bool {
 	switch {
-	case jb.runs >= jb.attempts():
-		jb.kept = keptAttempts
+	case jb.runs >= jb.maxAttempts():
+		jb.answerReason = reasonNoAttempts
 		return false
 	case ctx.Err() != nil:
 		return false
-	case !jb.spend(retry.Climb):
-		jb.kept = keptRepeats
+	case !jb.spendRetry(retry.Climb):
+		jb.answerReason = reasonNoBudget
 		return false
 	}
-	jb.stage = jb.next
-	// The larger model may run where the smaller one did.
+	jb.stage = jb.nextStage
+	// The larger model may run on an upstream that ran the smaller one.
 	jb.tried = nil
 	return true
 }
--- a/core/forward/patience.go
+++ b/core/forward/patience.go
@@ -8,64 +8,61 @@
 )
 
 const (
-	// patienceAim is the part of a route's aim that an attempt may use before
-	// another upstream is asked. Less than half leaves the second attempt the
-	// time to be good still.
-	patienceAim = 0.45
-	// patienceStream is that part for streams. Their first event takes seconds
-	// when the engine reads long prompts, and what was read is lost when they are
-	// given up; an engine without power is found by its connections.
-	patienceStream = 0.9
-	// patienceUsual bounds it from below by the usual time to an answer: under
-	// load all upstreams are slow, and giving up on them would only add work.
-	patienceUsual = 4
-	// patienceRead bounds it from below by the time that the upstream needs to
-	// read this prompt and those before it. The longest prompts take six times
-	// the usual, at any upstream.
-	patienceRead = 5
-	// patienceBusy is how many times as long an upstream is given that answers
-	// others meanwhile.
-	patienceBusy = 4
-	// patienceLeft is the part of the time left beyond which there is no use
-	// in giving an attempt up.
-	patienceLeft = 0.7
-	// stallGaps is how many of a route's longest good pauses a stream may be
-	// silent for before it goes on elsewhere, and stallLeast the least.
-	stallGaps  = 2.5
-	stallLeast = 2 * time.Second
-	// leastLeft is the time left below which no attempt is begun: a round trip
-	// and the shortest work.
-	leastLeft = 15 * time.Millisecond
+	// targetShare is the share of a route's target latency that an attempt may use before
+	// another upstream is tried. Less than half leaves the second attempt enough time to meet
+	// the target.
+	targetShare = 0.45
+	// streamTargetShare is that share for streams. Their first event takes seconds when the
+	// engine prefills long prompts, and canceling loses the finished prefill; an engine that
+	// lost power is detected by its connections.
+	streamTargetShare = 0.9
+	// usualTimeFactor gives the timeout a lower bound in terms of the usual time to an answer:
+	// under load all upstreams are slow, and canceling attempts would only add work.
+	usualTimeFactor = 4
+	// prefillFactor gives the timeout a lower bound in terms of the time that the upstream needs
+	// to prefill this prompt and those before it. The longest prompts take six times the usual
+	// time, at any upstream.
+	prefillFactor = 5
+	// busyFactor is how many times the timeout an upstream gets that answers other requests
+	// meanwhile.
+	busyFactor = 4
+	// remainingShare is the share of the time left above which it is of no use to cancel an attempt.
+	remainingShare = 0.7
+	// stallGapFactor is how many of a route's longest acceptable gaps a stream may be silent for
+	// before it is resumed elsewhere, and minStallTimeout the lower bound.
+	stallGapFactor  = 2.5
+	minStallTimeout = 2 * time.Second
+	// minTimeLeft is the time left below which no attempt is started: a round trip and the
+	// shortest work.
+	minTimeLeft = 15 * time.Millisecond
 )
 
-// patience returns how long an attempt may take to its header before another
-// upstream is asked; 0 is to the end. Usual is the route's usual time to a
-// header, 0 when it is not known, and read the expected time for the prompts at
-// the upstream.
+// headerTimeout returns how long an attempt may take to its response header before another
+// upstream is tried; 0 means no limit of its own. usual is the route's usual time to a header, 0
+// when it is unknown, and prefill the expected time for the prompts at the upstream.
 //
-// Some upstreams take a request and never answer it, with their health check
-// good, and some lose power with the request in hand. The caller's connection
-// would wait for its deadline. Work that may not run twice has to wait.
-func patience(rt *route.Route, usual, read, left time.Duration) time.Duration {
+// Some upstreams accept a request and never answer it while their health check passes, and some
+// lose power with the request in hand. Without a timeout the caller would wait until its
+// deadline. Work that may not run twice has to wait.
+func headerTimeout(rt *route.Route, usual, prefill, left time.Duration) time.Duration {
 	if !rt.Repeat.Repeatable() || rt.Aim <= 0 {
 		return 0
 	}
-	part := patienceAim
+	share := targetShare
 	if rt.Stream {
-		part = patienceStream
+		share = streamTargetShare
 	}
-	wait := max(time.Duration(part*float64(rt.Aim)), patienceUsual*usual, patienceRead*read)
-	if wait > time.Duration(patienceLeft*float64(left)) {
+	wait := max(time.Duration(share*float64(rt.Aim)), usualTimeFactor*usual, prefillFactor*prefill)
+	if wait > time.Duration(remainingShare*float64(left)) {
 		return 0
 	}
 	return wait
 }
 
-// stall returns how long a stream may be silent once it has begun; 0 is for
-// ever.
-func stall(rt *route.Route) time.Duration {
+// stallTimeout returns how long a stream may be silent once it has begun; 0 means no limit.
+func stallTimeout(rt *route.Route) time.Duration {
 	if rt.Repeat != core.Resumable || rt.Gap <= 0 {
 		return 0
 	}
-	return max(time.Duration(stallGaps*float64(rt.Gap)), stallLeast)
+	return max(time.Duration(stallGapFactor*float64(rt.Gap)), minStallTimeout)
 }
--- a/core/forward/pressure_test.go
+++ b/core/forward/pressure_test.go
@@ -13,11 +13,11 @@
 	"skylarkstand/core"
 )
 
-// engines answers each prompt after its reading and a wait, with a confidence that
-// suffices unless told otherwise.
-func engines(thousand, wait time.Duration, confidence *int) act {
+// respondsAfter makes engines that answer each prompt after its prefill and a wait in the queue,
+// with the confidence that the pointer holds at that time.
+func respondsAfter(perThousand, wait time.Duration, confidence *int) behavior {
 	return func(ctx context.Context, ca *core.Call) (*core.Reply, error) {
-		read := time.Duration(float64(thousand) * float64(ca.Prompt) / 1000)
+		read := time.Duration(float64(perThousand) * float64(ca.Prompt) / 1000)
 		select {
 		case <-ctx.Done():
 			return nil, core.Lost("%v", ctx.Err())
@@ -29,24 +29,24 @@
 	}
 }
 
-// climbs reports whether an answer with a confidence is dropped for a larger
-// model's after many prompts of a length were answered.
-func climbs(t *testing.T, prompt core.Tokens, thousand, wait time.Duration, doubt int) bool {
+// escalates reports whether an answer with the given confidence is discarded for a larger
+// model's, after many prompts of a length were answered.
+func escalates(t *testing.T, prompt core.Tokens, perThousand, wait time.Duration, lastConfidence int) bool {
 	t.Helper()
 	confidence := 90
-	wo := newWorld(t, engines(thousand, wait, &confidence))
+	wo := newFixture(t, respondsAfter(perThousand, wait, &confidence))
 	for i := range 60 {
-		wo.prompt(t, fmt.Sprint("short", i), 100) // The way there is learned by these.
-		wo.prompt(t, fmt.Sprint("long", i), prompt)
+		wo.sendPrompt(t, fmt.Sprint("short", i), 100) // These teach the entry the round-trip time.
+		wo.sendPrompt(t, fmt.Sprint("long", i), prompt)
 	}
 	before := len(wo.calls)
-	confidence = doubt
-	wo.prompt(t, "last", 100)
+	confidence = lastConfidence
+	wo.sendPrompt(t, "last", 100)
 	return len(wo.calls) > before+1
 }
 
-// prompt asks with a prompt that shares nothing with another one.
-func (wo *world) prompt(t *testing.T, id string, prompt core.Tokens) {
+// sendPrompt sends a prompt that has no prefix in common with another one.
+func (wo *fixture) sendPrompt(t *testing.T, id string, prompt core.Tokens) {
 	t.Helper()
 	ex := &core.Exchange{
 		ID: core.RequestID(id), Host: "a.example", Path: "/draft/x", Target: "/draft/x", Method: http.MethodPost, Key: "key",
@@ -63,58 +63,58 @@
 	}
 }
 
-// Guards against doubtful answers of which nobody can tell why they were given.
-func TestLineTellsWhyAnAnswerWasGiven(t *testing.T) {
+// Guards against low-confidence answers whose log line doesn't say why they were returned.
+func TestLogOfAnswerReason(t *testing.T) {
 	scenarios := []struct {
 		testName   string
 		confidence int
-		// spent has the repeats used up.
+		// spent means that the retry budget is used up.
 		spent bool
 		want  string
 	}{
-		{"it suffices", 90, false, "sufficed"},
-		{"there are no repeats left", 5, true, "repeats"},
+		{"confidence suffices", 90, false, "sufficed"},
+		{"no retries left", 5, true, "repeats"},
 	}
 	for _, sc := range scenarios {
 		t.Run(sc.testName, func(t *testing.T) {
-			play(t, func(t *testing.T) {
+			runInBubble(t, func(t *testing.T) {
 				confidence := 5
-				wo := newWorld(t, engines(time.Millisecond, 0, &confidence))
+				wo := newFixture(t, respondsAfter(time.Millisecond, 0, &confidence))
 				for i := 0; sc.spent && i < 100; i++ {
-					wo.prompt(t, fmt.Sprint("r", i), 100)
+					wo.sendPrompt(t, fmt.Sprint("r", i), 100)
 				}
 				confidence = sc.confidence
-				wo.prompt(t, "last", 100)
-				ended := wo.lines("exchange-ended")
+				wo.sendPrompt(t, "last", 100)
+				ended := wo.logLines("exchange-ended")
 				assert.Equal(t, ended[len(ended)-1].Kept, sc.want)
 			})
 		})
 	}
 }
 
-// Guards against long prompts and slow engines that pass for load: doubtful answers
-// are then given although the engines are idle.
-func TestReadingIsNoLoad(t *testing.T) {
+// Guards against long prompts and slow engines that count as load: low-confidence answers are
+// then returned although the engines are idle.
+func TestPrefillTimeIsNoPressure(t *testing.T) {
 	const usual = 35 * time.Millisecond
 	for _, times := range []float64{0.2, 1, 5} {
 		for _, prompt := range []core.Tokens{1_000, 10_000} {
-			thousand := time.Duration(times * float64(usual))
-			t.Run(fmt.Sprint(prompt, " tokens at ", thousand, " a thousand"), func(t *testing.T) {
-				play(t, func(t *testing.T) {
-					assert.Assert(t, climbs(t, prompt, thousand, 0, 50), "the engines have room")
+			perThousand := time.Duration(times * float64(usual))
+			t.Run(fmt.Sprint(prompt, " tokens at ", perThousand, " a thousand"), func(t *testing.T) {
+				runInBubble(t, func(t *testing.T) {
+					assert.Assert(t, escalates(t, prompt, perThousand, 0, 50), "no escalation although the engines are idle")
 				})
 			})
 		}
 	}
 }
 
-// Guards against engines that are kept busy with doubts while callers wait for most
-// of the time in which answers are good.
-func TestWaitsAreLoad(t *testing.T) {
+// Guards against engines kept busy with escalations while callers wait for most of the target
+// latency.
+func TestQueueingTimeIsPressure(t *testing.T) {
 	for _, prompt := range []core.Tokens{1_000, 10_000} {
 		t.Run(fmt.Sprint(prompt, " tokens"), func(t *testing.T) {
-			play(t, func(t *testing.T) {
-				assert.Assert(t, !climbs(t, prompt, 35*time.Millisecond, 3*time.Second, 30))
+			runInBubble(t, func(t *testing.T) {
+				assert.Assert(t, !escalates(t, prompt, 35*time.Millisecond, 3*time.Second, 30))
 			})
 		})
 	}
--- a/core/forward/silence.go
+++ b/core/forward/silence.go
@@ -9,14 +9,14 @@
 )
 
 var (
-	errSilent  = errors.New("no answer began in the usual time")
-	errStalled = errors.New("the answer stopped half-way")
+	errHeaderTimeout = errors.New("no answer began in the usual time")
+	errStalled       = errors.New("the answer stopped half-way")
 )
 
-// watch gives the attempt up when its header takes too long, and returns the
-// clean-up. An upstream that sends pieces of other answers meanwhile is busy and
-// not gone; it is given longer, since another one would only begin anew.
-func (at *attempt) watch() func() {
+// watchHeader cancels the attempt when its header takes too long, and returns the clean-up. An
+// upstream that sends pieces of other answers meanwhile is busy, not down; it gets more time,
+// since another upstream would have to start from the beginning.
+func (at *attempt) watchHeader() func() {
 	var ti *time.Timer
 	var mu sync.Mutex
 	stopped := false
@@ -27,15 +27,15 @@
 		if stopped {
 			return
 		}
-		if now.Sub(at.sent) < patienceBusy*at.patience && at.alive(now.Add(-at.patience/2)) {
-			ti.Reset(at.patience / 2)
+		if now.Sub(at.sent) < busyFactor*at.headerTimeout && at.upstreamActive(now.Add(-at.headerTimeout/2)) {
+			ti.Reset(at.headerTimeout / 2)
 			return
 		}
-		at.cancel(errSilent)
+		at.cancel(errHeaderTimeout)
 	}
 	mu.Lock()
 	defer mu.Unlock()
-	ti = time.AfterFunc(at.patience, check)
+	ti = time.AfterFunc(at.headerTimeout, check)
 	return func() {
 		mu.Lock()
 		defer mu.Unlock()
@@ -44,20 +44,20 @@
 	}
 }
 
-// watchOverdue has an attempt at a version under roll-out count as failed while
-// its header is still awaited, and returns the clean-up. A version that hangs or
-// is many times slower is otherwise known only when its callers have given up.
+// watchOverdue counts an attempt at a version under roll-out as failed while its header is still
+// outstanding, and returns the clean-up. Otherwise a version that hangs or is many times slower
+// would be detected only after its callers have given up.
 func (at *attempt) watchOverdue() func() {
 	limit := at.jb.fw.parts.Canary.Overdue(at.to.Service, at.to.Version, at.pool())
 	if limit <= 0 {
 		return func() {}
 	}
-	ti := time.AfterFunc(limit, func() { at.show(canary.Outcome{Failed: true}) })
+	ti := time.AfterFunc(limit, func() { at.reportOutcome(canary.Outcome{Failed: true}) })
 	return func() { ti.Stop() }
 }
 
-// alive reports whether the upstream sent anything since a time.
-func (at *attempt) alive(since time.Time) bool {
+// upstreamActive reports whether the upstream has sent anything since the given time.
+func (at *attempt) upstreamActive(since time.Time) bool {
 	fw := at.jb.fw
 	fw.mu.Lock()
 	defer fw.mu.Unlock()
--- a/core/forward/start.go
+++ b/core/forward/start.go
@@ -8,23 +8,21 @@
 	"skylarkstand/core/route"
 )
 
-// startLimit is how long after its start a process may let a request wait for
-// the first configuration. The store or another entry gives it within 10 ms in
-// their region and 160 ms from another one, over three round trips of 60 ms and
-// the opening of connections; the rest is for a lost packet. When neither
-// answers in that time they are away for seconds, and the caller is told so.
+// startupWaitLimit is how long after its start a process may let a request wait for the first
+// configuration. The store or a sibling entry supplies it within 10 ms in the local region and
+// 160 ms from another one, over three round trips of 60 ms and the opening of connections; the
+// rest allows for a lost packet. If neither answers in that time, they are down for seconds, and
+// the caller gets a refusal.
 //
-// It is made for the moment after all entries were lost: their callers come back
-// at once, the balancer has nobody else to send them to, and a refusal uses up
-// the one retry that most of them have. Of the days with trouble, 23 callers
-// each were refused so.
-const startLimit = 700 * time.Millisecond
+// The wait is for the moment after all entries were lost: their callers retry at once, the load
+// balancer has no other entry, and a refusal uses up the only retry of most callers.
+const startupWaitLimit = 700 * time.Millisecond
 
-// table returns the configuration in force, or nil when there is none and none
-// can be expected soon.
-func (fw *Forwarder) table(ctx context.Context) *route.Table {
+// awaitTable returns the configuration in force, or nil when there is none and none can be
+// expected soon.
+func (fw *Forwarder) awaitTable(ctx context.Context) *route.Table {
 	inf := fw.parts.InForce
-	left := startLimit - time.Since(fw.started)
+	left := startupWaitLimit - time.Since(fw.started)
 	if tb := inf.Current(); tb != nil || left <= 0 || fw.parts.Off.Has(mechanism.StartWait) {
 		return tb
 	}
--- a/core/forward/start_test.go
+++ b/core/forward/start_test.go
@@ -12,15 +12,15 @@
 	"skylarkstand/core"
 )
 
-// All entries were lost, and their callers come back to one that has just
-// started. Its configuration is a few round trips away. Were they refused for
-// want of it, most would have used up their only retry and get no answer at all.
-func TestCallersOfAnEntryThatStarts(t *testing.T) {
-	play(t, func(t *testing.T) {
-		wo := newUnconfiguredWorld(t, answers(http.StatusOK, "done"))
+// All entries were lost, and their callers retry at one that has just started, whose
+// configuration is a few round trips away. Guards against refusing them meanwhile: most would
+// have used up their only retry and get no answer at all.
+func TestRequestDuringStartup(t *testing.T) {
+	runInBubble(t, func(t *testing.T) {
+		wo := newUnconfiguredFixture(t, answers(http.StatusOK, "done"))
 		time.AfterFunc(160*time.Millisecond, func() { wo.inf.Adopt(wo.tb) })
 		began := time.Now()
-		status, text, err := wo.ask(t.Context(), "/claim/1")
+		status, text, err := wo.send(t.Context(), "/claim/1")
 		assert.NilError(t, err)
 		assert.Equal(t, status, http.StatusOK)
 		assert.Equal(t, text, "done")
@@ -28,15 +28,15 @@
 	})
 }
 
-// The store and the other entries are away when an entry starts. Its callers
-// must hear within a second that their requests did not run and when to come
-// back, and those who come later at once: nothing better can be hoped for.
-func TestEntryThatGetsNoConfiguration(t *testing.T) {
-	play(t, func(t *testing.T) {
-		wo := newUnconfiguredWorld(t, answers(http.StatusOK, "done"))
+// The store and the sibling entries are down when an entry starts. Its callers must get a
+// refusal with a Retry-After within a second, which says that their requests did not run, and
+// later callers at once, since waiting wouldn't help.
+func TestStartupWithoutConfiguration(t *testing.T) {
+	runInBubble(t, func(t *testing.T) {
+		wo := newUnconfiguredFixture(t, answers(http.StatusOK, "done"))
 		for _, limit := range []time.Duration{time.Second, time.Millisecond} {
 			began := time.Now()
-			_, _, err := wo.ask(t.Context(), "/claim/1")
+			_, _, err := wo.send(t.Context(), "/claim/1")
 			var fl *core.Failure
 			assert.Assert(t, errors.As(err, &fl), "%v", err)
 			assert.Equal(t, fl.Code, core.CodeNoConfig)
@@ -47,12 +47,12 @@
 	})
 }
 
-// All entries were lost in the middle of a stream that the large model was
-// making, and its caller comes back with the last event that it has. The entry
-// that takes it over must go on at the engine that has the prompt in memory, with
-// the same model; asking the small one first keeps the caller waiting for longer
-// than a pause may be. A caller that begins anew begins with the small model.
-func TestBrokenStreamGoesOnWithItsModel(t *testing.T) {
+// All entries were lost in the middle of a stream that the large model was generating, and its
+// caller reconnects with the id of its last event. The new entry must resume at the engine with
+// the prompt in its prefix cache, with the same model; calling the small model first makes the
+// gap between two events too long. A request that starts from the beginning uses the small model
+// first.
+func TestResumedStreamKeepsItsModel(t *testing.T) {
 	const small, rest = "data: hm\n\n", "id: 8\ndata: b\n\n"
 	parts := []core.Part{{ID: "house", Tokens: 900}, {ID: "own", Tokens: 4000}}
 	scenarios := []struct {
@@ -61,19 +61,19 @@
 		resume   string
 		models   []core.ModelID
 	}{
-		{"kept by the large model", []core.ModelID{"small", "large"}, "7", []core.ModelID{"large"}},
-		{"kept by the small model", []core.ModelID{"small"}, "7", []core.ModelID{"small", "large"}},
-		{"not kept", nil, "7", []core.ModelID{"small", "large"}},
-		{"begins anew", []core.ModelID{"small", "large"}, "", []core.ModelID{"small", "large"}},
+		{"in the large model's prefix cache", []core.ModelID{"small", "large"}, "7", []core.ModelID{"large"}},
+		{"in the small model's prefix cache", []core.ModelID{"small"}, "7", []core.ModelID{"small", "large"}},
+		{"in no prefix cache", nil, "7", []core.ModelID{"small", "large"}},
+		{"starts from the beginning", []core.ModelID{"small", "large"}, "", []core.ModelID{"small", "large"}},
 	}
 	for _, sc := range scenarios {
 		t.Run(sc.testName, func(t *testing.T) {
-			play(t, func(t *testing.T) {
-				wo := newWorld(t, func(_ context.Context, ca *core.Call) (*core.Reply, error) {
+			runInBubble(t, func(t *testing.T) {
+				wo := newFixture(t, func(_ context.Context, ca *core.Call) (*core.Reply, error) {
 					if ca.Model == "small" {
-						return sure(5, small)(nil, ca)
+						return withConfidence(5, small)(nil, ca)
 					}
-					return sure(90, rest)(nil, ca)
+					return withConfidence(90, rest)(nil, ca)
 				})
 				engine := core.Host{ID: "up-2"}
 				for _, mo := range sc.held {
--- a/core/forward/world_test.go
+++ b/core/forward/world_test.go
@@ -27,32 +27,32 @@
 	"skylarkstand/core/warmup"
 )
 
-// act is what an upstream does with a call.
-type act func(ctx context.Context, ca *core.Call) (*core.Reply, error)
+// behavior is how an upstream responds to a call.
+type behavior func(ctx context.Context, ca *core.Call) (*core.Reply, error)
 
-// world is a route to four upstreams that do what a test says.
-type world struct {
+// fixture is a forwarder with four upstreams whose behavior a test sets.
+type fixture struct {
 	t  *testing.T
 	fw *forward.Forwarder
 	fl *fleet.Fleet
-	// key is what callers ask with.
+	// key is the API key of the callers.
 	key core.APIKey
-	// inf is what is in force, and tb the configuration of the world.
+	// inf is the configuration in force, and tb the fixture's configuration.
 	inf *route.InForce
 	tb  *route.Table
-	// acts are played in the order of the calls; the last one goes on.
-	acts []act
+	// behaviors apply to the calls in their order; the last one also applies to all later calls.
+	behaviors []behavior
 
 	mu    sync.Mutex
 	calls []core.Call
 	age   time.Duration
-	// left is how long the process still serves; 0 is no stop.
+	// left is how long the process still serves; 0 means that it isn't stopping.
 	left time.Duration
-	// log is the lines that were written.
+	// log holds the log lines that were written.
 	log bytes.Buffer
 }
 
-// desk, draft and the others are the routes of the world.
+// routes are the routes of the fixture.
 var routes = []route.Route{
 	{ID: "lookup", Prefix: "/lookup/", Repeat: core.Idempotent, MaxAttempts: 2, Aim: 400 * time.Millisecond, Timeout: 3 * time.Second},
 	{ID: "claim", Prefix: "/claim/", MaxAttempts: 1, Aim: 400 * time.Millisecond, Timeout: 3 * time.Second},
@@ -61,18 +61,18 @@
 	{ID: "chat", Prefix: "/chat/", Stream: true, MaxAttempts: 3, Aim: 4 * time.Second, Timeout: 20 * time.Second, Cascade: []core.ModelID{"small", "large"}},
 }
 
-// newWorld returns a world. It is made inside a bubble of its own time.
-func newWorld(t *testing.T, acts ...act) *world {
+// newFixture returns a fixture. It must be called inside a synctest bubble.
+func newFixture(t *testing.T, behaviors ...behavior) *fixture {
 	t.Helper()
-	wo := newUnconfiguredWorld(t, acts...)
+	wo := newUnconfiguredFixture(t, behaviors...)
 	wo.inf.Adopt(wo.tb)
 	return wo
 }
 
-// newUnconfiguredWorld returns one whose entry has no configuration yet.
-func newUnconfiguredWorld(t *testing.T, acts ...act) *world {
+// newUnconfiguredFixture returns a fixture whose entry has no configuration yet.
+func newUnconfiguredFixture(t *testing.T, behaviors ...behavior) *fixture {
 	t.Helper()
-	wo := &world{t: t, acts: acts, inf: route.NewInForce(), fl: fleet.New(), key: "key"}
+	wo := &fixture{t: t, behaviors: behaviors, inf: route.NewInForce(), fl: fleet.New(), key: "key"}
 	doc := route.Document{
 		Version:  3,
 		Services: []route.Service{{ID: "pool"}},
@@ -103,16 +103,16 @@
 }
 
 // Call implements core.Access.
-func (wo *world) Call(ctx context.Context, ca *core.Call) (*core.Reply, error) {
+func (wo *fixture) Call(ctx context.Context, ca *core.Call) (*core.Reply, error) {
 	wo.mu.Lock()
 	n := len(wo.calls)
 	wo.calls = append(wo.calls, *ca)
 	wo.mu.Unlock()
-	return wo.acts[min(n, len(wo.acts)-1)](ctx, ca)
+	return wo.behaviors[min(n, len(wo.behaviors)-1)](ctx, ca)
 }
 
-// ask sends a request and returns the whole answer, or the failure.
-func (wo *world) ask(ctx context.Context, path string) (int, string, error) {
+// send sends a request and returns the whole answer, or the failure.
+func (wo *fixture) send(ctx context.Context, path string) (int, string, error) {
 	ex := &core.Exchange{
 		ID: "r1", Host: "a.example", Path: path, Target: path, Method: http.MethodPost, Key: wo.key,
 		Header: http.Header{}, Arrived: time.Now(), Deadline: 10 * time.Second, AnyModel: true,
@@ -135,7 +135,7 @@
 	}
 }
 
-// body is what an upstream sends, and how it ends.
+// body is the body of a reply, with the error that ends it and a pause before each read.
 type body struct {
 	io.Reader
 	ctx   context.Context
@@ -170,12 +170,12 @@
 }
 
 // answers replies with a whole answer.
-func answers(status int, text string) act {
+func answers(status int, text string) behavior {
 	return func(context.Context, *core.Call) (*core.Reply, error) { return reply(status, text), nil }
 }
 
-// breaks replies with the beginning of an answer.
-func breaks(text string) act {
+// breaksOff replies with the beginning of an answer and then loses the connection.
+func breaksOff(text string) behavior {
 	return func(context.Context, *core.Call) (*core.Reply, error) {
 		re := reply(http.StatusOK, text)
 		re.Body = &body{Reader: strings.NewReader(text), end: errReset}
@@ -183,8 +183,8 @@
 	}
 }
 
-// stalls replies with the beginning of an answer and then nothing more.
-func stalls(text string) act {
+// stalls replies with the beginning of an answer and then sends nothing more.
+func stalls(text string) behavior {
 	return func(ctx context.Context, _ *core.Call) (*core.Reply, error) {
 		re := reply(http.StatusOK, text)
 		rest := &body{Reader: strings.NewReader(""), ctx: ctx, pause: time.Hour}
@@ -193,8 +193,8 @@
 	}
 }
 
-// sure is an answer with a confidence.
-func sure(confidence int, text string) act {
+// withConfidence replies with an answer of a given confidence.
+func withConfidence(confidence int, text string) behavior {
 	return func(context.Context, *core.Call) (*core.Reply, error) {
 		re := reply(http.StatusOK, text)
 		re.Confidence = confidence
@@ -202,41 +202,43 @@
 	}
 }
 
-// full refuses without running.
-func full(context.Context, *core.Call) (*core.Reply, error) {
+// refuses refuses the call without running it.
+func refuses(context.Context, *core.Call) (*core.Reply, error) {
 	re := reply(http.StatusServiceUnavailable, "full")
 	re.NotRun = true
 	return re, nil
 }
 
-// forged is a success without the upstream's proof.
-func forged(context.Context, *core.Call) (*core.Reply, error) {
+// unsealed replies with a success without the upstream's seal.
+func unsealed(context.Context, *core.Call) (*core.Reply, error) {
 	re := reply(http.StatusOK, "somebody else's")
 	re.Sealed = false
 	return re, nil
 }
 
-// away cannot be reached; cut lost the connection after the call was sent.
-func away(context.Context, *core.Call) (*core.Reply, error) {
+// unreachable fails before the call is sent; losesConnection fails after that.
+func unreachable(context.Context, *core.Call) (*core.Reply, error) {
 	return nil, core.Refuse(core.CodeNoUpstream, 0, "refused")
 }
 
-func cut(context.Context, *core.Call) (*core.Reply, error) { return nil, core.Lost("reset") }
+func losesConnection(context.Context, *core.Call) (*core.Reply, error) {
+	return nil, core.Lost("reset")
+}
 
-// mute takes the call and never answers.
-func mute(ctx context.Context, _ *core.Call) (*core.Reply, error) {
+// hangs accepts the call and never answers.
+func hangs(ctx context.Context, _ *core.Call) (*core.Reply, error) {
 	<-ctx.Done()
 	return nil, core.Lost("%v", ctx.Err())
 }
 
-// play runs a test in a bubble of its own time.
-func play(t *testing.T, fn func(t *testing.T)) {
+// runInBubble runs a test in a synctest bubble, with a clock of its own.
+func runInBubble(t *testing.T, fn func(t *testing.T)) {
 	t.Helper()
 	synctest.Test(t, fn)
 }
 
-// line is what the tests read of a log line.
-type line struct {
+// logLine holds the attributes of a log line that the tests check.
+type logLine struct {
 	Msg       string `json:"msg"`
 	Request   string `json:"request"`
 	Attempt   int    `json:"attempt"`
@@ -250,11 +252,11 @@
 	Candidate int    `json:"candidates"`
 }
 
-// lines returns what was logged with one of some events.
-func (wo *world) lines(events ...string) []line {
-	var out []line
+// logLines returns the logged lines of the given events.
+func (wo *fixture) logLines(events ...string) []logLine {
+	var out []logLine
 	for row := range bytes.Lines(wo.log.Bytes()) {
-		var li line
+		var li logLine
 		assert.NilError(wo.t, json.Unmarshal(row, &li))
 		if slices.Contains(events, li.Msg) {
 			out = append(out, li)
@@ -263,8 +265,8 @@
 	return out
 }
 
-// adoptWith puts a newer configuration in force, with another workspace besides.
-func (wo *world) adoptWith(version route.Version, ws route.Workspace) {
+// adoptWith puts a newer configuration in force, with the given workspace.
+func (wo *fixture) adoptWith(version route.Version, ws route.Workspace) {
 	wo.t.Helper()
 	doc := route.Document{Version: version, Services: []route.Service{{ID: "pool"}}, Workspaces: []route.Workspace{ws}}
 	for _, rt := range routes {
