--- a/core/retry/lent.go
+++ b/core/retry/lent.go
@@ -3,57 +3,57 @@
 import "time"
 
 const (
-	// lentPart is how far beyond its own part an entry may go while all together
-	// have some left. The parts of all entries with it stay below the bound, so that
-	// it holds also when what was told is wrong by then, or its teller is gone.
-	lentPart = 0.1
-	// toldLife is how long what another entry has left counts.
-	toldLife = time.Second
-	// toldLeast is the entries that must have told for anything to be lent, and
-	// toldMargin the repeats that each may have made since.
-	toldLeast  = 3
-	toldMargin = 1
+	// borrowPart is the part of the bound by which an entry may exceed its own part while the
+	// siblings together have budget left. With it, the parts of all entries still add up to less
+	// than the bound, so the bound also holds when reports are outdated or their sender is gone.
+	borrowPart = 0.1
+	// reportTTL is how long a sibling's report of its remaining budget counts.
+	reportTTL = time.Second
+	// minReports is the number of siblings whose reports are needed to borrow anything, and
+	// reportMargin the retries that each of them may have made since its report.
+	minReports   = 3
+	reportMargin = 1
 )
 
-// toldLeft is what another entry has left.
-type toldLeft struct {
+// siblingReport is the remaining budget that a sibling reported, and when.
+type siblingReport struct {
 	left float64
 	at   time.Time
 }
 
-// Tell returns what this entry tells the others that it has left: less than nothing
-// after it went beyond its part.
+// Tell returns the remaining budget that this entry reports to its siblings. It is negative
+// after the entry has exceeded its part.
 func (wi *Window) Tell(now time.Time) float64 {
 	wi.mu.Lock()
 	defer wi.mu.Unlock()
-	wi.at(now)
+	wi.bucketAt(now)
 	return wi.left(Climb)
 }
 
-// Told takes in what another entry has left.
+// Told processes a sibling's report of its remaining budget.
 func (wi *Window) Told(now time.Time, from uint64, left float64) {
 	wi.mu.Lock()
 	defer wi.mu.Unlock()
-	wi.told[from] = toldLeft{left, now}
-	for id, to := range wi.told {
-		if now.Sub(to.at) > toldLife {
-			delete(wi.told, id)
+	wi.reports[from] = siblingReport{left, now}
+	for id, re := range wi.reports {
+		if now.Sub(re.at) > reportTTL {
+			delete(wi.reports, id)
 		}
 	}
 }
 
-// lent reports whether a repeat beyond this entry's part may be made.
-func (wi *Window) lent(now time.Time, pu Purpose) bool {
-	allowed, repeats := wi.sum()
-	if (pu.part()+lentPart)*allowed-repeats < 1 {
+// mayBorrow reports whether a retry beyond this entry's part may be made.
+func (wi *Window) mayBorrow(now time.Time, pu Purpose) bool {
+	allowed, retries := wi.sum()
+	if (pu.part()+borrowPart)*allowed-retries < 1 {
 		return false
 	}
 	all, entries := wi.left(pu), 0
-	for _, to := range wi.told {
-		if now.Sub(to.at) <= toldLife {
-			all += to.left - toldMargin
+	for _, re := range wi.reports {
+		if now.Sub(re.at) <= reportTTL {
+			all += re.left - reportMargin
 			entries++
 		}
 	}
-	return entries >= toldLeast && all >= 1
+	return entries >= minReports && all >= 1
 }
--- a/core/retry/lent_test.go
+++ b/core/retry/lent_test.go
@@ -10,100 +10,100 @@
 	"skylarkstand/core/retry"
 )
 
-// lending plays entries that share a budget and tell one another, with loss, what
-// they have left.
-type lending struct {
+// simulation runs entries that share a budget and report their remaining budget to one another,
+// with loss.
+type simulation struct {
 	seed    uint64
 	entries int
-	// wants is the repeats that each request asks for.
-	wants float64
-	// lost is the part of the telling that is lost, and deaf has nothing told at all.
-	lost float64
-	deaf bool
-	// dies has every tenth entry started anew now and then.
-	dies bool
+	// retriesPerRequest is the mean number of retries that each request needs.
+	retriesPerRequest float64
+	// lossRate is the share of reports that are lost; isolated means that none are sent.
+	lossRate float64
+	isolated bool
+	// restarts means that an entry is restarted with empty state every 400 requests.
+	restarts bool
 }
 
 const (
-	lentRatio = 0.9
-	lentSlack = 100.0
-	lentSpan  = 10 * time.Second
+	simRatio  = 0.9
+	simSlack  = 100.0
+	simWindow = 10 * time.Second
 )
 
-// play returns the repeats that were asked for and not made, and fails the test when
-// all entries together made more in some span than the budget has.
-func (le lending) play(t *testing.T) (refused, asked int) {
+// run returns the retries that were refused and those that were requested. It fails the test
+// when all entries together made more retries in some interval than the budget allows.
+func (le simulation) run(t *testing.T) (refused, requested int) {
 	t.Helper()
 	rnd := rand.New(rand.NewPCG(le.seed, 9))
 	start := func() *retry.Window {
-		return retry.NewWindow(lentSpan, lentRatio, func() float64 { return retry.Share(lentSlack, le.entries) })
+		return retry.NewWindow(simWindow, simRatio, func() float64 { return retry.Share(simSlack, le.entries) })
 	}
-	wis := make([]*retry.Window, le.entries)
-	for i := range wis {
-		wis[i] = start()
+	windows := make([]*retry.Window, le.entries)
+	for i := range windows {
+		windows[i] = start()
 	}
 	now := time.Unix(1_000_000, 0)
-	var requests, repeats []time.Time
+	var requests, retries []time.Time
 	for n := range 6_000 { // Half a minute at 200 requests a second.
 		now = now.Add(5 * time.Millisecond)
 
-		wi := wis[rnd.IntN(le.entries)]
+		wi := windows[rnd.IntN(le.entries)]
 		wi.Arrived(now)
 		requests = append(requests, now)
-		for p := le.wants; p > 0; p-- {
+		for p := le.retriesPerRequest; p > 0; p-- {
 			if rnd.Float64() >= p {
 				continue
 			}
-			asked++
+			requested++
 			if wi.Spend(now, retry.Climb) {
-				repeats = append(repeats, now)
+				retries = append(retries, now)
 			} else {
 				refused++
 			}
 		}
-		if n%50 == 0 && !le.deaf {
-			le.tell(rnd, now, wis)
+		if n%50 == 0 && !le.isolated {
+			le.gossip(rnd, now, windows)
 		}
-		if le.dies && n%400 == 0 {
-			wis[rnd.IntN(le.entries)] = start()
+		if le.restarts && n%400 == 0 {
+			windows[rnd.IntN(le.entries)] = start()
 		}
 	}
-	for i := 0; i < len(repeats); i += 211 {
-		from := repeats[i]
-		got := float64(between(repeats, from, from.Add(lentSpan)))
-		most := lentRatio*float64(between(requests, from.Add(-lentSpan/2), from.Add(lentSpan))) + lentSlack
-		assert.Assert(t, got <= most, "seed %d: %v repeats, bound %v", le.seed, got, most)
+	for i := 0; i < len(retries); i += 211 {
+		from := retries[i]
+		got := float64(between(retries, from, from.Add(simWindow)))
+		most := simRatio*float64(between(requests, from.Add(-simWindow/2), from.Add(simWindow))) + simSlack
+		assert.Assert(t, got <= most, "seed %d: %v retries, bound %v", le.seed, got, most)
 	}
-	return refused, asked
+	return refused, requested
 }
 
-func (le lending) tell(rnd *rand.Rand, now time.Time, wis []*retry.Window) {
-	for i, wi := range wis {
+func (le simulation) gossip(rnd *rand.Rand, now time.Time, windows []*retry.Window) {
+	for i, wi := range windows {
 		left := wi.Tell(now)
-		for j, other := range wis {
-			if i != j && rnd.Float64() >= le.lost {
+		for j, other := range windows {
+			if i != j && rnd.Float64() >= le.lossRate {
 				other.Told(now, uint64(i), left)
 			}
 		}
 	}
 }
 
-// Guards against entries that together repeat more than the pool may get, with all
-// that they lend: whatever of what they tell is lost, and when they are killed.
-func TestLendingKeepsToTheSharedBound(t *testing.T) {
+// Guards against entries that together exceed the shared bound by borrowing, with any loss of
+// reports and with entries that are killed.
+func TestBorrowingKeepsToTheSharedBound(t *testing.T) {
 	for seed := range uint64(4) {
-		for _, wants := range []float64{0.7, 3} {
-			for _, lost := range []float64{0, 0.4, 1} {
-				le := lending{seed: seed, entries: 33, wants: wants, lost: lost, dies: seed%2 == 1}
-				le.play(t)
+		for _, perRequest := range []float64{0.7, 3} {
+			for _, lossRate := range []float64{0, 0.4, 1} {
+				le := simulation{seed: seed, entries: 33, retriesPerRequest: perRequest, lossRate: lossRate, restarts: seed%2 == 1}
+				le.run(t)
 			}
 		}
 	}
 }
 
-// Guards against an entry that goes beyond its part although the others have used
-// theirs, or have told nothing lately.
-func TestNothingIsLentWhereNothingIsLeft(t *testing.T) {
+// Guards against an entry that exceeds its part although its siblings have used theirs, or have
+// not reported lately.
+func TestNoBorrowingWithoutSiblingBudget(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	scenarios := []struct {
 		testName string
@@ -111,14 +111,14 @@
 		age      time.Duration
 		want     bool
 	}{
-		{"the others have some left", 8, 0, true},
-		{"the others have used theirs", 0, 0, false},
-		{"the others have gone beyond theirs", -3, 0, false},
-		{"what they told is old", 8, 2 * time.Second, false},
+		{"siblings have budget left", 8, 0, true},
+		{"siblings have used theirs", 0, 0, false},
+		{"siblings have exceeded theirs", -3, 0, false},
+		{"reports are outdated", 8, 2 * time.Second, false},
 	}
 	for _, sc := range scenarios {
 		t.Run(sc.testName, func(t *testing.T) {
-			wi := retry.NewWindow(lentSpan, 0.5, fixed(0))
+			wi := retry.NewWindow(simWindow, 0.5, fixed(0))
 			for range 40 {
 				wi.Arrived(now)
 			}
@@ -132,13 +132,13 @@
 	}
 }
 
-// Guards against callers who get a doubtful answer for want of repeats at one entry
-// while its neighbours have plenty.
-func TestEntryUsesWhatOthersHaveLeft(t *testing.T) {
-	le := lending{entries: 33, wants: 0.66}
-	refused, asked := le.play(t)
-	le.deaf = true
-	alone, _ := le.play(t)
-	assert.Assert(t, refused < alone/2, "%d of %d were refused, %d without lending", refused, asked, alone)
-	assert.Assert(t, refused < asked/50)
+// Guards against callers that get a low-confidence answer because one entry has no budget left
+// while its siblings have plenty.
+func TestBorrowingUsesSiblingBudget(t *testing.T) {
+	le := simulation{entries: 33, retriesPerRequest: 0.66}
+	refused, requested := le.run(t)
+	le.isolated = true
+	isolated, _ := le.run(t)
+	assert.Assert(t, refused < isolated/2, "%d of %d retries were refused, %d without borrowing", refused, requested, isolated)
+	assert.Assert(t, refused < requested/50)
 }
--- a/core/retry/retry.go
+++ b/core/retry/retry.go
@@ -1,18 +1,17 @@
-// Package retry decides whether a failed attempt may be tried on another
-// upstream.
+// Package retry decides whether a failed attempt may be retried at another upstream, and bounds
+// the retries at a service by its requests.
 //
-// Retries are meant for the odd failure. When a whole pool fails or is full,
-// they multiply the work at the worst moment: three tries for each request
-// turn an overload of 1.2 into one of 3.6, which then does not end by itself.
-// One notices it as a pool that stays full although callers send no more than
-// usual. So retries draw on a budget that only successes fill.
+// Retries serve occasional failures. When a whole pool fails or is full, they multiply its work
+// at the worst moment: three attempts for each request turn an overload of 1.2 into one of 3.6,
+// which then does not end by itself. It shows as a pool that stays full although callers send no
+// more than usual. So retries draw on a budget that only successes fill.
 //
 // # Usage
 //
 //	bu := retry.NewBudget()
 //	bu.Succeeded()
 //	tr := retry.NewTries(bu)
-//	for { err := attempt(); if !tr.Again(err, repeatable) { break } }
+//	for { fl := attempt(); if fl == nil || !tr.Again(fl, repeatable) { break } }
 package retry
 
 import (
@@ -22,34 +21,34 @@
 )
 
 const (
-	// share of the recent successes may be retries. A tenth hides the usual
-	// rate of single failures many times over, and bounds what retries add to
-	// a full pool to a tenth.
-	share = 0.1
-	// saved bounds what is kept of a quiet time: enough to carry over the
-	// attempts of one lost upstream, and no more.
-	saved = 32
-	// first is the budget of a new entry, for failures before any success.
-	first = 16
-	// maxTries bounds the attempts of one request, so that its caller hears in
+	// successRatio is the share of the recent successes that may be retries. A tenth is many
+	// times the usual rate of single failures, and bounds the work that retries add to a full
+	// pool to a tenth.
+	successRatio = 0.1
+	// maxBudget bounds the budget that accumulates in a quiet time: enough for the attempts of
+	// one lost upstream, and no more.
+	maxBudget = 32
+	// initialBudget is the budget of a new entry, for failures before any success.
+	initialBudget = 16
+	// maxAttempts bounds the attempts of one request, so that its caller gets a response in
 	// time.
-	maxTries = 3
+	maxAttempts = 3
 )
 
-// Budget is shared by the requests of an entry. It is safe for concurrent use.
+// Budget is the retry budget that the requests of an entry share. It is safe for concurrent use.
 type Budget struct {
 	mu   sync.Mutex
 	left float64
 }
 
-// NewBudget returns a budget.
-func NewBudget() *Budget { return &Budget{left: first} }
+// NewBudget returns a Budget with the initial budget of a new entry.
+func NewBudget() *Budget { return &Budget{left: initialBudget} }
 
-// Succeeded adds a success.
+// Succeeded adds to the budget for a success.
 func (bu *Budget) Succeeded() {
 	bu.mu.Lock()
 	defer bu.mu.Unlock()
-	bu.left = min(bu.left+share, saved)
+	bu.left = min(bu.left+successRatio, maxBudget)
 }
 
 func (bu *Budget) spend() bool {
@@ -62,35 +61,34 @@
 	return true
 }
 
-// Tries follows the attempts of one request. It belongs to one goroutine.
+// Tries counts the attempts of one request. It must be used by one goroutine at a time.
 type Tries struct {
-	budget   *Budget
-	done     int
-	overload bool
+	budget     *Budget
+	attempts   int
+	overloaded bool
 }
 
-// NewTries returns the tries of a request.
+// NewTries returns the Tries of a request.
 func NewTries(bu *Budget) Tries { return Tries{budget: bu} }
 
 // Again reports whether another upstream may be tried after a failure.
 //
-// Work that reached no upstream because the link was down or the upstream is
-// leaving costs the pool nothing, so it needs no budget. A refusal for
-// overload is tried elsewhere once: a second one says that the pool is full,
-// and each further try would only load it with refusals.
+// A call that was not run because the link was down or the upstream is leaving costs the pool
+// nothing, so its retry needs no budget. A refusal for overload is retried elsewhere once: a
+// second one shows that the pool is full, and more attempts would only load it with refusals.
 func (tr *Tries) Again(fl *core.Failure, repeatable bool) bool {
-	tr.done++
-	if tr.done >= maxTries {
+	tr.attempts++
+	if tr.attempts >= maxAttempts {
 		return false
 	}
 	switch fl.Code {
 	case core.CodeLeaving, core.CodeNoUpstream, core.CodeStaleConfig, core.CodeEvacuated, core.CodeNoRegion:
 		return fl.Ran == core.NotRun
 	case core.CodeOverloaded:
-		if fl.Ran != core.NotRun || tr.overload {
+		if fl.Ran != core.NotRun || tr.overloaded {
 			return false
 		}
-		tr.overload = true
+		tr.overloaded = true
 		return tr.budget.spend()
 	case core.CodeStoreDown:
 		return fl.Ran == core.NotRun && tr.budget.spend()
--- a/core/retry/retry_test.go
+++ b/core/retry/retry_test.go
@@ -11,7 +11,7 @@
 
 func refusal(code core.Code) *core.Failure { return core.Refuse(code, 0, "refused") }
 
-func TestAgain(t *testing.T) {
+func TestTriesAgain(t *testing.T) {
 	lost := core.Lost("the link broke")
 	scenarios := []struct {
 		testName   string
@@ -19,11 +19,11 @@
 		repeatable bool
 		want       []bool
 	}{
-		{"an overloaded pool is not asked a third time", []*core.Failure{refusal(core.CodeOverloaded), refusal(core.CodeOverloaded)}, true, []bool{true, false}},
+		{"an overloaded pool gets no third attempt", []*core.Failure{refusal(core.CodeOverloaded), refusal(core.CodeOverloaded)}, true, []bool{true, false}},
 		{"leaving upstreams cost nothing", []*core.Failure{refusal(core.CodeLeaving), refusal(core.CodeLeaving), refusal(core.CodeLeaving)}, false, []bool{true, true, false}},
-		{"repeatable work goes on after an unknown outcome", []*core.Failure{lost}, true, []bool{true}},
-		{"other work never does", []*core.Failure{lost}, false, []bool{false}},
-		{"what the caller did wrong stays wrong", []*core.Failure{refusal(core.CodeNotAllowed)}, true, []bool{false}},
+		{"repeatable work is retried after an unknown outcome", []*core.Failure{lost}, true, []bool{true}},
+		{"at-most-once work is not retried after an unknown outcome", []*core.Failure{lost}, false, []bool{false}},
+		{"the caller's own error is not retried", []*core.Failure{refusal(core.CodeNotAllowed)}, true, []bool{false}},
 	}
 	for _, sc := range scenarios {
 		t.Run(sc.testName, func(t *testing.T) {
@@ -35,9 +35,9 @@
 	}
 }
 
-// All upstreams of a version fail at once. If each request were tried three
-// times, the pool would get three times its work just then, and callers would
-// wait three times as long for the same failure.
+// All upstreams of a version fail at once. Guards against three attempts for each request: the
+// pool would get three times its work just then, and callers would wait three times as long for
+// the same failure.
 func TestBudgetBoundsRetriesOfAFailingPool(t *testing.T) {
 	bu := retry.NewBudget()
 	retries := func(requests int) (sum int) {
--- a/core/retry/window.go
+++ b/core/retry/window.go
@@ -5,129 +5,130 @@
 	"time"
 )
 
-// Window bounds the repeats at one service by the requests for it: repeats are
-// all arrivals there beyond the first of each request, also those of a cascade
-// that climbs. It is safe for concurrent use.
+// Window bounds the retries at one service by the requests for it. Retries are all arrivals
+// there beyond the first of each request, including escalations in a cascade. It is safe for
+// concurrent use.
 //
-// All entries share one bound and cannot ask one another for each repeat. Each
-// keeps to the ratio of its own requests and to its part of the slack, so that
-// the sum keeps to the bound whatever the others do. With few requests each, some
-// have none left while most have plenty; so entries tell one another what they have
-// left, and one may go beyond its own part by [lentPart] while all together have
-// some left.
+// All entries share one bound and cannot coordinate each retry. Each keeps to the ratio of its
+// own requests and to its part of the slack, so that the sum keeps to the bound whatever the
+// others do. With few requests each, some entries have no retries left while most have plenty.
+// So entries report their remaining budget to their siblings, and one may exceed its own part by
+// [borrowPart] while all together have some left.
 type Window struct {
 	ratio  float64
 	slack  func() float64
 	bucket time.Duration
 
 	mu sync.Mutex
-	// epoch is the first time seen. Times are counted from it, by the steady
-	// clock, since the time of day may jump.
+	// epoch is the first time seen. Times are counted from it by the monotonic clock, since the
+	// wall clock may jump.
 	epoch   time.Time
 	buckets [buckets]bucket
 	head    int64
-	// told is what others have left, by their processes.
-	told map[uint64]toldLeft
+	// reports holds the siblings' remaining budgets, by their process ids.
+	reports map[uint64]siblingReport
 }
 
-// buckets is how finely the window slides.
+// buckets is the number of buckets in a window.
 const buckets = 20
 
-type bucket struct{ requests, repeats float64 }
+type bucket struct{ requests, retries float64 }
 
-// Purpose says what a repeat is for.
+// Purpose is the reason for a retry.
 type Purpose int
 
-// The purposes. A climb gives way first: its request has an answer already.
+// The purposes. Climb, an escalation to a larger model, is refused first: its request has an
+// answer already.
 const (
 	Retry Purpose = iota
 	Climb
 )
 
-// String names a purpose in logs and metrics.
+// String returns the purpose's name in logs and metrics.
 func (pu Purpose) String() string { return [...]string{"retry", "climb"}[pu] }
 
 const (
-	// retryPart and climbPart are the parts of the bound that are used. The
-	// rest is for requests that were counted here and left the sliding window
-	// of the bound a moment sooner.
-	retryPart = 0.85
-	climbPart = 0.8
+	// retryPart and escalationPart are the parts of the bound that are used for each purpose.
+	// The rest allows for requests that still count here but have just left the sliding window
+	// of the bound.
+	retryPart      = 0.85
+	escalationPart = 0.8
 )
 
 const (
-	// leastParts is the parts that a shared slack has at least: an entry that has
-	// just started may not know of the others yet. Twenty of them would use 1.06
-	// of it together, which what is left of the ratio makes up for.
-	leastParts = 16
-	// spareParts is the parts for each entry that is known; some more may be
+	// minParts is the least number of parts that a shared slack is divided into: an entry that
+	// has just started may not have discovered its siblings yet. Twenty of them would use 1.06
+	// of it together, which the unused rest of the ratio makes up for.
+	minParts = 16
+	// partsPerEntry is the number of parts for each known entry; some more entries may be
 	// starting.
-	spareParts = 1.2
+	partsPerEntry = 1.2
 )
 
-// Share returns an entry's part of a slack that so many entries have together.
+// Share returns an entry's part of a slack that the given number of entries share.
 func Share(slack float64, entries int) float64 {
-	return slack / max(leastParts, spareParts*float64(entries))
+	return slack / max(minParts, partsPerEntry*float64(entries))
 }
 
-// NewWindow returns a window of a length, with a ratio of repeats to requests
-// and this entry's part of the slack at any time.
+// NewWindow returns a window of the given length, with a ratio of retries to requests. slack
+// returns this entry's current part of the slack.
 func NewWindow(length time.Duration, ratio float64, slack func() float64) *Window {
-	return &Window{ratio: ratio, slack: slack, bucket: length / buckets, told: map[uint64]toldLeft{}}
+	return &Window{ratio: ratio, slack: slack, bucket: length / buckets, reports: map[uint64]siblingReport{}}
 }
 
 // Arrived counts a request.
 func (wi *Window) Arrived(now time.Time) {
 	wi.mu.Lock()
 	defer wi.mu.Unlock()
-	wi.at(now).requests++
+	wi.bucketAt(now).requests++
 }
 
-// Spend takes a repeat, or reports that there is none left.
+// Spend takes a retry from the budget, or returns false when there is none left.
 func (wi *Window) Spend(now time.Time, pu Purpose) bool {
 	wi.mu.Lock()
 	defer wi.mu.Unlock()
-	cur := wi.at(now)
-	if wi.left(pu) < 1 && !wi.lent(now, pu) {
+	cur := wi.bucketAt(now)
+	if wi.left(pu) < 1 && !wi.mayBorrow(now, pu) {
 		return false
 	}
-	cur.repeats++
+	cur.retries++
 	return true
 }
 
-// Left returns how many repeats there are now.
+// Left returns the number of retries left for a purpose.
 func (wi *Window) Left(now time.Time, pu Purpose) float64 {
 	wi.mu.Lock()
 	defer wi.mu.Unlock()
-	wi.at(now)
+	wi.bucketAt(now)
 	return max(wi.left(pu), 0)
 }
 
 func (wi *Window) left(pu Purpose) float64 {
-	allowed, repeats := wi.sum()
-	return pu.part()*allowed - repeats
+	allowed, retries := wi.sum()
+	return pu.part()*allowed - retries
 }
 
-// sum returns the entry's part of the bound and the repeats that it made.
-func (wi *Window) sum() (allowed, repeats float64) {
+// sum returns the entry's part of the bound, and its retries in the window.
+func (wi *Window) sum() (allowed, retries float64) {
 	requests := 0.0
 	for _, bu := range wi.buckets {
 		requests += bu.requests
-		repeats += bu.repeats
+		retries += bu.retries
 	}
-	return wi.ratio*requests + wi.slack(), repeats
+	return wi.ratio*requests + wi.slack(), retries
 }
 
 // part is the part of the bound that is used for a purpose.
 func (pu Purpose) part() float64 {
 	if pu == Climb {
-		return climbPart
+		return escalationPart
 	}
 	return retryPart
 }
 
-// at returns the bucket of a time, with those since the last one cleared.
-func (wi *Window) at(now time.Time) *bucket {
+// bucketAt returns the bucket of a time, and clears the buckets that were skipped since the last
+// one.
+func (wi *Window) bucketAt(now time.Time) *bucket {
 	if wi.epoch.IsZero() {
 		wi.epoch = now
 	}
--- a/core/retry/window_test.go
+++ b/core/retry/window_test.go
@@ -10,17 +10,17 @@
 	"skylarkstand/core/retry"
 )
 
-// Upstreams fail most of what they get, and every failure is tried again. The
-// pool then gets several times the requests of its callers and does not
-// recover. In any span of the window's length, the repeats must stay below the
-// ratio of the requests and the slack, also when requests come in bursts.
-func TestWindowHoldsInEverySpan(t *testing.T) {
+// Upstreams fail most of their requests, and every failure is retried. Guards against a pool
+// that gets several times the requests of its callers and does not recover: in any interval of
+// the window's length, the retries must stay below the ratio of the requests plus the slack,
+// also when requests come in bursts.
+func TestWindowBoundsEveryInterval(t *testing.T) {
 	const length, ratio, slack = 10 * time.Second, 0.9, 13.0
 	for seed := range uint64(20) {
 		rnd := rand.New(rand.NewPCG(seed, 1))
 		wi := retry.NewWindow(length, ratio, fixed(slack))
 		now := time.Unix(1_000_000, 0)
-		var requests, repeats []time.Time
+		var requests, retries []time.Time
 		for range 4000 {
 			now = now.Add(time.Duration(rnd.ExpFloat64() * float64(20*time.Millisecond)))
 			if rnd.Float64() < 0.01 {
@@ -29,30 +29,30 @@
 			wi.Arrived(now)
 			requests = append(requests, now)
 			for wi.Spend(now, retry.Retry) && rnd.Float64() < 0.8 {
-				repeats = append(repeats, now)
+				retries = append(retries, now)
 			}
 		}
-		assert.Assert(t, len(repeats) > 100)
-		for i := 0; i < len(repeats); i += 37 {
-			from := repeats[i]
-			got := float64(between(repeats, from, from.Add(length)))
+		assert.Assert(t, len(retries) > 100)
+		for i := 0; i < len(retries); i += 37 {
+			from := retries[i]
+			got := float64(between(retries, from, from.Add(length)))
 			most := ratio*float64(between(requests, from.Add(-length/2), from.Add(length))) + slack
-			assert.Assert(t, got <= most, "seed %d: %v repeats, bound %v", seed, got, most)
+			assert.Assert(t, got <= most, "seed %d: %v retries, bound %v", seed, got, most)
 		}
 	}
 }
 
 func fixed(slack float64) func() float64 { return func() float64 { return slack } }
 
-// Many entries serve a few requests each, and all of these fail; some entries
-// know all others, some have just started and know none. Together they must not
-// repeat more than the pool may get, or it does not recover.
+// Many entries serve a few requests each, and all of these fail; some entries have discovered
+// all siblings, others have just started and none. Guards against more retries by all together
+// than the pool may get, after which it does not recover.
 func TestEntriesKeepToTheSharedSlack(t *testing.T) {
 	const length, ratio, slack = 10 * time.Second, 0.9, 80.0
 	for _, entries := range []int{1, 4, 20, 100, 360} {
 		for _, each := range []int{1, 2, 5, 20, 100} {
 			now := time.Unix(1_000_000, 0)
-			repeats := 0
+			retries := 0
 			for n := range entries {
 				known := entries
 				if n%2 == 0 && entries <= 20 {
@@ -62,12 +62,12 @@
 				for range each {
 					wi.Arrived(now)
 					for tries := 0; tries < 2 && wi.Spend(now, retry.Retry); tries++ {
-						repeats++
+						retries++
 					}
 				}
 			}
 			most := ratio*float64(entries*each) + slack
-			assert.Assert(t, float64(repeats) <= most, "%d entries, %d requests each: %d repeats of %.0f", entries, each, repeats, most)
+			assert.Assert(t, float64(retries) <= most, "%d entries, %d requests each: %d retries, bound %.0f", entries, each, retries, most)
 		}
 	}
 }
@@ -82,10 +82,10 @@
 	return n
 }
 
-// A pool has nearly used what may be repeated. A climb in a cascade then gives
-// way, since its caller has an answer to get, and a failed request is still
-// tried again.
-func TestClimbGivesWayToRetry(t *testing.T) {
+// A pool has nearly used up its retry budget. Guards against escalations that leave no budget
+// for retries: the caller of an escalation has an answer to get, that of a failed request has
+// none.
+func TestRetryPrecedesEscalation(t *testing.T) {
 	wi := retry.NewWindow(10*time.Second, 0.5, fixed(0))
 	now := time.Unix(1_000_000, 0)
 	for range 100 {
