--- a/core/shed/shed.go
+++ b/core/shed/shed.go
@@ -1,22 +1,21 @@
-// Package shed decides which requests a pool of engines takes when more come
-// than it can answer, and tells the others when to come back.
+// Package shed implements load shedding for a pool of engines: it decides which requests are
+// admitted when more arrive than the pool can answer, and sets the Retry-After of the others.
 //
-// It is made for several times the load that a pool can carry: a burst, or half
-// of the pool lost. Engines take whatever comes into their queues; without a
-// bound the queue grows until nobody is answered in time, although the engines
-// work all the while. A bound at the time in which answers are still good costs
-// them no work, since there is always some waiting.
+// It is made for several times the load that a pool can carry: a burst, or the loss of half of
+// the pool. Engines queue every request. Without a bound, the queue grows until no request is
+// answered in time, although the engines are busy all the while. A bound on the wait at which
+// answers still meet their target costs no throughput, since there is always some queue.
 //
-// The bound is one for all routes of a service. Were each request held to its own
-// route's aim, the routes with long aims would fill the queue, and those with
-// short ones would never be let in.
+// The bound is the same for all routes of a service. If each request were held to the target
+// latency of its own route, the routes with long targets would fill the queue, and those with
+// short ones would never be admitted.
 //
-// All of it is pure.
+// The package is pure.
 //
 // # Usage
 //
 //	ga := shed.New()
-//	back, ok := ga.Offer(now, shed.Request{Wait: wait, Aim: aim, Workspace: ws, Urgent: urgent, Draw: draw})
+//	retryAfter, ok := ga.Offer(now, shed.Request{Wait: wait, Aim: aim, Workspace: ws, Urgent: urgent, Draw: draw})
 package shed
 
 import (
@@ -27,147 +26,145 @@
 )
 
 const (
-	// aimPart is the expected wait, in tightest aims of the service, from which
-	// requests are refused. It is that much above 1 since the expectation adds up
-	// what is known of all entries, of which a part has been read meanwhile, and
-	// since the longest aims are twice the tightest: what is refused here would
-	// hardly be in time anywhere.
-	aimPart = 3.0
-	// laterPart is the part of that bound for requests that are not among the
-	// most urgent, and hogPart for those of a workspace that sends more than its
-	// share. Waits swing around the bound under load, so that a slightly lower one
-	// means many fewer places.
-	laterPart = 0.85
-	hogPart   = 0.6
-	// spared is the share of those requests that are held to the full bound, so
-	// that no route and no workspace gets nothing at all.
-	spared = 0.3
-	// hogTimes is how many times the mean of the others one may send before it
-	// counts as a hog.
-	hogTimes = 4
-	// span is the time over which rates are taken: long enough for some ten
-	// requests of an entry, and short beside a burst of some seconds.
-	span = time.Second
-	// follow weighs the newest span: three of them make up nearly all of a rate.
-	follow = 0.5
-	// leastRate is the requests a second that are taken to be let in while no
-	// rate is known.
-	leastRate = 1
+	// maxWaitFactor is the expected wait, in multiples of the tightest target latency of the
+	// service, above which requests are refused. It is that much above 1 since the estimate adds
+	// up the reports of all entries, whose prompts have been prefilled in part meanwhile, and
+	// since the longest targets are twice the tightest: what is refused here would hardly be in
+	// time at any upstream.
+	maxWaitFactor = 3.0
+	// lessUrgentPart is the part of that bound for requests that are not among the most urgent,
+	// and noisyPart for those of a workspace that sends more than its share. Waits fluctuate
+	// around the bound under load, so a slightly lower bound admits far fewer requests.
+	lessUrgentPart = 0.85
+	noisyPart      = 0.6
+	// exemptShare is the share of those requests that are held to the full bound, so that no
+	// route and no workspace is shut out.
+	exemptShare = 0.3
+	// noisyFactor is how many times the mean rate of the other workspaces a workspace may send
+	// before it counts as noisy.
+	noisyFactor = 4
+	// ratePeriod is the period over which rates are measured: long enough for some ten requests
+	// of an entry, and short compared with a burst of some seconds.
+	ratePeriod = time.Second
+	// newestWeight is the weight of the newest period in a rate: three of them make up nearly
+	// all of it.
+	newestWeight = 0.5
+	// minRate is the assumed rate of admitted requests per second while none is known.
+	minRate = 1
 )
 
-// Request is what a decision goes by.
+// Request holds the inputs to a decision.
 type Request struct {
-	// Wait is the least expected wait before an engine begins with the prompt.
+	// Wait is the shortest expected wait before an engine starts the prefill.
 	Wait time.Duration
-	// Aim is the tightest of the service's routes; 0 is no bound.
+	// Aim is the tightest target latency of the service's routes; 0 means no bound.
 	Aim       time.Duration
 	Workspace core.WorkspaceID
-	// Urgent says that no request of the service goes before this one.
+	// Urgent means that no request of the service has a higher priority.
 	Urgent bool
 	// Draw is a random number from 0 to 1.
 	Draw float64
 }
 
-// Gate decides for one service at one entry. It belongs to one goroutine at a
-// time.
+// Gate is the admission control of one service at one entry. It is not safe for concurrent use.
 type Gate struct {
 	off mechanism.Off
-	// turn is when the last refused caller was told to come back.
-	turn time.Time
-	// began is the start of the present span, let in the requests admitted in it,
-	// and sent those that came, by workspace.
-	began time.Time
-	letIn int
-	sent  map[core.WorkspaceID]int
-	// rate is the requests a second that are let in, rates those that come.
-	rate  float64
-	rates map[core.WorkspaceID]float64
+	// nextRetry is the time to which the last Retry-After points.
+	nextRetry time.Time
+	// periodStart is the start of the current period, admitted the number of requests admitted
+	// in it, and arrivals the requests that arrived in it, by workspace.
+	periodStart time.Time
+	admitted    int
+	arrivals    map[core.WorkspaceID]int
+	// admitRate is the rate of admitted requests per second, arrivalRates that of arriving ones,
+	// by workspace.
+	admitRate    float64
+	arrivalRates map[core.WorkspaceID]float64
 }
 
 // Option changes a Gate at construction.
 type Option func(*Gate)
 
-// Without switches mechanisms off.
+// Without disables mechanisms.
 func Without(off mechanism.Off) Option { return func(ga *Gate) { ga.off = off } }
 
-// New returns a gate.
+// New returns a Gate.
 func New(opts ...Option) *Gate {
-	ga := &Gate{sent: map[core.WorkspaceID]int{}, rates: map[core.WorkspaceID]float64{}}
+	ga := &Gate{arrivals: map[core.WorkspaceID]int{}, arrivalRates: map[core.WorkspaceID]float64{}}
 	for _, opt := range opts {
 		opt(ga)
 	}
 	return ga
 }
 
-// Offer reports whether a request is let in, or else when its caller should come
-// back.
+// Offer reports whether a request is admitted, and otherwise its Retry-After.
 //
-// Each refused caller gets a turn of its own, behind those who were told before,
-// at the pace at which requests are let in now. Callers that are all told the
-// wait of the moment come back together, into the same queue.
-func (ga *Gate) Offer(now time.Time, rq Request) (back time.Duration, ok bool) {
-	ga.roll(now)
-	ga.sent[rq.Workspace]++
-	if rq.Aim <= 0 || ga.off.Has(mechanism.Gate) || rq.Wait <= ga.bound(rq) {
-		ga.letIn++
+// Each refused caller gets a later Retry-After than those refused before it, spaced at the rate
+// at which requests are admitted now. Callers that all got the current wait would retry at the
+// same time, into the same queue.
+func (ga *Gate) Offer(now time.Time, rq Request) (retryAfter time.Duration, ok bool) {
+	ga.rollPeriod(now)
+	ga.arrivals[rq.Workspace]++
+	if rq.Aim <= 0 || ga.off.Has(mechanism.Gate) || rq.Wait <= ga.maxWait(rq) {
+		ga.admitted++
 		return 0, true
 	}
-	if first := now.Add(rq.Wait); ga.turn.Before(first) {
-		ga.turn = first
+	if first := now.Add(rq.Wait); ga.nextRetry.Before(first) {
+		ga.nextRetry = first
 	}
-	ga.turn = ga.turn.Add(time.Duration(float64(time.Second) / max(ga.rate, leastRate)))
-	return ga.turn.Sub(now), false
+	ga.nextRetry = ga.nextRetry.Add(time.Duration(float64(time.Second) / max(ga.admitRate, minRate)))
+	return ga.nextRetry.Sub(now), false
 }
 
-// bound is the wait up to which a request is let in.
-func (ga *Gate) bound(rq Request) time.Duration {
-	part := aimPart
-	if rq.Draw >= spared {
+// maxWait is the wait up to which a request is admitted.
+func (ga *Gate) maxWait(rq Request) time.Duration {
+	part := maxWaitFactor
+	if rq.Draw >= exemptShare {
 		if !rq.Urgent {
-			part *= laterPart
+			part *= lessUrgentPart
 		}
-		if ga.hog(rq.Workspace) && !ga.off.Has(mechanism.HogPart) {
-			part *= hogPart
+		if ga.noisy(rq.Workspace) && !ga.off.Has(mechanism.HogPart) {
+			part *= noisyPart
 		}
 	}
 	return time.Duration(part * float64(rq.Aim))
 }
 
-// hog reports whether a workspace sends many times what the others do.
-func (ga *Gate) hog(ws core.WorkspaceID) bool {
+// noisy reports whether a workspace sends many times as much as the others.
+func (ga *Gate) noisy(ws core.WorkspaceID) bool {
 	others := 0.0
-	for name, rate := range ga.rates {
+	for name, rate := range ga.arrivalRates {
 		if name != ws {
 			others += rate
 		}
 	}
-	count := len(ga.rates) - 1
-	return count > 0 && ga.rates[ws] > hogTimes*others/float64(count)
+	count := len(ga.arrivalRates) - 1
+	return count > 0 && ga.arrivalRates[ws] > noisyFactor*others/float64(count)
 }
 
-// roll ends the spans that are over.
-func (ga *Gate) roll(now time.Time) {
-	if ga.began.IsZero() {
-		ga.began = now
+// rollPeriod ends the current period when it is over.
+func (ga *Gate) rollPeriod(now time.Time) {
+	if ga.periodStart.IsZero() {
+		ga.periodStart = now
 	}
-	past := now.Sub(ga.began)
-	if past < span {
+	elapsed := now.Sub(ga.periodStart)
+	if elapsed < ratePeriod {
 		return
 	}
-	ga.rate += follow * (float64(ga.letIn)/past.Seconds() - ga.rate)
-	for ws, rate := range ga.rates {
-		ga.rates[ws] = (1 - follow) * rate
-		if rate < forgotten {
-			delete(ga.rates, ws)
+	ga.admitRate += newestWeight * (float64(ga.admitted)/elapsed.Seconds() - ga.admitRate)
+	for ws, rate := range ga.arrivalRates {
+		ga.arrivalRates[ws] = (1 - newestWeight) * rate
+		if rate < forgetRate {
+			delete(ga.arrivalRates, ws)
 		}
 	}
-	for ws, n := range ga.sent {
-		ga.rates[ws] += follow * float64(n) / past.Seconds()
+	for ws, n := range ga.arrivals {
+		ga.arrivalRates[ws] += newestWeight * float64(n) / elapsed.Seconds()
 	}
-	ga.began, ga.letIn = now, 0
-	clear(ga.sent)
+	ga.periodStart, ga.admitted = now, 0
+	clear(ga.arrivals)
 }
 
-// forgotten is the rate, in requests a second, below which a workspace that
-// sends nothing is dropped.
-const forgotten = 0.05
+// forgetRate is the rate, in requests per second, below which a workspace that sends nothing is
+// removed.
+const forgetRate = 0.05
--- a/core/shed/shed_test.go
+++ b/core/shed/shed_test.go
@@ -12,55 +12,55 @@
 	"skylarkstand/core/shed"
 )
 
-// pool is engines that read one prompt after the other. It is the load that
-// callers meet: what comes waits until all before it was read.
+// pool is an engine pool that prefills one prompt after the other: a request waits until all
+// prompts before it are prefilled.
 type pool struct {
-	now  time.Time
-	free time.Time
-	read time.Duration
+	now     time.Time
+	readyAt time.Time
+	prefill time.Duration
 }
 
 func newPool() *pool {
 	now := time.Unix(0, 0)
-	return &pool{now: now, free: now, read: 20 * time.Millisecond}
+	return &pool{now: now, readyAt: now, prefill: 20 * time.Millisecond}
 }
 
-func (po *pool) wait() time.Duration { return max(po.free.Sub(po.now), 0) }
+func (po *pool) wait() time.Duration { return max(po.readyAt.Sub(po.now), 0) }
 
-// take reads a prompt and returns when its answer begins after it came.
+// take prefills a prompt and returns the time from its arrival to its first token.
 func (po *pool) take() time.Duration {
 	wait := po.wait()
-	po.free = po.now.Add(wait + po.read)
-	return wait + po.read
+	po.readyAt = po.now.Add(wait + po.prefill)
+	return wait + po.prefill
 }
 
 const (
-	aim = 2 * time.Second
+	target = 2 * time.Second
 )
 
-// counts is what callers got.
-type counts struct{ came, inTime, refused int }
+// counts holds the outcomes of a workspace's requests.
+type counts struct{ arrived, inTime, refused int }
 
-// overload plays times the load that a pool can carry for a while, for callers
-// of three workspaces, of which the first sends more than the others.
-func overload(times float64, hog float64, gate bool) map[core.WorkspaceID]*counts {
+// overload simulates a multiple of the pool's capacity for 20 seconds, with callers of three
+// workspaces, of which the first sends more than the others.
+func overload(times float64, noisyShare float64, shedding bool) map[core.WorkspaceID]*counts {
 	po, ga, rn := newPool(), shed.New(), rand.New(rand.NewPCG(1, 2))
 	out := map[core.WorkspaceID]*counts{"a": {}, "b": {}, "c": {}}
-	every := time.Duration(float64(po.read) / times)
+	every := time.Duration(float64(po.prefill) / times)
 	for range int(20 * time.Second / every) {
 		po.now = po.now.Add(time.Duration(2 * rn.Float64() * float64(every)))
 		ws := core.WorkspaceID([]string{"a", "b", "c"}[rn.IntN(3)])
-		if rn.Float64() < hog {
+		if rn.Float64() < noisyShare {
 			ws = "a"
 		}
 		co := out[ws]
-		co.came++
-		rq := shed.Request{Wait: po.wait(), Aim: aim, Workspace: ws, Urgent: true, Draw: rn.Float64()}
-		if _, ok := ga.Offer(po.now, rq); gate && !ok {
+		co.arrived++
+		rq := shed.Request{Wait: po.wait(), Aim: target, Workspace: ws, Urgent: true, Draw: rn.Float64()}
+		if _, ok := ga.Offer(po.now, rq); shedding && !ok {
 			co.refused++
 			continue
 		}
-		if po.take() <= 3*aim+po.read {
+		if po.take() <= 3*target+po.prefill {
 			co.inTime++
 		}
 	}
@@ -70,20 +70,20 @@
 func sum(all map[core.WorkspaceID]*counts) counts {
 	var out counts
 	for _, co := range all {
-		out.came, out.inTime, out.refused = out.came+co.came, out.inTime+co.inTime, out.refused+co.refused
+		out.arrived, out.inTime, out.refused = out.arrived+co.arrived, out.inTime+co.inTime, out.refused+co.refused
 	}
 	return out
 }
 
-// More callers come than the engines can answer, for twenty seconds. Without a
-// bound those who come late wait behind all who came before, and nobody is
-// answered in time any more; with it the engines go on answering as many as they
-// can, and the others hear of it at once.
-func TestOverloadLeavesThePoolToThoseInTime(t *testing.T) {
+// More requests arrive than the engines can answer, for twenty seconds. Guards against a queue
+// in which late requests wait behind all earlier ones, so that none is answered in time any
+// more. With admission control the engines answer as many as they can, and the other requests
+// are refused at once.
+func TestOverloadKeepsGoodput(t *testing.T) {
 	scenarios := []struct {
 		testName string
 		times    float64
-		least    float64 // of what the pool can answer
+		least    float64 // share of the pool's capacity
 	}{
 		{"one and a half times", 1.5, 0.9},
 		{"twice", 2, 0.9},
@@ -93,50 +93,49 @@
 	for _, sc := range scenarios {
 		t.Run(sc.testName, func(t *testing.T) {
 			with, without := sum(overload(sc.times, 0, true)), sum(overload(sc.times, 0, false))
-			can := sc.least * float64(with.came) / sc.times
-			assert.Assert(t, float64(with.inTime) >= can, "%d in time of %d, the pool can answer %.0f", with.inTime, with.came, can/sc.least)
+			required := sc.least * float64(with.arrived) / sc.times
+			assert.Assert(t, float64(with.inTime) >= required, "%d of %d answered in time, the pool's capacity is %.0f", with.inTime, with.arrived, required/sc.least)
 			if sc.times >= 2 {
-				assert.Assert(t, with.inTime > 3*without.inTime/2, "%d in time, %d without", with.inTime, without.inTime)
+				assert.Assert(t, with.inTime > 3*without.inTime/2, "%d answered in time, %d without load shedding", with.inTime, without.inTime)
 			}
 		})
 	}
 }
 
-// The load is below what the pool can answer. Nobody is refused, whatever the
-// luck of arrivals.
-func TestNobodyIsRefusedWhileThereIsRoom(t *testing.T) {
+// The load is below the pool's capacity. Guards against refusals after chance bursts of
+// arrivals.
+func TestNoRefusalBelowCapacity(t *testing.T) {
 	for _, times := range []float64{0.3, 0.7, 0.95} {
-		assert.Equal(t, sum(overload(times, 0.5, true)).refused, 0, "%.2f of the load", times)
+		assert.Equal(t, sum(overload(times, 0.5, true)).refused, 0, "refusals at %.2f of the capacity", times)
 	}
 }
 
-// One workspace sends most of what overloads the pool. The others' callers are
-// let in more often than its own, and its own are not shut out.
-func TestHogLeavesRoomToTheOthers(t *testing.T) {
+// One workspace sends most of the requests that overload the pool. Guards against other
+// workspaces that are crowded out, and against shutting the noisy one out.
+func TestNoisyWorkspaceLeavesRoomToTheOthers(t *testing.T) {
 	all := overload(3, 0.9, true)
-	served := func(co *counts) float64 { return float64(co.inTime) / float64(co.came) }
-	assert.Assert(t, served(all["b"]) > 1.3*served(all["a"]), "%.2f and %.2f", served(all["b"]), served(all["a"]))
-	assert.Assert(t, served(all["a"]) > 0.15, "%.2f", served(all["a"]))
+	served := func(co *counts) float64 { return float64(co.inTime) / float64(co.arrived) }
+	assert.Assert(t, served(all["b"]) > 1.3*served(all["a"]), "answered in time: %.2f of another workspace's requests, %.2f of the noisy one's", served(all["b"]), served(all["a"]))
+	assert.Assert(t, served(all["a"]) > 0.15, "answered in time: %.2f of the noisy workspace's requests", served(all["a"]))
 }
 
-// Hundreds are refused within a second. Were all told the wait of the moment,
-// they would come back together and meet the same queue; each is told a time
-// after the one before.
-func TestRefusedCallersGetTurns(t *testing.T) {
+// Hundreds of callers are refused within a second. Guards against a Retry-After that is the same
+// for all: they would retry together and meet the same queue.
+func TestRetryAfterIsStaggered(t *testing.T) {
 	ga, now := shed.New(), time.Unix(0, 0)
-	for range 200 { // Fifty a second are let in.
+	for range 200 { // Fifty requests per second are admitted.
 		now = now.Add(20 * time.Millisecond)
-		_, ok := ga.Offer(now, shed.Request{Aim: aim})
+		_, ok := ga.Offer(now, shed.Request{Aim: target})
 		assert.Assert(t, ok)
 	}
-	var turns []time.Time
+	var retries []time.Time
 	for range 300 {
-		back, ok := ga.Offer(now, shed.Request{Wait: 4 * aim, Aim: aim})
-		assert.Assert(t, !ok && back >= 4*aim)
-		turns = append(turns, now.Add(back))
+		retryAfter, ok := ga.Offer(now, shed.Request{Wait: 4 * target, Aim: target})
+		assert.Assert(t, !ok && retryAfter >= 4*target)
+		retries = append(retries, now.Add(retryAfter))
 		now = now.Add(time.Millisecond)
 	}
-	assert.Assert(t, slices.IsSortedFunc(turns, time.Time.Compare))
-	span := turns[len(turns)-1].Sub(turns[0]).Seconds()
-	assert.Assert(t, span > 4.5 && span < 8, "%.1f s for 300 callers at 50 a second", span)
+	assert.Assert(t, slices.IsSortedFunc(retries, time.Time.Compare))
+	span := retries[len(retries)-1].Sub(retries[0]).Seconds()
+	assert.Assert(t, span > 4.5 && span < 8, "retries spread over %.1f s for 300 callers at 50 per second", span)
 }
