--- a/core/tier/tier.go
+++ b/core/tier/tier.go
@@ -1,26 +1,25 @@
-// Package tier decides which model of a cascade answers, from the confidence
-// that models tell of their own answers.
+// Package tier decides which model of a cascade answers, from the confidence that models report
+// for their own answers.
 //
-// A cascade begins with its smallest model, which costs next to nothing and
-// answers about half of the requests well. An answer that its model doubts is
-// dropped before the caller has any of it, and a larger model is asked. How much
-// doubt is too much depends on the load: the largest model takes an engine ten
-// times as long as the smallest, so that with every doubtful answer dropped, the
-// engines are full as soon as a few of them are lost, and then all answers are
-// late, also those that the small model could have given. The pressure on the
-// engines is taken from what callers get: the wait for the first event, beyond the
-// reading of the caller's own prompt, as a part of the time that is still good.
+// A cascade begins with its smallest model, which costs next to nothing and answers about half
+// of the requests well. An answer with a low confidence is discarded before the caller receives
+// any of it, and the request escalates to a larger model. The minimum confidence depends on the
+// load: the largest model takes an engine ten times as long as the smallest. If every
+// low-confidence answer escalated, the engines would be full as soon as a few of them are lost,
+// and all answers would be late, including those that the small model could have given. The
+// pressure on the engines is measured at the callers: it is the wait for the first event,
+// without the prefill of the caller's own prompt, as a fraction of the target latency.
 //
-// A model between the two is asked where it has proved to suffice: its answers
-// to what the smaller one doubted by so much are counted.
+// A model between the smallest and the largest is chosen where its answers have proved to
+// suffice: its successes are counted by the confidence of the smaller model's answer.
 //
-// All of it is pure.
+// The package is pure.
 //
 // # Usage
 //
 //	la := tier.New()
 //	la.Begun(wait, aim)                            // at each first event
-//	next, climb := la.Next(stages, stage, confidence)
+//	next, escalate := la.Next(stages, stage, confidence, fits)
 //	la.Climbed(stage, confidence, next, answered)  // the larger model's confidence
 package tier
 
@@ -35,96 +34,98 @@
 	// engines have free slots, and loadedThreshold that under full pressure.
 	idleThreshold   = 55.0
 	loadedThreshold = 12.0
-	// relaxed and pressed are the pressures between which the threshold moves.
-	relaxed = 0.2
-	pressed = 0.5
-	// follow is the weight of the newest answer in the pressure.
-	follow = 1.0 / 10
-	// maxWait caps the weight of a single answer, in aims.
-	maxWait = 2.0
+	// lowPressure and highPressure are the pressures between which the threshold moves.
+	lowPressure  = 0.2
+	highPressure = 0.5
+	// newestWeight is the weight of the newest answer in the pressure.
+	newestWeight = 1.0 / 10
+	// maxWaitTargets caps the wait of a single answer, in target latencies, so that one late
+	// answer cannot dominate the pressure.
+	maxWaitTargets = 2.0
 )
 
 const (
-	// buckets divide the confidences for what is learned of middle models.
+	// buckets is the number of ranges of confidence by which the middle models' successes are
+	// counted.
 	buckets    = 10
 	bucketSize = 100 / buckets
-	// assumedFrom is the bucket from which a middle model is thought to suffice
-	// before it was seen to: it is a little better than the smallest, so for
-	// answers that were doubted a little.
-	assumedFrom = 3
-	// assumed and doubted are the shares that are thought to suffice above and
-	// below, prior how many answers that counts for.
-	assumed = 0.7
-	doubted = 0.1
-	prior   = 6.0
-	// worthwhile is the share from which the middle model is asked: it takes a
+	// likelyBucket is the bucket from which a middle model is assumed to suffice without
+	// evidence. It is a little better than the smallest model, so it suffices for answers whose
+	// confidence was a little too low.
+	likelyBucket = 3
+	// likelyPrior and unlikelyPrior are the assumed success rates from likelyBucket on and below
+	// it, and priorWeight the number of answers that the assumption counts for.
+	likelyPrior   = 0.7
+	unlikelyPrior = 0.1
+	priorWeight   = 6.0
+	// minSuccessRate is the success rate from which the middle model is chosen: it takes a
 	// quarter of the largest one's time.
-	worthwhile = 0.35
-	// forget bounds the weight of what was seen.
-	forget = 60.0
+	minSuccessRate = 0.35
+	// maxWeight bounds the weight of past answers.
+	maxWeight = 60.0
 )
 
-// Ladder decides for all cascades of one service. It belongs to one goroutine
-// at a time.
+// Ladder is the escalation policy for all cascades of one service. It is not safe for concurrent
+// use.
 type Ladder struct {
 	off      mechanism.Off
 	pressure float64
-	seen     map[rung]*[buckets]share
+	outcomes map[step]*[buckets]successes
 }
 
-// rung is a step from one place in a cascade to another.
-type rung struct{ from, to int }
+// step is an escalation from one stage of a cascade to another.
+type step struct{ from, to int }
 
-// share counts the answers that sufficed.
-type share struct{ good, all float64 }
+// successes counts the answers of a larger model, and those among them that sufficed.
+type successes struct{ good, all float64 }
 
 // Option changes a Ladder at construction.
 type Option func(*Ladder)
 
-// Without switches mechanisms off.
+// Without disables mechanisms.
 func Without(off mechanism.Off) Option { return func(la *Ladder) { la.off = off } }
 
-// New returns a ladder.
+// New returns a Ladder.
 func New(opts ...Option) *Ladder {
-	la := &Ladder{pressure: (relaxed + pressed) / 2, seen: map[rung]*[buckets]share{}}
+	la := &Ladder{pressure: (lowPressure + highPressure) / 2, outcomes: map[step]*[buckets]successes{}}
 	for _, opt := range opts {
 		opt(la)
 	}
 	return la
 }
 
-// Begun notes how long a caller waited for its first event, beyond the reading of
-// its own prompt, and how long is good.
+// Begun records how long a caller waited for its first event, without the prefill of its own
+// prompt, and the target latency.
 func (la *Ladder) Begun(wait, aim time.Duration) {
 	if aim <= 0 {
 		return
 	}
-	la.pressure += follow * (min(float64(wait)/float64(aim), maxWait) - la.pressure)
+	la.pressure += newestWeight * (min(float64(wait)/float64(aim), maxWaitTargets) - la.pressure)
 }
 
-// Sure is the confidence from which an answer is given now.
+// Sure returns the minimum confidence to return an answer now.
 func (la *Ladder) Sure() float64 {
 	if la.off.Has(mechanism.Pressure) {
 		return idleThreshold
 	}
-	part := min(max((la.pressure-relaxed)/(pressed-relaxed), 0), 1)
-	return idleThreshold - part*(idleThreshold-loadedThreshold)
+	fraction := min(max((la.pressure-lowPressure)/(highPressure-lowPressure), 0), 1)
+	return idleThreshold - fraction*(idleThreshold-loadedThreshold)
 }
 
-// Next returns the place in a cascade of so many models that should answer
-// instead of the one at stage, or false when its answer is given. Fits reports
-// whether a model's answer would begin while it is still good.
+// Next returns the stage that should answer instead of the given one, in a cascade of so many
+// stages, or false when the present answer is returned. fits reports whether a stage's answer
+// would begin within the target latency.
 //
-// An answer of the largest model to a very long prompt takes several times what
-// is good, and keeps the engine from others for as long. It is then left to the
-// largest model that fits, and where none does, the answer at hand is given.
+// The largest model needs several times the target latency for a very long prompt, and keeps the
+// engine from other requests for as long. Such a request escalates to the largest model that
+// fits; if none does, the present answer is returned.
 func (la *Ladder) Next(stages, stage, confidence int, fits func(to int) bool) (int, bool) {
 	last := stages - 1
 	if stage >= last || float64(confidence) >= la.Sure() {
 		return stage, false
 	}
 	for to := stage + 1; to < last; to++ {
-		if la.suffices(rung{stage, to}, confidence) && fits(to) {
+		if la.suffices(step{stage, to}, confidence) && fits(to) {
 			return to, true
 		}
 	}
@@ -136,13 +137,13 @@
 	return stage, false
 }
 
-// Climbed notes the confidence of a larger model where a smaller one was
-// doubted.
+// Climbed records the confidence of a larger model's answer after an escalation from a smaller
+// one.
 func (la *Ladder) Climbed(from, confidence, to, answered int) {
-	sh := la.share(rung{from, to}, confidence)
-	if sh.all >= forget {
-		sh.good *= 1 - 1/forget
-		sh.all *= 1 - 1/forget
+	sh := la.successesOf(step{from, to}, confidence)
+	if sh.all >= maxWeight {
+		sh.good *= 1 - 1/maxWeight
+		sh.all *= 1 - 1/maxWeight
 	}
 	sh.all++
 	if float64(answered) >= idleThreshold {
@@ -150,23 +151,23 @@
 	}
 }
 
-func (la *Ladder) suffices(ru rung, confidence int) bool {
+func (la *Ladder) suffices(st step, confidence int) bool {
 	if la.off.Has(mechanism.MiddleModels) {
 		return false
 	}
-	sh := la.share(ru, confidence)
-	before := doubted
-	if bucket(confidence) >= assumedFrom {
-		before = assumed
+	sh := la.successesOf(st, confidence)
+	prior := unlikelyPrior
+	if bucket(confidence) >= likelyBucket {
+		prior = likelyPrior
 	}
-	return (sh.good+prior*before)/(sh.all+prior) >= worthwhile
+	return (sh.good+priorWeight*prior)/(sh.all+priorWeight) >= minSuccessRate
 }
 
-func (la *Ladder) share(ru rung, confidence int) *share {
-	row := la.seen[ru]
+func (la *Ladder) successesOf(st step, confidence int) *successes {
+	row := la.outcomes[st]
 	if row == nil {
-		row = new([buckets]share)
-		la.seen[ru] = row
+		row = new([buckets]successes)
+		la.outcomes[st] = row
 	}
 	return &row[bucket(confidence)]
 }
--- a/core/tier/tier_test.go
+++ b/core/tier/tier_test.go
@@ -12,83 +12,83 @@
 
 func always(int) bool { return true }
 
-func loaded(la *tier.Ladder, part float64) {
+func observeWaits(la *tier.Ladder, part float64) {
 	for range 100 {
 		la.Begun(time.Duration(part*float64(4*time.Second)), 4*time.Second)
 	}
 }
 
-// Engines fill up, and first events come late. If every doubtful answer still
-// goes to the largest model, all callers wait, also those whose small answer
-// was good. With room again, doubtful answers must climb again.
-func TestThresholdFollowsThePressure(t *testing.T) {
+// Engines fill up, and first events are late. Guards against low-confidence answers that all
+// still escalate to the largest model: all callers would wait, also those whose small answer was
+// good. Once the engines have room, such answers must escalate again.
+func TestThresholdFollowsPressure(t *testing.T) {
 	la := tier.New()
-	loaded(la, 0.1)
-	relaxed := la.Sure()
-	_, climb := la.Next(2, 0, 45, always)
-	assert.Assert(t, climb, "a doubtful answer climbs while there is room")
-	loaded(la, 1.5)
-	_, climb = la.Next(2, 0, 45, always)
-	assert.Assert(t, !climb, "it is given under pressure")
-	_, climb = la.Next(2, 0, 3, always)
-	assert.Assert(t, climb, "one that is surely wrong still climbs")
-	assert.Assert(t, la.Sure() < relaxed/3)
-	loaded(la, 0.1)
-	assert.Assert(t, la.Sure() > 0.95*relaxed)
+	observeWaits(la, 0.1)
+	idle := la.Sure()
+	_, escalate := la.Next(2, 0, 45, always)
+	assert.Assert(t, escalate, "a low-confidence answer escalates while the engines have room")
+	observeWaits(la, 1.5)
+	_, escalate = la.Next(2, 0, 45, always)
+	assert.Assert(t, !escalate, "it is returned under pressure")
+	_, escalate = la.Next(2, 0, 3, always)
+	assert.Assert(t, escalate, "an answer with hardly any confidence still escalates")
+	assert.Assert(t, la.Sure() < idle/3)
+	observeWaits(la, 0.1)
+	assert.Assert(t, la.Sure() > 0.95*idle)
 }
 
-// One answer waits for a minute because its engine was lost. The others do not;
-// their callers should not get worse models for it.
+// One answer waits for a minute because its engine was lost. Guards against other callers that
+// get answers of smaller models for it.
 func TestOneLateAnswerIsNoPressure(t *testing.T) {
 	la := tier.New()
-	loaded(la, 0.1)
+	observeWaits(la, 0.1)
 	la.Begun(time.Minute, 4*time.Second)
-	_, climb := la.Next(2, 0, 35, always)
-	assert.Assert(t, climb)
+	_, escalate := la.Next(2, 0, 35, always)
+	assert.Assert(t, escalate)
 }
 
-// The middle model answers what the small one doubted a little, and fails at
-// what it doubted much. Asking it where it fails costs its callers a detour;
-// not asking it where it suffices costs the engines the largest model's time.
+// The middle model suffices where the small one's confidence was a little too low, and fails
+// where it was much too low. Choosing it where it fails delays its callers; not choosing it
+// where it suffices costs the engines the largest model's time.
 func TestMiddleModelWhereItSuffices(t *testing.T) {
 	la := tier.New()
-	loaded(la, 0.1)
+	observeWaits(la, 0.1)
 	rnd := rand.New(rand.NewPCG(1, 1))
-	detours, spared, doubts := 0, 0, 0
+	wasted, saved, sufficient := 0, 0, 0
 	for range 2000 {
 		confidence := rnd.IntN(50)
-		to, climb := la.Next(3, 0, confidence, always)
-		assert.Assert(t, climb)
+		to, escalate := la.Next(3, 0, confidence, always)
+		assert.Assert(t, escalate)
 		suffices := confidence >= 40 || confidence >= 30 && rnd.Float64() < 0.5
 		if suffices {
-			doubts++
+			sufficient++
 		}
 		if to != 1 {
 			continue
 		}
 		answered := 20
 		if suffices {
-			answered, spared = 80, spared+1
+			answered, saved = 80, saved+1
 		} else {
-			detours++
+			wasted++
 		}
 		la.Climbed(0, confidence, to, answered)
 	}
-	assert.Assert(t, spared > doubts*8/10, "%d of %d", spared, doubts)
-	assert.Assert(t, detours < 260, "%d, of which 200 where it suffices every other time", detours)
+	assert.Assert(t, saved > sufficient*8/10, "the middle model answered %d of the %d requests for which it suffices", saved, sufficient)
+	assert.Assert(t, wasted < 260, "%d escalations to a middle model that did not suffice, of which about 200 where it suffices half of the time", wasted)
 }
 
-// A prompt is so long that the largest model would begin its answer too late,
-// and keep its engine from others for as long. The largest model that fits must
-// answer, or the answer at hand is given.
-func TestModelThatWouldBeLate(t *testing.T) {
+// A prompt is so long that the largest model would miss the target latency, and keep its engine
+// from other requests for as long. The largest model that fits must answer, or the present
+// answer is returned.
+func TestModelThatMissesTheTarget(t *testing.T) {
 	la := tier.New()
-	loaded(la, 0.1)
-	to, climb := la.Next(3, 0, 5, func(to int) bool { return to < 2 })
-	assert.Assert(t, climb)
+	observeWaits(la, 0.1)
+	to, escalate := la.Next(3, 0, 5, func(to int) bool { return to < 2 })
+	assert.Assert(t, escalate)
 	assert.Equal(t, to, 1)
-	_, climb = la.Next(3, 0, 5, func(int) bool { return false })
-	assert.Assert(t, !climb)
-	_, climb = la.Next(3, 2, 5, always)
-	assert.Assert(t, !climb, "there is none above the largest")
+	_, escalate = la.Next(3, 0, 5, func(int) bool { return false })
+	assert.Assert(t, !escalate)
+	_, escalate = la.Next(3, 2, 5, always)
+	assert.Assert(t, !escalate, "no model is larger than the largest")
 }
