--- a/core/forward/attempt.go
+++ b/core/forward/attempt.go
@@ -191,7 +191,7 @@
 		at.closeBody(ve)
 	}
 	if ve == failed {
-		at.deferBlame()
+		at.deferVerdict()
 	}
 	at.end(ve)
 	at.cancel(nil)
@@ -217,7 +217,7 @@
 	notItsFault := ve == lost && notUpstreamFault(context.Cause(at.ctx))
 	fw := jb.fw
 	fw.mu.Lock()
-	out := at.resolveBlame(now, ve)
+	out := at.resolveSuspect(now, ve)
 	switch {
 	case notItsFault || jb.suspect == at:
 		out = balance.Abandoned
--- a/core/forward/doc.go
+++ b/core/forward/doc.go
@@ -2,10 +2,10 @@
 // and the workspace, chooses version, upstream and model, retries where that is safe, escalates
 // in a cascade, and resumes a broken stream at another upstream.
 //
-// The order of events limits what the caller may be told. "Not run" is reported only when every
-// attempt was refused by its upstream or was never sent. Work that may run at most once is not
-// sent again once it may have run. An answer may be replaced by another one while the caller has
-// received nothing of it; a partly delivered answer may only be resumed after its last whole
+// The order of events limits what may be reported to the caller. "Not run" is reported only when
+// every attempt was refused by its upstream or was never sent. Work that may run at most once is
+// not sent again once it may have run. An answer may be replaced by another one while the caller
+// has received nothing of it; a partly delivered answer may only be resumed after its last whole
 // event.
 //
 // The decisions are pure: they are made in [route], [balance], [canary] and [retry], and by this
--- a/core/forward/fault.go
+++ b/core/forward/fault.go
@@ -17,15 +17,15 @@
 // exceed too.
 const enoughTimeFactor = 2
 
-// deferBlame defers the verdict on a failed attempt's upstream until the next attempt has ended;
-// see resolveBlame. When no other upstream can be tried, the cause stays unknown and the failure
+// deferVerdict defers the verdict on a failed attempt's upstream until the next attempt has ended;
+// see resolveSuspect. When no other upstream can be tried, the cause stays unknown and the failure
 // does not count against the upstream.
-func (at *attempt) deferBlame() { at.jb.suspect = at }
+func (at *attempt) deferVerdict() { at.jb.suspect = at }
 
-// resolveBlame returns what the end of an attempt says about its upstream, and decides about the
+// resolveSuspect returns what the end of an attempt says about its upstream, and decides about the
 // failed attempt before it: when both failed with the same status, the request is the cause,
 // otherwise the first upstream. The forwarder's lock is held.
-func (at *attempt) resolveBlame(now time.Time, ve verdict) balance.Outcome {
+func (at *attempt) resolveSuspect(now time.Time, ve verdict) balance.Outcome {
 	out := ve.outcome()
 	if ve == failed && at.timeTooShort() {
 		out = balance.Abandoned
@@ -35,13 +35,13 @@
 		if ve == failed && prev.reply.Status == at.reply.Status {
 			return balance.Abandoned
 		}
-		prev.blameUpstream(now)
+		prev.countFailure(now)
 	}
 	return out
 }
 
-// blameUpstream counts a failed attempt against its upstream.
-func (at *attempt) blameUpstream(now time.Time) {
+// countFailure counts a failed attempt against its upstream.
+func (at *attempt) countFailure(now time.Time) {
 	turn, failing := at.jb.fw.picker.Blame(now, at.flight)
 	at.logTurn(turn, failed, failing)
 }
--- a/core/forward/forward.go
+++ b/core/forward/forward.go
@@ -191,7 +191,7 @@
 
 // unknownFailure refuses what the configuration in force does not contain. While newer
 // configurations may still be on their way here, the refusal is not final: a caller with a new
-// key would otherwise be told that its key is invalid.
+// key would otherwise give up for good.
 func (fw *Forwarder) unknownFailure(code core.Code, text string) *core.Failure {
 	if age := fw.parts.Age(); age > staleConfigAge {
 		return core.Refuse(core.CodeStaleConfig, shortRetryAfter, "%s, by a configuration that was confirmed %s ago", text, age.Round(time.Millisecond))
--- a/core/forward/forward_test.go
+++ b/core/forward/forward_test.go
@@ -177,7 +177,7 @@
 }
 
 // A caller disconnects during its request. Guards against an upstream that isn't canceled at
-// once and works on for nobody, and against a retry elsewhere.
+// once and keeps working, and against a retry elsewhere.
 func TestCallerDisconnects(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
 		var gone time.Time
