--- a/core/canary/canary_test.go
+++ b/core/canary/canary_test.go
@@ -12,9 +12,9 @@
 	"skylarkstand/core/canary"
 )
 
-// A new version is bad in one of the ways that versions are. Its callers get
-// errors or wait several times as long, and the more of them there are, the
-// longer it goes unnoticed; it must be found, and until then get few requests.
+// A new version is bad in one of the typical ways: its callers receive errors, or wait several
+// times as long. It must be detected, and until then receive few requests: the later that happens,
+// the more callers are affected.
 func TestBadVersionIsRolledBack(t *testing.T) {
 	half := func(rnd *rand.Rand) bool { return rnd.Float64() < 0.5 }
 	scenarios := []struct {
@@ -42,81 +42,78 @@
 		for _, exposure := range []float64{0.15, 0.12} {
 			t.Run(fmt.Sprint(sc.testName, " ", exposure), func(t *testing.T) {
 				for seed := range uint64(12) {
-					tr := trial{seed: seed, entries: 4, rate: sc.rate, exposure: exposure, duration: 24 * time.Second, fault: sc.fault}
-					re := tr.play(t)
+					tr := simulation{seed: seed, entries: 4, rate: sc.rate, exposure: exposure, duration: 24 * time.Second, fault: sc.fault}
+					re := tr.run(t)
 					assert.Equal(t, re.state, canary.RolledBack, "seed %d: at %s after %d requests, %d bad", seed, re.at, re.sent, re.bad)
-					re.within(t, exposure)
-					assert.Assert(t, re.afterBad < 5*time.Second, "seed %d: used %s after its fiftieth bad answer", seed, re.afterBad)
+					re.assertWithin(t, exposure)
+					assert.Assert(t, re.detectionDelay < 5*time.Second, "seed %d: still received requests %s after its fiftieth bad answer", seed, re.detectionDelay)
 				}
 			})
 		}
 	}
 }
 
-// Twenty entries share fifteen requests a second, so that each alone sees one or
-// two answers of a new version that fails half of them. Only together do they know
-// it for bad; without that two in three such versions are completed, and seven
-// times as many callers meet them.
-func TestManyEntriesFindABadVersionTogether(t *testing.T) {
+// Twenty entries share fifteen requests a second, so that each alone sees one or two answers of a
+// new version that fails half of them. Only the combined evidence suffices; without it two in three
+// such versions are completed, and seven times as many callers are affected.
+func TestManyEntriesDetectABadVersionTogether(t *testing.T) {
 	half := func(rnd *rand.Rand, _ int, _ time.Duration, _ int) (bool, float64) { return rnd.Float64() < 0.5, 1 }
 	for seed := range uint64(12) {
-		tr := trial{seed: seed, entries: 20, rate: 15, exposure: 0.12, duration: 24 * time.Second, fault: half}
-		re := tr.play(t)
+		tr := simulation{seed: seed, entries: 20, rate: 15, exposure: 0.12, duration: 24 * time.Second, fault: half}
+		re := tr.run(t)
 		assert.Equal(t, re.state, canary.RolledBack, "seed %d: at %s after %d requests, %d bad", seed, re.at, re.sent, re.bad)
-		re.within(t, 0.12)
+		re.assertWithin(t, 0.12)
 	}
 }
 
-// A version is bad only once it carries the whole load, which nobody can know
-// before. Even if nothing is ever noticed, the callers that it reaches in the
-// time of its roll-out must stay within what the operators allow.
-func TestUnnoticedBadVersionKeepsToTheBound(t *testing.T) {
+// A version is bad only once it carries the whole load, which cannot be detected earlier. Even if
+// its fault is never detected, the callers that it reaches during its roll-out must stay within the
+// bound that the operators set.
+func TestUndetectedBadVersionKeepsToTheBound(t *testing.T) {
 	for _, exposure := range []float64{0.15, 0.12} {
 		for _, rate := range []float64{15, 40, 110} {
 			for seed := range uint64(8) {
-				tr := trial{seed: seed, entries: 4, rate: rate, exposure: exposure, duration: 24 * time.Second}
-				re := tr.play(t)
-				re.within(t, exposure)
+				tr := simulation{seed: seed, entries: 4, rate: rate, exposure: exposure, duration: 24 * time.Second}
+				re := tr.run(t)
+				re.assertWithin(t, exposure)
 			}
 		}
 	}
 }
 
-// A good version must be in use for all before its time is up, or its roll-out
-// counts as missed; and no session may change versions in the first half or go
-// back, or its answers do not fit its earlier ones. It must also hold when an
-// entry is restarted half-way, which knows neither how long the roll-out has
-// been going on nor which sessions there were.
+// A good version must be in use for all requests before the order's duration ends, or its roll-out
+// counts as missed. No session may change versions in the first half or go back, since the answers
+// would not fit the earlier ones. This must also hold if an entry is restarted half-way and has
+// lost the elapsed time and the sessions.
 func TestGoodVersionIsCompleted(t *testing.T) {
 	for _, duration := range []time.Duration{12 * time.Second, 24 * time.Second, time.Minute} {
 		for _, restart := range []time.Duration{0, duration / 2} {
 			for seed := range uint64(8) {
-				tr := trial{seed: seed, entries: 4, rate: 40, exposure: 0.15, duration: duration, restart: restart}
-				re := tr.play(t)
+				tr := simulation{seed: seed, entries: 4, rate: 40, exposure: 0.15, duration: duration, restart: restart}
+				re := tr.run(t)
 				assert.Equal(t, re.state, canary.Completed, "seed %d, %s, restart %s: at %s", seed, duration, restart, re.at)
 				assert.Assert(t, re.at < duration)
-				assert.Equal(t, re.wrongMoves, 0)
-				assert.Equal(t, re.backToOld, 0)
+				assert.Equal(t, re.earlySwitches, 0)
+				assert.Equal(t, re.switchesBack, 0)
 			}
 		}
 	}
 }
 
-// The entries can hear neither one another nor the store. What each of them
-// sends to a bad version must then be so little that all of them together keep
-// to the bound.
-func TestDeafEntriesKeepToTheBound(t *testing.T) {
+// The entries can reach neither one another nor the store. What each of them sends to a bad version
+// must be so little that all of them together stay within the bound.
+func TestPartitionedEntriesKeepToTheBound(t *testing.T) {
 	worst := func(*rand.Rand, int, time.Duration, int) (bool, float64) { return false, 1 }
 	for seed := range uint64(8) {
-		tr := trial{seed: seed, entries: 12, rate: 60, exposure: 0.12, duration: 24 * time.Second, fault: worst, deaf: true}
-		tr.play(t).within(t, 0.12)
+		tr := simulation{seed: seed, entries: 12, rate: 60, exposure: 0.12, duration: 24 * time.Second, fault: worst, partitioned: true}
+		tr.run(t).assertWithin(t, 0.12)
 	}
 }
 
-// Both versions fail alike, because answers are lost on the way. The new one is
-// not to blame; a roll-out that is taken back for it has to be done again.
-func TestTroubleOfBothIsNotHeldAgainstTheNewOne(t *testing.T) {
-	wrong := 0
+// Both versions fail alike because answers are lost on the network. This must not count against the
+// new one: a roll-out that is rolled back for it has to be done again.
+func TestFaultOfBothVersionsDoesNotRollBack(t *testing.T) {
+	rollBacks := 0
 	for seed := range uint64(10) {
 		gu := canary.New()
 		now := time.Unix(1_000_000, 0)
@@ -131,16 +128,16 @@
 		}
 		for _, wr := range gu.Due(now, func(core.ServiceID) int { return 0 }) {
 			if wr.Status != nil && wr.Status.State == canary.RolledBack {
-				wrong++
+				rollBacks++
 			}
 		}
 	}
-	assert.Assert(t, wrong <= 1, "%d of 10", wrong)
+	assert.Assert(t, rollBacks <= 1, "%d of 10 roll-outs were rolled back", rollBacks)
 }
 
-// Upstreams of a new version are listed a moment before the order for it is
-// known. They must get nothing until then: nobody would be watching.
-func TestNewVersionBeforeItsOrder(t *testing.T) {
+// Upstreams of a new version are listed a moment before the order for it arrives. They must receive
+// nothing until then, since nothing would detect a fault.
+func TestNewVersionGetsNothingBeforeItsOrder(t *testing.T) {
 	gu := canary.New()
 	now := time.Unix(1_000_000, 0)
 	all := hosts()
@@ -153,8 +150,8 @@
 	}
 }
 
-// firstToJoin lists sessions that fall into the first step.
-func firstToJoin() []core.SessionID {
+// firstStepSessions returns sessions that fall into the first step's share.
+func firstStepSessions() []core.SessionID {
 	var out []core.SessionID
 	for i := range 4000 {
 		if se := core.SessionID(fmt.Sprint("s", i)); canary.Place(se) < 0.03 {
@@ -164,26 +161,26 @@
 	return out
 }
 
-// A session runs on the old version when a roll-out begins. While it goes on
-// there it must stay, whatever its hash says; and with old news no session may
-// begin on the new version, since the word that it is bad may be on its way.
-func TestSessionsStay(t *testing.T) {
+// A session runs on the old version when a roll-out begins. While it is active it must stay there,
+// whatever its hash. While the entry's view of the store is stale, no session may begin on the new
+// version, since a verdict against it may be on its way.
+func TestSessionsStayOnTheOldVersion(t *testing.T) {
 	gu := canary.New()
 	now := time.Unix(1_000_000, 0)
 	all := hosts()
 	old := core.Host{ID: "old-0", Service: service, Version: v1}
-	joining := firstToJoin()
+	joining := firstStepSessions()
 	assert.Assert(t, len(joining) > 60)
 	for _, se := range joining[:30] {
 		gu.Sent(now, se, old)
 	}
 	gu.Order(now, canary.Order{Service: service, Target: v2, Duration: 24 * time.Second, Revision: 5})
 	for range 2000 {
-		gu.Choose(now, service, "", 0.9, canary.Unrestricted(all), true) // The cap counts requests.
+		gu.Choose(now, service, "", 0.9, canary.Unrestricted(all), true) // The cap is relative to the number of requests.
 	}
 	for _, se := range joining {
 		ups := gu.Choose(now, service, se, 0, canary.Unrestricted(all), true)
-		assert.Equal(t, ups[0].Version, v1, "nobody knows yet which sessions the other entries have")
+		assert.Equal(t, ups[0].Version, v1, "the other entries' sessions have not been reported yet")
 	}
 	now = now.Add(3 * time.Second)
 	for i, se := range joining {
@@ -199,53 +196,52 @@
 	}
 }
 
-// A session's requests come to several entries. It runs on the old version at
-// one of them when a roll-out begins, and its next request comes to another one
-// that has never heard of it. Its caller would get an answer of the new version
-// that does not fit the one before; it must stay, also when an answer takes
-// longer than the gap between the requests of a session, and for as long as it
-// goes on. Sessions that nobody knows begin on the new version.
-func TestSessionsOfOtherEntriesStay(t *testing.T) {
+// A session's requests arrive at several entries. It runs on the old version at one of them when a
+// roll-out begins, and its next request arrives at another entry that has never seen it. An answer
+// of the new version would not fit the previous one, so the session must stay for as long as it is
+// active, also when an answer takes longer than the session gap. Sessions that are new to all
+// entries begin on the new version.
+func TestSessionsOfOtherEntriesStayOnTheOldVersion(t *testing.T) {
 	all := hosts()
 	old := core.Host{ID: "old-0", Service: service, Version: v1}
-	joining := firstToJoin()
+	joining := firstStepSessions()
 	here, there := canary.New(), canary.New()
 	now := time.Unix(1_000_000, 0)
-	going, streaming, fresh := joining[0], joining[1], joining[2:]
+	active, streaming, fresh := joining[0], joining[1], joining[2:]
 	there.Sent(now, streaming, old)
 	now = now.Add(4 * time.Second)
-	there.Sent(now, going, old)
-	there.Ended(now, going, old)
+	there.Sent(now, active, old)
+	there.Ended(now, active, old)
 	for _, gu := range []*canary.Guard{here, there} {
 		gu.Order(now, canary.Order{Service: service, Target: v2, Duration: 24 * time.Second, Revision: 5})
 		for range 2000 {
-			gu.Choose(now, service, "", 0.9, canary.Unrestricted(all), true) // The cap counts requests.
+			gu.Choose(now, service, "", 0.9, canary.Unrestricted(all), true) // The cap is relative to the number of requests.
 		}
 	}
-	stays := func(gu *canary.Guard, se core.SessionID) {
+	assertStays := func(gu *canary.Guard, se core.SessionID) {
 		t.Helper()
 		assert.Equal(t, gu.Choose(now, service, se, 0, canary.Unrestricted(all), true)[0].Version, v1)
 	}
 	for range 5 {
 		now = now.Add(time.Second)
 		here.Pool(now, there.Reports(now))
-		there.Sent(now, going, old)
-		there.Ended(now, going, old)
-		stays(here, going)
-		stays(here, streaming)
-		stays(there, streaming)
+		there.Sent(now, active, old)
+		there.Ended(now, active, old)
+		assertStays(here, active)
+		assertStays(here, streaming)
+		assertStays(there, streaming)
 	}
 	there.Ended(now, streaming, old)
 	now = now.Add(4 * time.Second)
-	stays(there, streaming)
-	stays(here, streaming)
+	assertStays(there, streaming)
+	assertStays(here, streaming)
 	for _, se := range fresh {
 		assert.Equal(t, here.Choose(now, service, se, 0, canary.Unrestricted(all), true)[0].Version, v2)
 	}
 }
 
-// Operators order the same version again after it was rolled back. The old
-// verdict must not stand in its way, and an old status must not count for it.
+// Operators order the same version again after it was rolled back. The earlier verdict must not
+// block it, and an earlier status must not count for it.
 func TestSameVersionOrderedAgain(t *testing.T) {
 	gu := canary.New()
 	now := time.Unix(1_000_000, 0)
@@ -261,15 +257,14 @@
 	gu.Order(now, canary.Order{Service: service, Target: v2, Duration: 24 * time.Second, Revision: 9})
 	due = gu.Due(now, first)
 	assert.Equal(t, due[0].Status.State, canary.InProgress)
-	assert.Equal(t, due[0].Status.Revision, core.Revision(6), "it replaces the old status")
+	assert.Equal(t, due[0].Status.Revision, core.Revision(6), "the write must replace the earlier status")
 }
 
-// One entry comes to hold a version for bad in the moment in which another one
-// writes that its roll-out is completed: the first one's write is refused, and the
-// upstreams of the old version stop. What the store says holds for all; an entry
-// that goes by its own verdict has no upstream left and refuses every caller until
-// the next order.
-func TestVerdictThatComesAfterTheCompletion(t *testing.T) {
+// One entry finds a version bad in the moment in which another one writes that its roll-out is
+// completed: the first one's write is refused, and the upstreams of the old version stop. The
+// store's status is authoritative. An entry that followed its own verdict would have no upstream
+// left and refuse every caller until the next order.
+func TestVerdictAfterTheCompletion(t *testing.T) {
 	gu := canary.New()
 	now := time.Unix(1_000_000, 0)
 	gu.Order(now, canary.Order{Service: service, Target: v2, Duration: 24 * time.Second, Revision: 5})
@@ -277,7 +272,7 @@
 		gu.Observe(canary.Outcome{Service: service, Version: v2, Pool: "a", Failed: true})
 	}
 	due := gu.Due(now, func(core.ServiceID) int { return 0 })
-	assert.Equal(t, due[0].Status.State, canary.RolledBack, "the entry holds it for bad")
+	assert.Equal(t, due[0].Status.State, canary.RolledBack, "the entry's own verdict")
 	gu.Status(canary.Status{Service: service, Target: v2, State: canary.Completed, Revision: 6})
 	var left []core.Host
 	for _, ho := range hosts() {
@@ -290,31 +285,30 @@
 	assert.Equal(t, gu.Shares()[service], 1.0)
 }
 
-// The last step moves everything to the new version. Its engines then carry what
-// both versions' did, and have none of the prompts in memory, so that they are
-// slower than the old ones were for a while. A good version that is rolled back for
-// it has to be rolled out again, and meets the same end; one that is several times
-// slower must still be found.
-func TestLoadOfTheLastStepIsNotHeldAgainstTheVersion(t *testing.T) {
+// The last step moves everything to the new version. Its engines then carry the load of both
+// versions and have no prefix cache, so that they are slower than the old ones were for a while. A
+// good version must not be rolled back for that: it would have to be rolled out again, with the
+// same result. A version that is several times slower must still be detected.
+func TestLoadOfTheLastStepDoesNotRollBack(t *testing.T) {
 	const usual = 30 * time.Millisecond
 	held := func(step int, slower float64) bool {
 		gu := canary.New()
 		now := time.Unix(1_000_000, 0)
 		gu.Order(now, canary.Order{Service: service, Target: v2, Duration: 24 * time.Second, Revision: 5})
 		gu.Step(now, canary.Step{Service: service, Order: 5, Step: step, Revision: 6})
-		pace := func(ve core.VersionID, piece time.Duration) {
+		chunk := func(ve core.VersionID, piece time.Duration) {
 			gu.Observe(canary.Outcome{Service: service, Version: ve, Pool: "a", Going: true, Piece: piece})
 		}
 		rnd := rand.New(rand.NewPCG(1, 1))
 		for range 100 {
-			pace(v1, time.Duration(float64(usual)*(0.7+0.6*rnd.Float64())))
+			chunk(v1, time.Duration(float64(usual)*(0.7+0.6*rnd.Float64())))
 		}
 		for range 30 {
-			pace(v2, time.Duration(float64(usual)*slower))
+			chunk(v2, time.Duration(float64(usual)*slower))
 		}
 		return len(gu.Held()) > 0
 	}
-	assert.Assert(t, held(1, 1.9), "beside the old version, under the same load")
-	assert.Assert(t, !held(2, 4), "alone, under all of it")
-	assert.Assert(t, held(2, 8), "eight times as slow")
+	assert.Assert(t, held(1, 1.9), "1.9 times as slow, beside the old version under the same load")
+	assert.Assert(t, !held(2, 4), "4 times as slow, alone under the whole load")
+	assert.Assert(t, held(2, 8), "8 times as slow, alone under the whole load")
 }
--- a/core/canary/doc.go
+++ b/core/canary/doc.go
@@ -1,26 +1,22 @@
-// Package canary brings a new version of a service's upstreams into use, and
-// takes a bad one out again.
+// Package canary rolls out a new version of a service's upstreams and rolls back a bad one.
 //
-// It answers two harms. A bad version that gets much traffic before it is
-// known for bad fails that many callers; a session that changes between
-// versions meets answers that do not fit its earlier ones. So a roll-out begins
-// with a small fixed share of the sessions, chosen by a hash of their id, which
-// all entries work out alike without asking one another; sessions that are
-// under way stay where they are. Each entry bounds what it sends to the new
-// version by its own traffic, so that the bound holds over all entries also
-// while they cannot hear one another. Near the end of the time that the
-// operators gave, the share widens to all requests, late enough that even a
-// version whose fault never shows keeps to the bound, and when the old version
-// has nothing left to do, the roll-out is complete.
+// It limits two kinds of harm. A bad version that receives much traffic before it is detected fails
+// that many callers. A session that switches between versions receives answers that do not fit its
+// earlier ones. So a roll-out starts with a small fixed share of the sessions, selected by a hash
+// of the session id, which every entry computes alike without coordination; active sessions stay on
+// their version. Each entry caps what it sends to the new version by its own traffic, so that the
+// bound on exposure also holds over all entries while they cannot reach one another. Near the end
+// of the order's duration the share widens to all requests, late enough that even a version whose
+// fault never shows stays within the bound. Once the old version has no work left, the roll-out is
+// complete.
 //
-// Entries tell one another their evidence while a roll-out goes on, since each
-// alone sees little of the first step, and how long it has been going on, which
-// one that was restarted could not know. Without an answer each goes on alone.
+// During a roll-out, entries exchange their evidence, since each alone sees little of the first
+// step, and the elapsed time of the roll-out, which a restarted entry could not know. Without a
+// response each entry continues alone.
 //
-// The steps and the verdict are kept in the store. Any entry may take the next
-// step or roll back, by compare-and-swap, so that no entry's loss halts a
-// roll-out. An entry that finds the version bad stops using it at once, before
-// the store knows.
+// The steps and the verdict are kept in the store. Any entry may take the next step or roll back,
+// by compare-and-swap, so that the loss of an entry never halts a roll-out. An entry that finds the
+// version bad stops using it at once, before the store is updated.
 //
 // # Usage
 //
@@ -37,7 +33,7 @@
 	"skylarkstand/core"
 )
 
-// State is how far a roll-out is, for the operators.
+// State is the state of a roll-out, as shown to operators.
 type State string
 
 // The states. The last two are final.
@@ -47,93 +43,92 @@
 	RolledBack State = "rolled-back"
 )
 
-// Order is the operators' wish to move a service to a version.
+// Order is the operators' order to move a service to a version.
 type Order struct {
 	Service  core.ServiceID
 	Target   core.VersionID
 	Duration time.Duration
-	// Revision of the store identifies the order: the same version may be
-	// ordered again after it was rolled back.
+	// Revision is the store revision that identifies the order: the same version may be ordered
+	// again after it was rolled back.
 	Revision core.Revision
 }
 
-// Status is what the operators are told.
+// Status is the state of a roll-out as reported to operators.
 type Status struct {
 	Service core.ServiceID
 	Target  core.VersionID
 	State   State
-	// Revision is that of the key, 0 before the first status.
+	// Revision is that of the status key, 0 before the first status.
 	Revision core.Revision
 }
 
-// Step is the step that a roll-out has reached, shared by the entries.
+// Step is the current step of a roll-out, shared by the entries.
 type Step struct {
 	Service core.ServiceID `json:"service"`
 	// Order is the revision of the order that the step belongs to.
 	Order core.Revision `json:"order"`
 	Step  int           `json:"step"`
-	// Revision is that of the key, 0 before the first step.
+	// Revision is that of the step key, 0 before the first step.
 	Revision core.Revision `json:"-"`
 }
 
-// Write is a change that is due in the store. One of the two is set; its
-// Revision is the one that is replaced.
+// Write is a change that has to be written to the store. Exactly one of Status and Step is set; its
+// Revision is the one that the write replaces.
 type Write struct {
 	Status *Status
 	Step   *Step
-	// Why is the evidence, for the log.
+	// Why is the evidence for the change, for the log.
 	Why string
 }
 
 // step is one step of a roll-out.
 type step struct {
-	// share is the part of the sessions that the new version gets.
+	// share is the fraction of the sessions that the new version receives.
 	share float64
-	// from is when the step may begin, as a part of the order's time.
+	// from is when the step may begin, as a fraction of the order's duration.
 	from float64
 }
 
 const (
-	// usable is the part of the allowed exposure that a roll-out plans with. The
-	// rest is for traffic that falls in the course of it.
-	usable = 0.9
-	// trialPart is the share of the first step, as a part of the allowed
-	// exposure. At 0.15 and forty requests a second, one a second goes to the new
-	// version; all entries together see one that fails half of them within ten.
-	trialPart = 0.22
-	// widerShare and widerTime are the step between: a third of the sessions
-	// for a twenty-fifth of the time, for a version that is bad only under load
-	// or on a route that the first step has hardly met.
-	widerShare = 0.3
-	widerTime  = 0.04
-	// completeBy is when a roll-out is complete although the old version still
-	// runs something: streams then go on at the new one. Between the last step
-	// and this, short work ends.
+	// plannedFraction is the fraction of the allowed exposure that a roll-out plans to use. The
+	// rest covers traffic that decreases during the roll-out.
+	plannedFraction = 0.9
+	// firstStepFraction is the share of the first step, as a fraction of the allowed exposure. At
+	// an exposure of 0.15 and forty requests a second, one request a second goes to the new
+	// version; all entries together detect a version that fails half of them within ten seconds.
+	firstStepFraction = 0.22
+	// secondShare and secondTime define the second step: a third of the sessions for a twenty-fifth
+	// of the duration. It detects a version that is bad only under load or on a route that the
+	// first step rarely reached.
+	secondShare = 0.3
+	secondTime  = 0.04
+	// completeBy is the fraction of the duration after which a roll-out completes even if the old
+	// version still has requests in flight: streams are then resumed on the new version. Between
+	// the last step and this point, short requests finish.
 	completeBy = 0.95
-	// completeAfter is the least time after the last step, as a part of all.
+	// completeAfter is the minimum time after the last step, as a fraction of the duration.
 	completeAfter = 0.02
-	// rankDelay is how long an entry leaves the next write to those before it.
-	// The list may hold entries that are gone, so that nobody waits for more than
-	// rankMost of them.
+	// rankDelay is how long an entry waits, per entry ranked before it, before it makes the next
+	// write itself. The host list may contain entries that are gone, so the wait is limited to
+	// maxRank entries.
 	rankDelay = 250 * time.Millisecond
-	rankMost  = 4
+	maxRank   = 4
 )
 
-// plan returns the steps for an allowed exposure, the part of all requests in
-// the order's time that a bad version may get.
+// planSteps returns the steps for an allowed exposure, which is the fraction of all requests during
+// the order that a bad version may receive.
 //
-// A version can be bad in ways that no test shows before it carries the load.
-// So the steps alone keep to the bound: whatever part of it the first two do
-// not use is the time that is left at the last step, which moves everything. A
-// version that is found bad earlier is rolled back earlier; one that is good is
-// in use for all only shortly before its time is up, which costs nobody
-// anything.
-func plan(exposure float64) [3]step {
-	trial := trialPart * exposure
-	last := max(usable*exposure-trial-widerShare*widerTime, completeAfter+0.01)
-	// Nothing is sent to it in the first moments, see settle. Where they are less
-	// than settleMost of a longer roll-out, the share is a seventh too large at
-	// most, which is within what usable leaves: 0.140 of 0.15.
-	share := trial / (1 - settleMost)
-	return [3]step{{share, 0}, {widerShare, 1 - last - widerTime}, {1, 1 - last}}
+// A version can be bad in ways that no test shows before it carries the load. So the schedule alone
+// keeps to the bound: the exposure that the first two steps leave unused determines how much time
+// remains at the last step, which moves everything. A version that is found bad earlier is rolled
+// back earlier; a good version serves all requests only shortly before its time is up, which harms
+// nobody.
+func planSteps(exposure float64) [3]step {
+	first := firstStepFraction * exposure
+	last := max(plannedFraction*exposure-first-secondShare*secondTime, completeAfter+0.01)
+	// The new version receives nothing during the settling time (see settleTime). In a longer
+	// roll-out, where that time is less than maxSettleFraction of the duration, the share is up to
+	// a seventh too large, which is within the reserve of plannedFraction: 0.140 of 0.15.
+	share := first / (1 - maxSettleFraction)
+	return [3]step{{share, 0}, {secondShare, 1 - last - secondTime}, {1, 1 - last}}
 }
--- a/core/canary/evidence.go
+++ b/core/canary/evidence.go
@@ -8,196 +8,199 @@
 	"skylarkstand/core"
 )
 
-// Outcome is how an attempt at one of two versions ended.
+// Outcome is the result of an attempt at one of the two versions.
 type Outcome struct {
 	Service core.ServiceID
 	Version core.VersionID
-	// Pool separates attempts whose times are unlike: route and model.
+	// Pool separates attempts whose latencies are not comparable: route and model.
 	Pool string
-	// Neutral outcomes say nothing about the version: the caller left, or the
-	// upstream refused for want of room.
+	// Neutral outcomes are no evidence about the version: the caller disconnected, or the upstream
+	// refused for lack of capacity.
 	Neutral bool
-	// Going says that the answer goes on: only its pace is known.
+	// Going reports that the answer is still streaming: only its rate is known.
 	Going bool
-	// Failed: an error, a cut, a wrong answer or none in time.
+	// Failed covers an error, a truncated answer, a wrong answer and a timeout.
 	Failed bool
-	// First is the time to the answer's header and Piece the mean time between
-	// its pieces; 0 is unknown. Whole says that the answer came in one piece.
+	// First is the time to the answer's header and Piece the mean interval between its chunks; 0
+	// means unknown. Whole reports that the answer arrived as a single chunk.
 	First, Piece time.Duration
 	Whole        bool
 }
 
-// evidence compares the new version's outcomes with the old one's, for each pool
-// and over all: how many failed, and how many were slow.
+// evidence compares the outcomes of the new version with those of the old one, for each pool and
+// over all pools: how many failed, and how many were slow.
 type evidence struct {
-	pools map[string]*compared
-	all   compared
+	pools map[string]*comparison
+	all   comparison
 }
 
-// compared is two tests, and what is usual of times.
-type compared struct {
-	fails, slows test
+// comparison holds a test for failures, a test for slow answers and the old version's median
+// latencies.
+type comparison struct {
+	fails, slows cusum
 	first, piece median
 }
 
-// test adds up how much likelier the outcomes are if the new version does worse
-// by effect than the old one does now; the sum never falls below nought, so that
-// a version that turns bad late is found as soon as one that always was (a CUSUM
-// test, Page 1954). What troubles both versions, such as answers lost on the
-// way, lifts the old one's rate and so counts for little.
-type test struct {
+// cusum accumulates the log-likelihood ratio between "the new version's rate is higher than the old
+// one's current rate by effectSize" and "both rates are equal". The sum never falls below 0, so
+// that a version that turns bad late is detected as quickly as one that always was (a CUSUM test,
+// Page 1954). A fault that affects both versions, such as answers lost on the network, raises the
+// old version's rate and so counts for little.
+type cusum struct {
+	// rate is the old version's rate of bad outcomes.
 	rate float64
 	sum  float64
-	// drift is the sum with a lower end below nought, for the entries to add up:
-	// of sums that never fall below it, many entries' chance outcomes alone would
-	// make a verdict.
+	// drift is the same sum with a lower limit below 0 (minDrift). It is the one that is summed
+	// over the entries: with sums that never fall below 0, chance outcomes at many entries would
+	// reach a verdict on their own.
 	drift     float64
 	bad, seen int
 }
 
-// median follows the middle of times by small steps (Robbins and Monro 1951).
+// median estimates a running median of latencies by small steps (Robbins and Monro 1951).
 type median struct {
 	val   float64 // seconds
 	count int
 }
 
 const (
-	// failsAssumed and slowsAssumed are the rates before any were seen.
-	failsAssumed = 0.03
-	slowsAssumed = 0.3
-	// rateWeight weighs the newest outcome: the last twenty or so count.
-	rateWeight = 0.05
-	rateLeast  = 0.02
-	rateMost   = 0.6
-	// idleSlows bounds the slow answers that are usual of a version in its first
-	// step: its upstreams have next to no work then, while the old version's
-	// are loaded, so that what is slow there is slow by itself.
-	idleSlows = 0.2
-	// effect is the added share that is looked for.
-	effect = 0.35
-	// verdict is the sum at which the version is bad: e to the sixth, or a
-	// chance of one in 400 for a streak that began anywhere. A wrong verdict
-	// costs a roll-out that is ordered again; a late one costs callers.
-	verdict = 6.0
-	// leastDrift bounds what good answers of before can outweigh, to three or
-	// four of them: a version may turn bad late.
-	leastDrift = -1.5
-	// leastBad keeps two chance failures in a row from settling it.
-	leastBad = 3
-	// slowPace is the multiple of the old version's median pause between pieces
-	// that is slow, and slowFirst that of the time to an answer in one piece.
-	// The pace of an engine hardly depends on the prompt, which its time to the
-	// first piece does; that is left out.
-	slowPace  = 1.4
-	slowFirst = 2.5
-	// movedPace takes the place of slowPace once everything has moved. Engines of
-	// the new version then read all prompts anew for a second, and the old one's
-	// pace is that of engines that shared the load and kept them. By 1.4 of it 2 of
-	// 30 good versions were held for bad within a second of the last step, by 6 none
-	// of the same 30; by 2.5 it was 3 of 42, by 1.4 4 of those. A version that is
-	// slow is found in the steps before, or is so by eight times.
-	movedPace = 6.0
-	// overdueBy and overdueSlack say from when an attempt that has not begun
-	// counts as failed.
-	overdueBy    = 8
-	overdueSlack = time.Second
-	// timesNeeded is the old version's answers that make its median reliable.
-	timesNeeded = 8
-	// medianStep is the part by which a median follows each value.
+	// initialFailRate and initialSlowRate are the rates before any outcome was seen.
+	initialFailRate = 0.03
+	initialSlowRate = 0.3
+	// rateSmoothing is the weight of the newest outcome in the moving average: about the last
+	// twenty count.
+	rateSmoothing = 0.05
+	minRate       = 0.02
+	maxRate       = 0.6
+	// maxIdleSlowRate limits the old version's slow rate that the first step is compared with. The
+	// new version's upstreams are nearly idle then while the old version's are loaded, so slow
+	// answers there are not caused by load.
+	maxIdleSlowRate = 0.2
+	// effectSize is the increase of a rate that the test looks for.
+	effectSize = 0.35
+	// verdictThreshold is the sum at which the version is bad: e to the sixth, or a chance of one
+	// in 400 for a run of outcomes that starts anywhere. A wrong verdict costs a roll-out that has
+	// to be ordered again; a late one costs callers.
+	verdictThreshold = 6.0
+	// minDrift limits how far earlier good answers can offset bad ones, to three or four of them: a
+	// version may turn bad late.
+	minDrift = -1.5
+	// minBad prevents two chance failures in a row from reaching a verdict.
+	minBad = 3
+	// slowPieceFactor is the multiple of the old version's median chunk interval above which an
+	// answer is slow, and slowFirstFactor that of the time to an answer in a single chunk. The
+	// chunk interval of an engine hardly depends on the prompt. The time to the first chunk does,
+	// and is therefore ignored for streams.
+	slowPieceFactor = 1.4
+	slowFirstFactor = 2.5
+	// lastStepPieceFactor replaces slowPieceFactor once everything has moved. For about a second,
+	// the new version's engines then prefill every prompt without a prefix cache, while the old
+	// version's median comes from engines that shared the load and had their prefix cache. With a
+	// factor of 1.4, 2 of 30 good versions were judged bad within a second of the last step; with
+	// 6, none. A slow version is detected in the earlier steps, or is slower by a factor of eight.
+	lastStepPieceFactor = 6.0
+	// overdueFactor and overdueSlack determine when an attempt without a response header counts as
+	// failed.
+	overdueFactor = 8
+	overdueSlack  = time.Second
+	// minMedianSamples is the number of the old version's answers from which on a median is
+	// reliable.
+	minMedianSamples = 8
+	// medianStep is the relative step by which a median follows each value.
 	medianStep = 0.08
 )
 
-func newCompared() compared {
-	return compared{fails: test{rate: failsAssumed}, slows: test{rate: slowsAssumed}}
+func newComparison() comparison {
+	return comparison{fails: cusum{rate: initialFailRate}, slows: cusum{rate: initialSlowRate}}
 }
 
-func newEvidence() evidence { return evidence{pools: map[string]*compared{}, all: newCompared()} }
+func newEvidence() evidence { return evidence{pools: map[string]*comparison{}, all: newComparison()} }
 
-// restart forgets what was held against a version, and keeps what is usual.
-func (ev *evidence) restart() {
-	ev.all.restart()
+// reset discards the evidence against a version and keeps the old version's rates and medians.
+func (ev *evidence) reset() {
+	ev.all.reset()
 	for _, co := range ev.pools {
-		co.restart()
+		co.reset()
 	}
 }
 
-func (co *compared) restart() {
-	for _, te := range []*test{&co.fails, &co.slows} {
+func (co *comparison) reset() {
+	for _, te := range []*cusum{&co.fails, &co.slows} {
 		te.sum, te.drift, te.bad, te.seen = 0, 0, 0, 0
 	}
 }
 
-func (ev *evidence) pool(name string) *compared {
+func (ev *evidence) pool(name string) *comparison {
 	co := ev.pools[name]
 	if co == nil {
-		fresh := newCompared()
+		fresh := newComparison()
 		co = &fresh
 		ev.pools[name] = co
 	}
 	return co
 }
 
-// usual learns from the old version.
-func (ev *evidence) usual(ou Outcome) {
+// observeOld updates the rates and medians from an outcome of the old version.
+func (ev *evidence) observeOld(ou Outcome) {
 	po := ev.pool(ou.Pool)
-	slow, timed := po.slow(ou, slowPace)
-	for _, co := range []*compared{po, &ev.all} {
+	slow, timed := po.isSlow(ou, slowPieceFactor)
+	for _, co := range []*comparison{po, &ev.all} {
 		if !ou.Going {
-			co.fails.follow(ou.Failed)
+			co.fails.updateRate(ou.Failed)
 		}
 		if timed {
-			co.slows.follow(slow)
+			co.slows.updateRate(slow)
 		}
 	}
 	if !ou.Failed {
-		po.first.follow(ou.First)
-		po.piece.follow(ou.Piece)
+		po.first.update(ou.First)
+		po.piece.update(ou.Piece)
 	}
 }
 
-// judge takes in an outcome of the new version in a step and returns why that is
-// bad, or nothing. In the first step its upstreams have little to do.
-func (ev *evidence) judge(ou Outcome, at int) string {
+// observeNew records an outcome of the new version in a step and returns the reason if the version
+// is bad, else "". In the first step the new version's upstreams are nearly idle.
+func (ev *evidence) observeNew(ou Outcome, current int) string {
 	po := ev.pool(ou.Pool)
-	pace := slowPace
-	if at == lastStep {
-		pace = movedPace
+	factor := slowPieceFactor
+	if current == lastStep {
+		factor = lastStepPieceFactor
 	}
-	slow, timed := po.slow(ou, pace)
-	for _, co := range []*compared{po, &ev.all} {
-		if !ou.Going && co.fails.judge(ou.Failed, rateMost) {
-			return co.fails.why("failed")
+	slow, timed := po.isSlow(ou, factor)
+	for _, co := range []*comparison{po, &ev.all} {
+		if !ou.Going && co.fails.observe(ou.Failed, maxRate) {
+			return co.fails.describe("failed")
 		}
-		most := rateMost
-		if at == 0 {
-			most = idleSlows
+		maxSlow := maxRate
+		if current == 0 {
+			maxSlow = maxIdleSlowRate
 		}
-		if timed && !ou.Failed && co.slows.judge(slow, most) {
-			return co.slows.why("were slow")
+		if timed && !ou.Failed && co.slows.observe(slow, maxSlow) {
+			return co.slows.describe("were slow")
 		}
 	}
 	return ""
 }
 
-// slow reports whether an answer was slow, and whether that can be told. Pace is
-// the multiple of the usual pause between pieces that is slow.
-func (co *compared) slow(ou Outcome, pace float64) (slow, timed bool) {
+// isSlow reports whether an answer was slow, and whether that can be determined. The factor is the
+// multiple of the median chunk interval above which an answer is slow.
+func (co *comparison) isSlow(ou Outcome, factor float64) (slow, timed bool) {
 	switch {
 	case ou.Piece > 0:
-		return co.piece.exceeded(ou.Piece, pace), co.piece.known()
+		return co.piece.exceeded(ou.Piece, factor), co.piece.reliable()
 	case ou.Whole && ou.First > 0:
-		return co.first.exceeded(ou.First, slowFirst), co.first.known()
+		return co.first.exceeded(ou.First, slowFirstFactor), co.first.reliable()
 	}
 	return false, false
 }
 
-func (me *median) known() bool { return me.count >= timesNeeded }
+func (me *median) reliable() bool { return me.count >= minMedianSamples }
 
 func (me *median) exceeded(val time.Duration, by float64) bool {
-	return me.known() && val.Seconds() > by*me.val
+	return me.reliable() && val.Seconds() > by*me.val
 }
 
-func (me *median) follow(val time.Duration) {
+func (me *median) update(val time.Duration) {
 	switch {
 	case val <= 0:
 		return
@@ -211,35 +214,35 @@
 	me.count++
 }
 
-func (te *test) follow(bad bool) {
+func (te *cusum) updateRate(bad bool) {
 	val := 0.0
 	if bad {
 		val = 1
 	}
-	te.rate += rateWeight * (val - te.rate)
+	te.rate += rateSmoothing * (val - te.rate)
 }
 
-// judge takes in an outcome of the new version and reports the verdict.
-func (te *test) judge(bad bool, most float64) bool {
-	usual := min(max(te.rate, rateLeast), most)
-	worse := min(usual+effect, 0.95)
+// observe records an outcome of the new version and reports whether the verdict is reached.
+func (te *cusum) observe(bad bool, limit float64) bool {
+	baseline := min(max(te.rate, minRate), limit)
+	worse := min(baseline+effectSize, 0.95)
 	te.seen++
-	weight := math.Log((1 - worse) / (1 - usual))
+	weight := math.Log((1 - worse) / (1 - baseline))
 	if bad {
 		te.bad++
-		weight = math.Log(worse / usual)
+		weight = math.Log(worse / baseline)
 	}
 	te.sum = max(te.sum+weight, 0)
-	te.drift = max(te.drift+weight, leastDrift)
-	return te.sum >= verdict && te.bad >= leastBad
+	te.drift = max(te.drift+weight, minDrift)
+	return te.sum >= verdictThreshold && te.bad >= minBad
 }
 
-func (te *test) why(what string) string {
-	return fmt.Sprintf("%d of %d answers %s, against a usual %.0f in 100", te.bad, te.seen, what, 100*te.rate)
+func (te *cusum) describe(what string) string {
+	return fmt.Sprintf("%d of %d answers %s; the old version's rate is %.0f in 100", te.bad, te.seen, what, 100*te.rate)
 }
 
-// Observe takes in what an attempt shows of its version: its pace while it still
-// goes on, and at the end whether it failed.
+// Observe records what an attempt reveals about its version: its rate while it is still streaming,
+// and whether it failed when it ends.
 func (gu *Guard) Observe(ou Outcome) {
 	gu.mu.Lock()
 	defer gu.mu.Unlock()
@@ -248,17 +251,16 @@
 	}
 	ro := gu.rollout(ou.Service)
 	if ro.order.Revision == 0 || ou.Version != ro.order.Target {
-		ro.evidence.usual(ou)
+		ro.evidence.observeOld(ou)
 		return
 	}
-	if why := ro.evidence.judge(ou, ro.at()); why != "" && ro.bad == "" && !ro.final() {
-		ro.bad = why
+	if why := ro.evidence.observeNew(ou, ro.currentStep()); why != "" && ro.badReason == "" && !ro.final() {
+		ro.badReason = why
 	}
 }
 
-// Overdue is how long an attempt may take to its header before it counts as
-// failed, or 0 when that is not known or does not matter: only a version under
-// roll-out is judged.
+// Overdue returns how long an attempt may take until its response header before it counts as
+// failed. It returns 0 when that is unknown or irrelevant: only a version under roll-out is tested.
 func (gu *Guard) Overdue(sv core.ServiceID, ve core.VersionID, pool string) time.Duration {
 	gu.mu.Lock()
 	defer gu.mu.Unlock()
@@ -267,11 +269,11 @@
 		return 0
 	}
 	first := ro.evidence.pool(pool).first
-	if !first.known() {
+	if !first.reliable() {
 		return 0
 	}
-	return time.Duration(overdueBy*first.val*float64(time.Second)) + overdueSlack
+	return time.Duration(overdueFactor*first.val*float64(time.Second)) + overdueSlack
 }
 
-// final reports whether the current order has come to its end.
+// final reports whether the current order has ended.
 func (ro *rollout) final() bool { return ro.state() == Completed || ro.state() == RolledBack }
--- a/core/canary/guard.go
+++ b/core/canary/guard.go
@@ -8,22 +8,21 @@
 	"skylarkstand/core/mechanism"
 )
 
-// Guard decides on the roll-outs of all services. It is safe for concurrent
-// use.
+// Guard controls the roll-outs of all services. It is safe for concurrent use.
 type Guard struct {
 	off   mechanism.Off
 	gap   time.Duration
 	steps [3]step
 
-	mu       sync.Mutex
-	rollouts map[core.ServiceID]*rollout
-	sessions map[sessionKey]pin
-	swept    time.Time
-	// flying counts this entry's attempts now.
-	flying map[versionKey]int
-	// stable is the version in use of a service, beside one under roll-out.
+	mu        sync.Mutex
+	rollouts  map[core.ServiceID]*rollout
+	sessions  map[sessionKey]pin
+	lastSweep time.Time
+	// inFlight counts this entry's attempts in flight by version.
+	inFlight map[versionKey]int
+	// stable is the version of a service that is in use beside one under roll-out.
 	stable map[core.ServiceID]core.VersionID
-	// withdrawn are the versions that were rolled back and not ordered again.
+	// withdrawn are the versions that were rolled back and not ordered again since.
 	withdrawn map[versionKey]bool
 }
 
@@ -32,40 +31,38 @@
 	version core.VersionID
 }
 
-// Option changes a Guard at construction.
+// Option configures a Guard.
 type Option func(*Guard)
 
-// SessionGap sets how long after its last request a session counts as under
-// way.
+// SessionGap sets how long after its last request a session counts as active.
 func SessionGap(du time.Duration) Option { return func(gu *Guard) { gu.gap = du } }
 
-// Without switches mechanisms off.
+// Without disables mechanisms.
 func Without(off mechanism.Off) Option { return func(gu *Guard) { gu.off = off } }
 
-// Exposure sets the part of a service's requests, in the time of a roll-out,
-// that a bad version may get.
-func Exposure(share float64) Option { return func(gu *Guard) { gu.steps = plan(share) } }
+// Exposure sets the fraction of a service's requests that a bad version may receive during a
+// roll-out.
+func Exposure(share float64) Option { return func(gu *Guard) { gu.steps = planSteps(share) } }
 
 const (
-	// defaultGap and defaultExposure are the users' own figures for both
-	// deployments.
+	// defaultGap and defaultExposure are the values that the users set for both deployments.
 	defaultGap      = 5 * time.Second
 	defaultExposure = 0.15
-	// capFactor and capSlack bound what an entry sends to the new version in
-	// the first step, by its own requests and the step's share.
+	// capFactor and capSlack limit what an entry sends to the new version in the first step,
+	// relative to its own requests and the step's share.
 	capFactor = 1.3
 	capSlack  = 2
-	// settle is the time after an order in which no session joins the version, and
-	// settleMost its bound as a part of the order's time: three rounds of asking the
-	// others. The first step loses that time, which plan makes up for.
-	settle     = 3 * poolEvery
-	settleMost = 0.125
+	// settleTime is the time after an order in which no session is assigned to the new version:
+	// three rounds of collecting the siblings' reports. maxSettleFraction limits it as a fraction
+	// of the duration. The first step loses this time; planSteps compensates for it.
+	settleTime        = 3 * poolInterval
+	maxSettleFraction = 0.125
 )
 
-// New returns a guard.
+// New returns a guard without roll-outs.
 func New(opts ...Option) *Guard {
 	gu := &Guard{
-		gap: defaultGap, steps: plan(defaultExposure), rollouts: map[core.ServiceID]*rollout{}, sessions: map[sessionKey]pin{}, flying: map[versionKey]int{},
+		gap: defaultGap, steps: planSteps(defaultExposure), rollouts: map[core.ServiceID]*rollout{}, sessions: map[sessionKey]pin{}, inFlight: map[versionKey]int{},
 		stable: map[core.ServiceID]core.VersionID{}, withdrawn: map[versionKey]bool{},
 	}
 	for _, opt := range opts {
@@ -74,38 +71,38 @@
 	return gu
 }
 
-// rollout is one order with what this entry knows of it.
+// rollout is an order and what this entry has recorded about it.
 type rollout struct {
-	order   Order
-	status  Status
-	step    Step
-	began   time.Time
-	stepped time.Time
-	// all and sent count this entry's requests for the service, and those to
-	// the new version, since the order.
+	order     Order
+	status    Status
+	step      Step
+	startedAt time.Time
+	steppedAt time.Time
+	// all and sent count this entry's requests for the service, and those to the new version, since
+	// the order.
 	all, sent int
 	evidence  evidence
-	// settled are the sessions of the first step that go on with the old version
-	// at other entries, and when that was told last.
-	settled map[core.SessionID]time.Time
-	// doubt is the evidence of all entries together, as last heard.
-	doubt float64
-	// bad is why this entry holds the version for bad; empty is not. Told is set
-	// once that was handed out by Held.
-	bad  string
-	told bool
+	// remoteOld are the sessions within the first step's share that continue on the old version at
+	// other entries, and when each was last reported.
+	remoteOld map[core.SessionID]time.Time
+	// pooledSum is the evidence of all entries together, as of the last reports.
+	pooledSum float64
+	// badReason is why this entry considers the version bad; empty if it does not. reported is set
+	// once Held has returned it.
+	badReason string
+	reported  bool
 }
 
 func (gu *Guard) rollout(sv core.ServiceID) *rollout {
 	ro := gu.rollouts[sv]
 	if ro == nil {
-		ro = &rollout{evidence: newEvidence(), settled: map[core.SessionID]time.Time{}}
+		ro = &rollout{evidence: newEvidence(), remoteOld: map[core.SessionID]time.Time{}}
 		gu.rollouts[sv] = ro
 	}
 	return ro
 }
 
-// Order takes in an order. One that is known, or older, changes nothing.
+// Order applies an order. An order that is already known, or older, changes nothing.
 func (gu *Guard) Order(now time.Time, or Order) {
 	gu.mu.Lock()
 	defer gu.mu.Unlock()
@@ -117,13 +114,13 @@
 		gu.withdrawn[versionKey{or.Service, ro.order.Target}] = true
 	}
 	delete(gu.withdrawn, versionKey{or.Service, or.Target})
-	ro.order, ro.began, ro.stepped = or, now, now
-	ro.all, ro.sent, ro.bad, ro.told, ro.doubt = 0, 0, "", false, 0
-	ro.evidence.restart()
-	clear(ro.settled)
+	ro.order, ro.startedAt, ro.steppedAt = or, now, now
+	ro.all, ro.sent, ro.badReason, ro.reported, ro.pooledSum = 0, 0, "", false, 0
+	ro.evidence.reset()
+	clear(ro.remoteOld)
 }
 
-// Status takes in a status from the store.
+// Status applies a status from the store.
 func (gu *Guard) Status(st Status) {
 	gu.mu.Lock()
 	defer gu.mu.Unlock()
@@ -132,20 +129,20 @@
 		return
 	}
 	ro.status = st
-	gu.ended(ro, st)
+	gu.applyFinal(ro, st)
 }
 
-// Step takes in a step from the store.
+// Step applies a step from the store.
 func (gu *Guard) Step(now time.Time, st Step) {
 	gu.mu.Lock()
 	defer gu.mu.Unlock()
 	ro := gu.rollout(st.Service)
 	if st.Revision > ro.step.Revision {
-		ro.step, ro.stepped = st, now
+		ro.step, ro.steppedAt = st, now
 	}
 }
 
-// state returns the status of the current order; the empty one before any.
+// state returns the status of the current order, or "" before the first.
 func (ro *rollout) state() State {
 	if ro.order.Revision == 0 || ro.status.Revision < ro.order.Revision || ro.status.Target != ro.order.Target {
 		return ""
@@ -153,111 +150,111 @@
 	return ro.status.State
 }
 
-// rejected reports whether the version gets no work. A verdict of this entry
-// counts until the store tells of the roll-out's end, which holds for all: where
-// another entry wrote first that it is completed, the old version's upstreams stop,
-// and this entry's callers would find none.
+// rejected reports whether the version receives no work. A verdict of this entry counts until the
+// store reports the end of the roll-out, which is authoritative: if another entry has already
+// written that the roll-out is completed, the old version's upstreams stop, and this entry would
+// have no upstream left for its callers.
 func (ro *rollout) rejected() bool {
-	return ro.state() == RolledBack || ro.bad != "" && ro.state() != Completed
+	return ro.state() == RolledBack || ro.badReason != "" && ro.state() != Completed
 }
 
-// lastStep moves everything.
+// lastStep is the step that moves everything.
 const lastStep = 2
 
-// at returns the step of the current order.
-func (ro *rollout) at() int {
+// currentStep returns the step of the current order.
+func (ro *rollout) currentStep() int {
 	if ro.step.Order != ro.order.Revision {
 		return 0
 	}
 	return min(max(ro.step.Step, 0), lastStep)
 }
 
-// Candidates are the upstreams of a service that a version is chosen from.
+// Candidates are the upstreams of a service among which a version is chosen.
 type Candidates struct {
-	// Ready are all that are ready. They tell which version is in use.
+	// Ready are all ready upstreams. They determine which version is in use.
 	Ready []core.Host
-	// Eligible are those of them that may get the request.
+	// Eligible are the ready upstreams that may receive the request.
 	Eligible []core.Host
 }
 
-// Unrestricted returns the candidates of a request that may go to any upstream.
+// Unrestricted returns the candidates of a request that any upstream may serve.
 func Unrestricted(hosts []core.Host) Candidates { return Candidates{Ready: hosts, Eligible: hosts} }
 
-// Choose narrows the eligible upstreams of a service to those whose version a
-// request may run on. Draw, from 0 to 1, places requests without a session. Fresh says
-// that the entry's news are recent; without, no new session is given to a
-// version under roll-out, since the word that it is bad may not have arrived.
+// Choose narrows the eligible upstreams of a service to those of the version that the request may
+// run on. Draw, from 0 to 1, selects the version for requests without a session. Fresh reports that
+// the entry's view of the store is recent; if it is not, no new session is assigned to a version
+// under roll-out, since a verdict against it may not have arrived yet.
 func (gu *Guard) Choose(now time.Time, sv core.ServiceID, se core.SessionID, draw float64, ca Candidates, fresh bool) []core.Host {
 	gu.mu.Lock()
 	defer gu.mu.Unlock()
 	ro := gu.rollouts[sv]
 	if ro == nil || ro.order.Revision == 0 {
-		return gu.known(sv, ca)
+		return gu.stableHosts(sv, ca)
 	}
 	target := ro.order.Target
 	ro.all++
-	ups := only(ca.Eligible, target)
+	ups := withVersion(ca.Eligible, target)
 	if ro.state() == Completed {
-		// The version in use stays the target, also while its upstreams are away.
-		return prefer(ups, gu.allowed(sv, ca.Eligible))
+		// The target stays the version in use even while its upstreams are absent.
+		return firstNonEmpty(ups, gu.notWithdrawn(sv, ca.Eligible))
 	}
-	old := gu.known(sv, Candidates{except(ca.Ready, target), except(ca.Eligible, target)})
+	old := gu.stableHosts(sv, Candidates{withoutVersion(ca.Ready, target), withoutVersion(ca.Eligible, target)})
 	if ro.rejected() {
 		return old
 	}
 	if len(ups) == 0 {
 		return old
 	}
-	if !gu.joins(now, ro, sv, se, draw, fresh) {
+	if !gu.routeToTarget(now, ro, sv, se, draw, fresh) {
 		return old
 	}
 	return ups
 }
 
-// joins reports whether a request goes to the version under roll-out.
-func (gu *Guard) joins(now time.Time, ro *rollout, sv core.ServiceID, se core.SessionID, draw float64, fresh bool) bool {
-	at := ro.at()
+// routeToTarget reports whether a request goes to the version under roll-out.
+func (gu *Guard) routeToTarget(now time.Time, ro *rollout, sv core.ServiceID, se core.SessionID, draw float64, fresh bool) bool {
+	current := ro.currentStep()
 	if se != "" {
 		draw = Place(se)
-		pi, known := gu.sessions[sessionKey{sv, se}]
-		known = known && pi.underWay(now, gu.gap)
-		if known && pi.version == ro.order.Target {
+		pi, active := gu.sessions[sessionKey{sv, se}]
+		active = active && pi.active(now, gu.gap)
+		if active && pi.version == ro.order.Target {
 			return true
 		}
-		if at == 0 && (known || gu.elsewhere(now, ro, se)) {
+		if current == 0 && (active || gu.mayBeActiveElsewhere(now, ro, se)) {
 			return false
 		}
 	}
-	share := gu.steps[at].share
+	share := gu.steps[current].share
 	if draw >= share || !fresh {
 		return false
 	}
-	return at > 0 || float64(ro.sent) < capFactor*share*float64(ro.all)+capSlack
+	return current > 0 || float64(ro.sent) < capFactor*share*float64(ro.all)+capSlack
 }
 
-// Held is a version that an entry has come to hold for bad.
+// Held is a version that an entry has found bad.
 type Held struct {
 	Service core.ServiceID
 	Version core.VersionID
 	Why     string
 }
 
-// Held returns the versions that this entry holds for bad since the last call.
+// Held returns the versions that this entry has found bad since the last call.
 func (gu *Guard) Held() []Held {
 	gu.mu.Lock()
 	defer gu.mu.Unlock()
 	var out []Held
 	for sv, ro := range gu.rollouts {
-		if ro.bad != "" && !ro.told {
-			ro.told = true
-			out = append(out, Held{sv, ro.order.Target, ro.bad})
+		if ro.badReason != "" && !ro.reported {
+			ro.reported = true
+			out = append(out, Held{sv, ro.order.Target, ro.badReason})
 		}
 	}
 	return out
 }
 
-// Shares returns the part of the new sessions that a version under roll-out may
-// get, by service; 1 once it is completed, 0 when it is bad.
+// Shares returns the fraction of new sessions that a version under roll-out may receive, by
+// service: 1 once it is completed, 0 when it is bad.
 func (gu *Guard) Shares() map[core.ServiceID]float64 {
 	gu.mu.Lock()
 	defer gu.mu.Unlock()
@@ -270,16 +267,16 @@
 		case ro.rejected():
 			out[sv] = 0
 		default:
-			out[sv] = gu.steps[ro.at()].share
+			out[sv] = gu.steps[ro.currentStep()].share
 		}
 	}
 	return out
 }
 
-// old counts this entry's attempts at versions that a roll-out replaces.
-func (gu *Guard) old(ro *rollout) int {
+// oldInFlight counts this entry's attempts in flight at versions that a roll-out replaces.
+func (gu *Guard) oldInFlight(ro *rollout) int {
 	sum := 0
-	for key, n := range gu.flying {
+	for key, n := range gu.inFlight {
 		if key.service == ro.order.Service && key.version != ro.order.Target {
 			sum += n
 		}
--- a/core/canary/pool.go
+++ b/core/canary/pool.go
@@ -10,23 +10,22 @@
 	"skylarkstand/core/mechanism"
 )
 
-// Report is what an entry knows of a roll-out under way.
+// Report is an entry's evidence on a roll-out in progress, as sent to its siblings.
 type Report struct {
 	Service core.ServiceID `json:"service"`
 	// Order is the revision of the order.
 	Order core.Revision `json:"order"`
-	// Elapsed is how long the order has been known, in milliseconds.
+	// Elapsed is the time since the order was received, in milliseconds.
 	Elapsed int64 `json:"elapsed-ms"`
-	// Pools holds the evidence by route and model, and over all of them under
-	// [overAll].
+	// Pools holds the evidence by route and model, and over all of them under [allPools].
 	Pools map[string]Tallies `json:"pools"`
-	// Settled are the sessions of the first step that go on with the old version
-	// there.
+	// Settled are the sessions within the first step's share that continue on the old version at
+	// the reporting entry.
 	Settled []core.SessionID `json:"settled,omitempty"`
 }
 
-// overAll names the evidence over all routes.
-const overAll = ""
+// allPools is the key of the evidence over all pools.
+const allPools = ""
 
 // Tallies is the evidence of both tests.
 type Tallies struct {
@@ -41,13 +40,13 @@
 	Seen int     `json:"seen"`
 }
 
-// Entries are the other entries.
+// Entries are the sibling entries.
 type Entries interface {
-	// Reports returns what the others that answer know of roll-outs.
+	// Reports returns the roll-out reports of the siblings that respond.
 	Reports(ctx context.Context) []Report
 }
 
-// Reports lists the roll-outs that are under way.
+// Reports returns this entry's reports on the roll-outs in progress.
 func (gu *Guard) Reports(now time.Time) []Report {
 	gu.mu.Lock()
 	defer gu.mu.Unlock()
@@ -57,16 +56,16 @@
 			continue
 		}
 		out = append(out, Report{
-			Service: sv, Order: ro.order.Revision, Elapsed: now.Sub(ro.began).Milliseconds(), Pools: ro.evidence.tallies(),
-			Settled: gu.settledHere(now, ro),
+			Service: sv, Order: ro.order.Revision, Elapsed: now.Sub(ro.startedAt).Milliseconds(), Pools: ro.evidence.tallies(),
+			Settled: gu.localOld(now, ro),
 		})
 	}
 	return out
 }
 
-// tallies returns the evidence of the pools that the new version had answers in.
+// tallies returns the evidence of the pools in which the new version has answered.
 func (ev *evidence) tallies() map[string]Tallies {
-	out := map[string]Tallies{overAll: ev.all.tallies()}
+	out := map[string]Tallies{allPools: ev.all.tallies()}
 	for name, co := range ev.pools {
 		if co.fails.seen+co.slows.seen > 0 {
 			out[name] = co.tallies()
@@ -75,16 +74,16 @@
 	return out
 }
 
-func (co *compared) tallies() Tallies { return Tallies{co.fails.tally(), co.slows.tally()} }
+func (co *comparison) tallies() Tallies { return Tallies{co.fails.tally(), co.slows.tally()} }
 
-func (te test) tally() Tally { return Tally{te.drift, te.bad, te.seen} }
+func (te cusum) tally() Tally { return Tally{te.drift, te.bad, te.seen} }
 
-// pooledVerdict is the sum of the entries' evidence at which a version is bad. A
-// little more is asked of them together than of one alone, since each begins
-// with what its first few answers happen to be.
-const pooledVerdict = 7.0
+// pooledThreshold is the sum of the entries' evidence at which a version is bad. It is slightly
+// higher than the threshold for a single entry, since each entry contributes the chance result of
+// its first few answers.
+const pooledThreshold = 7.0
 
-// Pool takes in the others' reports, at a moment after they were made.
+// Pool merges the siblings' reports; now must not be earlier than when they were made.
 func (gu *Guard) Pool(now time.Time, reports []Report) {
 	gu.mu.Lock()
 	defer gu.mu.Unlock()
@@ -93,16 +92,16 @@
 			continue
 		}
 		sums := ro.evidence.tallies()
-		maps.DeleteFunc(ro.settled, func(_ core.SessionID, at time.Time) bool { return now.Sub(at) > gu.gap })
+		maps.DeleteFunc(ro.remoteOld, func(_ core.SessionID, at time.Time) bool { return now.Sub(at) > gu.gap })
 		for _, re := range reports {
 			if re.Service != sv || re.Order != ro.order.Revision {
 				continue
 			}
-			if began := now.Add(-time.Duration(re.Elapsed) * time.Millisecond); began.Before(ro.began) {
-				ro.began = began
+			if began := now.Add(-time.Duration(re.Elapsed) * time.Millisecond); began.Before(ro.startedAt) {
+				ro.startedAt = began
 			}
 			for _, se := range re.Settled {
-				ro.settled[se] = now
+				ro.remoteOld[se] = now
 			}
 			if gu.off.Has(mechanism.PooledEvidence) {
 				continue
@@ -114,12 +113,12 @@
 				sums[name] = sum
 			}
 		}
-		ro.doubt = 0
+		ro.pooledSum = 0
 		for _, sum := range sums {
-			if ro.bad == "" {
-				ro.bad = pooled(sum.Fails, sum.Slows)
+			if ro.badReason == "" {
+				ro.badReason = pooledReason(sum.Fails, sum.Slows)
 			}
-			ro.doubt = max(ro.doubt, sum.Fails.Sum, sum.Slows.Sum)
+			ro.pooledSum = max(ro.pooledSum, sum.Fails.Sum, sum.Slows.Sum)
 		}
 	}
 }
@@ -130,36 +129,36 @@
 	ta.Seen += other.Seen
 }
 
-// pooled returns why a version is bad by the evidence of all, or nothing.
-func pooled(fails, slows Tally) string {
+// pooledReason returns why a version is bad by the evidence of all entries, or "".
+func pooledReason(fails, slows Tally) string {
 	switch {
-	case fails.Sum >= pooledVerdict && fails.Bad >= leastBad:
+	case fails.Sum >= pooledThreshold && fails.Bad >= minBad:
 		return fmt.Sprintf("%d of %d answers at all entries failed", fails.Bad, fails.Seen)
-	case slows.Sum >= pooledVerdict && slows.Bad >= leastBad:
+	case slows.Sum >= pooledThreshold && slows.Bad >= minBad:
 		return fmt.Sprintf("%d of %d answers at all entries were slow", slows.Bad, slows.Seen)
 	}
 	return ""
 }
 
-// Pooler is the duty that asks the others. It implements suture's Service.
+// Pooler periodically collects the siblings' reports. It implements suture's Service.
 type Pooler struct {
 	gu  *Guard
 	ens Entries
 }
 
 const (
-	// poolEvery is how often the others are asked while a roll-out goes on. A
-	// report is 200 bytes; at four entries this is 2 kB a second over all.
-	poolEvery = time.Second
-	poolLimit = 700 * time.Millisecond
+	// poolInterval is how often reports are collected during a roll-out. A report is 200 bytes;
+	// with four entries this makes 2 kB a second in total.
+	poolInterval = time.Second
+	poolTimeout  = 700 * time.Millisecond
 )
 
-// NewPooler returns the duty.
+// NewPooler returns a pooler.
 func NewPooler(gu *Guard, ens Entries) *Pooler { return &Pooler{gu: gu, ens: ens} }
 
 // Serve implements suture's Service.
 func (po *Pooler) Serve(ctx context.Context) error {
-	ti := time.NewTicker(poolEvery)
+	ti := time.NewTicker(poolInterval)
 	defer ti.Stop()
 	for {
 		select {
@@ -167,17 +166,17 @@
 			return ctx.Err()
 		case <-ti.C:
 			if len(po.gu.Reports(time.Now())) > 0 {
-				po.ask(ctx)
+				po.collect(ctx)
 			}
 		}
 	}
 }
 
-func (po *Pooler) ask(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, poolLimit)
+func (po *Pooler) collect(ctx context.Context) {
+	ctx, cancel := context.WithTimeout(ctx, poolTimeout)
 	defer cancel()
 	reports := po.ens.Reports(ctx)
-	// As of now, and not of the question: the time that a report tells would
-	// otherwise grow by the way here with every round.
+	// Uses the time of the response, not of the request: otherwise the network delay would be added
+	// to the reported elapsed time in every round.
 	po.gu.Pool(time.Now(), reports)
 }
--- a/core/canary/pool_test.go
+++ b/core/canary/pool_test.go
@@ -11,21 +11,21 @@
 	"skylarkstand/core/canary"
 )
 
-// far is another entry that is asked over a slow way.
-type far struct{ gu *canary.Guard }
+// remoteEntry is another entry behind a slow network.
+type remoteEntry struct{ gu *canary.Guard }
 
-func (fa far) Reports(context.Context) []canary.Report {
+func (fa remoteEntry) Reports(context.Context) []canary.Report {
 	time.Sleep(100 * time.Millisecond)
 	out := fa.gu.Reports(time.Now())
 	time.Sleep(50 * time.Millisecond)
 	return out
 }
 
-// Entries tell one another how long a roll-out has been going on, over ways that
-// take a while. Each round must not make it look longer: added up over a minute,
-// a roll-out would take its last step seconds too soon, and a bad version that
-// shows only then would get more requests than operators allow.
-func TestToldTimeDoesNotRunAhead(t *testing.T) {
+// Entries exchange how long a roll-out has been in progress, over a network with delays. No round
+// may make the elapsed time appear longer: accumulated over a minute, a roll-out would take its
+// last step seconds too early, and a version whose fault shows only then would receive more
+// requests than operators allow.
+func TestPooledElapsedTimeDoesNotRunAhead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		one, two := canary.New(), canary.New()
 		began := time.Now()
@@ -33,21 +33,21 @@
 			gu.Order(began, canary.Order{Service: service, Target: v2, Duration: time.Minute, Revision: 5})
 		}
 		ctx, cancel := context.WithCancel(t.Context())
-		for _, po := range []*canary.Pooler{canary.NewPooler(one, far{two}), canary.NewPooler(two, far{one})} {
+		for _, po := range []*canary.Pooler{canary.NewPooler(one, remoteEntry{two}), canary.NewPooler(two, remoteEntry{one})} {
 			go func() { _ = po.Serve(ctx) }()
 		}
 		time.Sleep(30 * time.Second)
 		for _, gu := range []*canary.Guard{one, two} {
 			elapsed := time.Duration(gu.Reports(time.Now())[0].Elapsed) * time.Millisecond
-			assert.Assert(t, elapsed <= 30*time.Second, "%s after thirty seconds", elapsed)
+			assert.Assert(t, elapsed <= 30*time.Second, "elapsed time is %s after thirty seconds", elapsed)
 		}
-		// One that was restarted hears of the time from the other.
+		// A restarted entry takes the elapsed time from the other one.
 		late := canary.New()
 		late.Order(time.Now(), canary.Order{Service: service, Target: v2, Duration: time.Minute, Revision: 5})
-		go func() { _ = canary.NewPooler(late, far{one}).Serve(ctx) }()
+		go func() { _ = canary.NewPooler(late, remoteEntry{one}).Serve(ctx) }()
 		time.Sleep(2 * time.Second)
 		elapsed := time.Duration(late.Reports(time.Now())[0].Elapsed) * time.Millisecond
-		assert.Assert(t, elapsed > 31*time.Second && elapsed <= 32*time.Second, "%s", elapsed)
+		assert.Assert(t, elapsed > 31*time.Second && elapsed <= 32*time.Second, "elapsed time is %s after 32 seconds", elapsed)
 		cancel()
 		synctest.Wait()
 		time.Sleep(time.Second)
--- a/core/canary/recorder.go
+++ b/core/canary/recorder.go
@@ -10,17 +10,17 @@
 	"skylarkstand/core/event"
 )
 
-// Codec turns a status into the key and value that the operators read.
+// Codec encodes a status as the key and value that operators read.
 type Codec interface {
 	StatusKey(st Status) (key string, value []byte, err error)
 }
 
-// Recorder is the duty that writes what a guard finds due. It implements
-// suture's Service.
+// Recorder periodically writes the changes that are due to the store. It implements suture's
+// Service.
 //
-// Each write replaces the very revision that the decision was made on. A write
-// whose answer was lost, or that takes effect late, so never undoes what
-// another entry wrote meanwhile; it is decided anew from what the store says.
+// Each write replaces exactly the revision that the decision was based on. So a write whose
+// response was lost, or that takes effect late, never overwrites what another entry has written
+// meanwhile; the decision is made again from the store's content.
 type Recorder struct {
 	deps  core.Deps
 	gu    *Guard
@@ -28,27 +28,27 @@
 	codec Codec
 	steps string
 	rank  func(core.ServiceID) int
-	// rest is until when a key is left alone after a write that failed.
-	rest map[string]time.Time
+	// backoffUntil is the time until which a key is not written again after a failed write.
+	backoffUntil map[string]time.Time
 }
 
 const (
-	// recordEvery is how often a guard is asked. A verdict is to be in force
-	// everywhere within a part of a second.
-	recordEvery = 150 * time.Millisecond
-	// conflictRest leaves time for the other's write to be heard of.
-	conflictRest = 700 * time.Millisecond
+	// recordInterval is how often a guard is polled. A verdict has to be in force everywhere within
+	// a fraction of a second.
+	recordInterval = 150 * time.Millisecond
+	// conflictBackoff leaves time for the other entry's write to arrive.
+	conflictBackoff = 700 * time.Millisecond
 )
 
-// NewRecorder returns the duty. Steps are written below a prefix; rank is this
-// entry's place among all for a service.
+// NewRecorder returns a recorder. Steps are written below the key prefix steps; rank returns this
+// entry's position among all entries for a service.
 func NewRecorder(deps core.Deps, gu *Guard, st core.Store, codec Codec, steps string, rank func(core.ServiceID) int) *Recorder {
-	return &Recorder{deps: deps, gu: gu, st: st, codec: codec, steps: steps, rank: rank, rest: map[string]time.Time{}}
+	return &Recorder{deps: deps, gu: gu, st: st, codec: codec, steps: steps, rank: rank, backoffUntil: map[string]time.Time{}}
 }
 
 // Serve implements suture's Service.
 func (re *Recorder) Serve(ctx context.Context) error {
-	ti := time.NewTicker(recordEvery)
+	ti := time.NewTicker(recordInterval)
 	defer ti.Stop()
 	for {
 		select {
@@ -71,7 +71,7 @@
 		event.Log(re.deps.Log, event.StoreWriteLate, "key", key, "error", err, "why", wr.Why)
 		return
 	}
-	if time.Now().Before(re.rest[key]) {
+	if time.Now().Before(re.backoffUntil[key]) {
 		return
 	}
 	var rev core.Revision
@@ -81,13 +81,13 @@
 		rev, err = re.st.Swap(ctx, key, prev, value)
 	}
 	if err != nil {
-		re.rest[key] = time.Now().Add(conflictRest)
+		re.backoffUntil[key] = time.Now().Add(conflictBackoff)
 		if !errors.Is(err, core.ErrConflict) && ctx.Err() == nil {
 			event.Log(re.deps.Log, event.StoreWriteLate, "key", key, "error", err, "why", wr.Why)
 		}
 		return
 	}
-	re.took(wr, rev)
+	re.applyWrite(wr, rev)
 	event.Log(re.deps.Log, event.CanaryWritten, "key", key, "value", string(value), "revision", rev, "replaced", prev, "why", wr.Why)
 }
 
@@ -100,8 +100,8 @@
 	return re.steps + string(wr.Step.Service), value, wr.Step.Revision, err
 }
 
-// took has the guard go on from a write at once, before the store tells of it.
-func (re *Recorder) took(wr Write, rev core.Revision) {
+// applyWrite updates the guard from a successful write at once, before the store reports it.
+func (re *Recorder) applyWrite(wr Write, rev core.Revision) {
 	if wr.Status != nil {
 		st := *wr.Status
 		st.Revision = rev
--- a/core/canary/sessions.go
+++ b/core/canary/sessions.go
@@ -13,56 +13,56 @@
 	session core.SessionID
 }
 
-// pin is the version that a session was served by last.
+// pin is the version that last served a session.
 type pin struct {
 	version core.VersionID
-	// at is when one of its requests was sent or ended last, and flying how many
-	// have not ended. A stream may last longer than the gap.
-	at     time.Time
-	flying int
+	// usedAt is when one of its requests was last sent or ended, and inFlight how many have not
+	// ended. A stream may last longer than the session gap.
+	usedAt   time.Time
+	inFlight int
 }
 
-// underWay reports whether the session goes on.
-func (pi pin) underWay(now time.Time, gap time.Duration) bool {
-	return pi.flying > 0 || now.Sub(pi.at) <= gap
+// active reports whether the session is in progress.
+func (pi pin) active(now time.Time, gap time.Duration) bool {
+	return pi.inFlight > 0 || now.Sub(pi.usedAt) <= gap
 }
 
-// elsewhere reports whether a session that this entry does not know may go on
-// with the old version at another one.
+// mayBeActiveElsewhere reports whether a session unknown to this entry may be active on the old
+// version at another entry.
 //
-// A session's requests come to any entry, and at the order nobody has heard of
-// the others' sessions yet. So no session joins until those of before the order
-// have been told of.
-func (gu *Guard) elsewhere(now time.Time, ro *rollout, se core.SessionID) bool {
-	if now.Sub(ro.began) < min(settle, time.Duration(settleMost*float64(ro.order.Duration))) {
+// A session's requests arrive at any entry, and right after the order no entry has received the
+// others' sessions yet. So no session is assigned to the new version until the sessions from before
+// the order have been reported.
+func (gu *Guard) mayBeActiveElsewhere(now time.Time, ro *rollout, se core.SessionID) bool {
+	if now.Sub(ro.startedAt) < min(settleTime, time.Duration(maxSettleFraction*float64(ro.order.Duration))) {
 		return true
 	}
-	at, told := ro.settled[se]
-	return told && now.Sub(at) <= gu.gap
+	at, reported := ro.remoteOld[se]
+	return reported && now.Sub(at) <= gu.gap
 }
 
-// settledHere lists the sessions of the first step that go on with the old
-// version at this entry. They are few: a thirtieth of the sessions under way.
-func (gu *Guard) settledHere(now time.Time, ro *rollout) []core.SessionID {
+// localOld returns the sessions within the first step's share that continue on the old version at
+// this entry. They are few: a thirtieth of the active sessions.
+func (gu *Guard) localOld(now time.Time, ro *rollout) []core.SessionID {
 	var out []core.SessionID
-	if ro.at() > 0 {
+	if ro.currentStep() > 0 {
 		return nil
 	}
 	for key, pi := range gu.sessions {
 		if key.service == ro.order.Service && pi.version != ro.order.Target &&
-			Place(key.session) < gu.steps[0].share && pi.underWay(now, gu.gap) {
+			Place(key.session) < gu.steps[0].share && pi.active(now, gu.gap) {
 			out = append(out, key.session)
 		}
 	}
 	return out
 }
 
-// Place is a session's place from 0 to 1, the same at all entries.
+// Place maps a session id to a number from 0 to 1, the same at all entries.
 func Place(se core.SessionID) float64 {
 	return float64(xxhash.Sum64String(string(se))>>11) / (1 << 53)
 }
 
-// Sent notes that a request of a session goes to an upstream.
+// Sent records that a request of a session is sent to an upstream.
 func (gu *Guard) Sent(now time.Time, se core.SessionID, ho core.Host) {
 	gu.mu.Lock()
 	defer gu.mu.Unlock()
@@ -73,43 +73,43 @@
 		if pi.version != ho.Version {
 			pi = pin{version: ho.Version}
 		}
-		pi.at = now
-		pi.flying++
+		pi.usedAt = now
+		pi.inFlight++
 		gu.sessions[key] = pi
 	}
-	gu.flying[versionKey{ho.Service, ho.Version}]++
+	gu.inFlight[versionKey{ho.Service, ho.Version}]++
 	if ro := gu.rollouts[ho.Service]; ro != nil && ro.order.Revision != 0 && ho.Version == ro.order.Target {
 		ro.sent++
 	}
 }
 
-// Ended notes the end of an attempt that was sent.
+// Ended records the end of an attempt that was recorded by Sent.
 func (gu *Guard) Ended(now time.Time, se core.SessionID, ho core.Host) {
 	gu.mu.Lock()
 	defer gu.mu.Unlock()
 	key := versionKey{ho.Service, ho.Version}
-	if gu.flying[key]--; gu.flying[key] <= 0 {
-		delete(gu.flying, key)
+	if gu.inFlight[key]--; gu.inFlight[key] <= 0 {
+		delete(gu.inFlight, key)
 	}
 	if pi, ok := gu.sessions[sessionKey{ho.Service, se}]; ok && pi.version == ho.Version {
-		pi.at = now
-		pi.flying = max(pi.flying-1, 0)
+		pi.usedAt = now
+		pi.inFlight = max(pi.inFlight-1, 0)
 		gu.sessions[sessionKey{ho.Service, se}] = pi
 	}
 }
 
-// maxSessions bounds the memory of sessions; at ten new ones a second and a gap
-// of some seconds it is never near.
+// maxSessions bounds the memory for sessions. At ten new sessions a second and a gap of a few
+// seconds the count stays far below it.
 const maxSessions = 1 << 16
 
-// sweep forgets the sessions that are over, once a gap.
+// sweep removes the inactive sessions, at most once per session gap.
 func (gu *Guard) sweep(now time.Time) {
-	if now.Sub(gu.swept) < gu.gap && len(gu.sessions) < maxSessions {
+	if now.Sub(gu.lastSweep) < gu.gap && len(gu.sessions) < maxSessions {
 		return
 	}
-	gu.swept = now
+	gu.lastSweep = now
 	for key, pi := range gu.sessions {
-		if !pi.underWay(now, gu.gap) {
+		if !pi.active(now, gu.gap) {
 			delete(gu.sessions, key)
 		}
 	}
--- a/core/canary/sim_test.go
+++ b/core/canary/sim_test.go
@@ -12,37 +12,37 @@
 	"skylarkstand/core/canary"
 )
 
-// fault makes the new version bad: it returns whether an answer fails and how
-// many times slower it is, by its route and the time since the order.
+// fault makes the new version bad: it returns whether an answer fails and how many times slower it
+// is, depending on its route, the time since the order and the step.
 type fault func(rnd *rand.Rand, route int, since time.Duration, step int) (fails bool, slower float64)
 
-// trial plays one roll-out over several entries, without sockets or clocks.
-type trial struct {
+// simulation simulates one roll-out over several entries, without sockets and in virtual time.
+type simulation struct {
 	seed     uint64
 	entries  int
 	rate     float64 // requests a second, of all entries
 	exposure float64
 	duration time.Duration
 	fault    fault
-	// deaf cuts the entries off from one another and from the store.
-	deaf bool
-	// asks is how many others an entry asks in each round; 0 is all of them.
-	asks int
-	// roams has the requests of a session come to any entry.
-	roams bool
-	// restart starts an entry anew at a time, knowing nothing.
+	// partitioned cuts the entries off from one another and from the store.
+	partitioned bool
+	// fanout is how many siblings an entry requests reports from in each round; 0 means all.
+	fanout int
+	// roaming sends the requests of a session to any entry.
+	roaming bool
+	// restart replaces an entry at this time after the order by a new one without state.
 	restart time.Duration
 }
 
-// result is what came of it.
+// result is the result of a simulation.
 type result struct {
-	state      canary.State
-	at         time.Duration
-	sent, all  int
-	bad        int
-	afterBad   time.Duration // from the fiftieth bad answer to the last request
-	wrongMoves int           // sessions that changed versions in the first half
-	backToOld  int           // sessions that went back without a roll-back
+	state          canary.State
+	at             time.Duration
+	sent, all      int
+	bad            int
+	detectionDelay time.Duration // from the fiftieth bad answer to the last request
+	earlySwitches  int           // sessions that switched to the new version in the first half
+	switchesBack   int           // sessions that switched back without a roll-back
 }
 
 const (
@@ -67,7 +67,7 @@
 	return out
 }
 
-type flight struct {
+type attempt struct {
 	ends    time.Time
 	entry   int
 	session core.SessionID
@@ -75,8 +75,8 @@
 	ou      canary.Outcome
 }
 
-// play runs the trial and returns the result.
-func (tr trial) play(t *testing.T) result {
+// run executes the simulation and returns the result.
+func (tr simulation) run(t *testing.T) result {
 	t.Helper()
 	rnd := rand.New(rand.NewPCG(tr.seed, 7))
 	start := time.Unix(1_000_000, 0)
@@ -90,7 +90,7 @@
 		gus[i] = newGuard()
 	}
 	all := hosts()
-	var flights []flight
+	var pending []attempt
 	type seen struct {
 		version core.VersionID
 		at      time.Time
@@ -114,22 +114,22 @@
 			gus[0].Status(st.status)
 			gus[0].Step(now, st.step)
 		}
-		if !tr.deaf && n%100 == 0 {
+		if !tr.partitioned && n%100 == 0 {
 			var reports []canary.Report
 			for _, gu := range gus {
 				reports = append(reports, gu.Reports(now)...)
 			}
 			for i, gu := range gus {
-				// A guard does not hear itself.
+				// A guard does not receive its own reports.
 				var others []canary.Report
 				for j, rp := range reports {
 					if j != i {
 						others = append(others, rp)
 					}
 				}
-				if tr.asks > 0 && tr.asks < len(others) {
-					first := n / 100 * tr.asks % len(others)
-					others = append(others[first:], others[:first]...)[:tr.asks]
+				if tr.fanout > 0 && tr.fanout < len(others) {
+					first := n / 100 * tr.fanout % len(others)
+					others = append(others[first:], others[:first]...)[:tr.fanout]
 				}
 				gu.Pool(now, others)
 			}
@@ -145,9 +145,9 @@
 		}
 		for range arrivals {
 			entry := rnd.IntN(tr.entries)
-			// Sessions of a few requests, mostly at one entry.
+			// Sessions have a few requests, mostly at one entry.
 			se := core.SessionID(fmt.Sprint("s", int(now.Sub(start).Seconds())/4, "-", entry, "-", rnd.IntN(12)))
-			if tr.roams {
+			if tr.roaming {
 				se = core.SessionID(fmt.Sprint("s", int(now.Sub(start).Seconds())/8, "-", rnd.IntN(int(6*tr.rate))))
 			}
 			gu := gus[entry]
@@ -157,13 +157,13 @@
 			}
 			ho := ups[rnd.IntN(len(ups))]
 			gu.Sent(now, se, ho)
-			old, known := sessions[se]
-			if known && now.Sub(old.at) < 5*time.Second && since > 0 {
+			old, seenBefore := sessions[se]
+			if seenBefore && now.Sub(old.at) < 5*time.Second && since > 0 {
 				if ho.Version == v2 && old.version == v1 && since < tr.duration/2 {
-					re.wrongMoves++
+					re.earlySwitches++
 				}
 				if ho.Version == v1 && old.version == v2 && st.status.State != canary.RolledBack && re.state != canary.RolledBack {
-					re.backToOld++
+					re.switchesBack++
 				}
 			}
 			sessions[se] = seen{ho.Version, now}
@@ -174,13 +174,13 @@
 				}
 			}
 			if !fiftieth.IsZero() && ho.Version == v2 {
-				re.afterBad = now.Sub(fiftieth)
+				re.detectionDelay = now.Sub(fiftieth)
 			}
 			route := rnd.IntN(3)
-			pace := time.Duration(float64(20*time.Millisecond) * (0.7 + 0.8*rnd.Float64()))
-			ou := canary.Outcome{Service: service, Version: ho.Version, Pool: fmt.Sprint(route), Piece: pace, Failed: rnd.Float64() < 0.01}
+			interval := time.Duration(float64(20*time.Millisecond) * (0.7 + 0.8*rnd.Float64()))
+			ou := canary.Outcome{Service: service, Version: ho.Version, Pool: fmt.Sprint(route), Piece: interval, Failed: rnd.Float64() < 0.01}
 			if ho.Version == v2 {
-				ou.Piece = ou.Piece * 6 / 10 // Its engines are idle.
+				ou.Piece = ou.Piece * 6 / 10 // Its engines are nearly idle.
 				if tr.fault != nil {
 					fails, slower := tr.fault(rnd, route, since, st.step.Step)
 					ou.Failed = ou.Failed || fails
@@ -195,10 +195,10 @@
 					}
 				}
 			}
-			flights = append(flights, flight{now.Add(time.Duration(20 * float64(ou.Piece))), entry, se, ho, ou})
+			pending = append(pending, attempt{now.Add(time.Duration(20 * float64(ou.Piece))), entry, se, ho, ou})
 		}
-		kept := flights[:0]
-		for _, fl := range flights {
+		kept := pending[:0]
+		for _, fl := range pending {
 			if now.Before(fl.ends) {
 				kept = append(kept, fl)
 				continue
@@ -206,13 +206,13 @@
 			gus[fl.entry].Observe(fl.ou)
 			gus[fl.entry].Ended(now, fl.session, fl.host)
 		}
-		flights = kept
+		pending = kept
 	}
 	return re
 }
 
-// write does what the guards find due, as the store would.
-func (tr trial) write(now time.Time, gus []*canary.Guard, st *store, re *result, since time.Duration) {
+// write applies the writes that the guards find due, as the store would.
+func (tr simulation) write(now time.Time, gus []*canary.Guard, st *store, re *result, since time.Duration) {
 	for rank, gu := range gus {
 		for _, wr := range gu.Due(now, func(core.ServiceID) int { return rank }) {
 			st.rev++
@@ -229,7 +229,7 @@
 			}
 		}
 	}
-	if tr.deaf {
+	if tr.partitioned {
 		return
 	}
 	for _, gu := range gus {
@@ -238,10 +238,10 @@
 	}
 }
 
-// within checks the bound that operators set.
-func (re result) within(t *testing.T, exposure float64) {
+// assertWithin checks the bound on exposure that operators set.
+func (re result) assertWithin(t *testing.T, exposure float64) {
 	t.Helper()
 	const slack = 30
 	allowed := exposure*float64(re.all) + slack
-	assert.Assert(t, float64(re.sent) <= allowed, "%d of %d requests reached it, allowed %.0f", re.sent, re.all, allowed)
+	assert.Assert(t, float64(re.sent) <= allowed, "%d of %d requests reached the new version, allowed are %.0f", re.sent, re.all, allowed)
 }
--- a/core/canary/versions.go
+++ b/core/canary/versions.go
@@ -6,9 +6,9 @@
 	"skylarkstand/core"
 )
 
-// ended notes which version a finished roll-out leaves in use, unless it was
+// applyFinal records which version a finished roll-out leaves in use, unless that version was
 // ordered again since.
-func (gu *Guard) ended(ro *rollout, st Status) {
+func (gu *Guard) applyFinal(ro *rollout, st Status) {
 	key := versionKey{st.Service, st.Target}
 	if ro.order.Revision > st.Revision && ro.order.Target == st.Target {
 		return
@@ -23,27 +23,27 @@
 	}
 }
 
-// known narrows to the version that the service runs on beside one under
-// roll-out: upstreams of another version may be listed before the order for it
-// is known, and those of a withdrawn one until they have drained.
-func (gu *Guard) known(sv core.ServiceID, ca Candidates) []core.Host {
-	ready := gu.allowed(sv, ca.Ready)
+// stableHosts narrows the candidates to the version that the service runs on beside one under
+// roll-out. Upstreams of another version may be listed before the order for it arrives, and those
+// of a withdrawn version until they have drained.
+func (gu *Guard) stableHosts(sv core.ServiceID, ca Candidates) []core.Host {
+	ready := gu.notWithdrawn(sv, ca.Ready)
 	if len(ready) == 0 {
 		return nil
 	}
-	if ve, ok := gu.stable[sv]; !ok || len(only(ready, ve)) == 0 {
-		gu.stable[sv] = most(ready)
+	if ve, ok := gu.stable[sv]; !ok || len(withVersion(ready, ve)) == 0 {
+		gu.stable[sv] = mostCommon(ready)
 	}
-	return only(ca.Eligible, gu.stable[sv])
+	return withVersion(ca.Eligible, gu.stable[sv])
 }
 
-// allowed leaves out the upstreams of withdrawn versions.
-func (gu *Guard) allowed(sv core.ServiceID, hosts []core.Host) []core.Host {
+// notWithdrawn removes the upstreams of withdrawn versions.
+func (gu *Guard) notWithdrawn(sv core.ServiceID, hosts []core.Host) []core.Host {
 	return filter(hosts, func(ho core.Host) bool { return !gu.withdrawn[versionKey{sv, ho.Version}] })
 }
 
-// most returns the version that most upstreams run.
-func most(hosts []core.Host) core.VersionID {
+// mostCommon returns the version that most upstreams run.
+func mostCommon(hosts []core.Host) core.VersionID {
 	count := map[core.VersionID]int{}
 	best := hosts[0].Version
 	for i := range hosts {
@@ -56,15 +56,15 @@
 	return best
 }
 
-func only(hosts []core.Host, ve core.VersionID) []core.Host {
+func withVersion(hosts []core.Host, ve core.VersionID) []core.Host {
 	return filter(hosts, func(ho core.Host) bool { return ho.Version == ve })
 }
 
-func except(hosts []core.Host, ve core.VersionID) []core.Host {
+func withoutVersion(hosts []core.Host, ve core.VersionID) []core.Host {
 	return filter(hosts, func(ho core.Host) bool { return ho.Version != ve })
 }
 
-// filter copies only when something is left out.
+// filter copies the slice only if an element is removed.
 func filter(hosts []core.Host, keep func(core.Host) bool) []core.Host {
 	if !slices.ContainsFunc(hosts, func(ho core.Host) bool { return !keep(ho) }) {
 		return hosts
@@ -78,7 +78,7 @@
 	return out
 }
 
-func prefer(first, second []core.Host) []core.Host {
+func firstNonEmpty(first, second []core.Host) []core.Host {
 	if len(first) > 0 {
 		return first
 	}
