--- a/core/rollout/figures_test.go
+++ b/core/rollout/figures_test.go
@@ -8,24 +8,24 @@
 	"skylarkstand/test/figure"
 )
 
-// exposure plays a roll-out many times and returns the callers that were given
-// the candidate before its halt, at the median and at p95. A run that was
-// never halted counts with all its callers.
-func exposure(t *testing.T, tr trialRun, runs int) (median, p95 float64) {
+// exposure simulates a roll-out many times and returns the number of callers that were assigned the
+// candidate before its halt, at the median and at p95. A run that was never halted counts with all
+// its callers.
+func exposure(t *testing.T, tr simulation, runs int) (median, p95 float64) {
 	var all []int
 	for seed := range runs {
-		reached, _ := tr.play(t, uint64(seed))
+		reached, _ := tr.simulate(t, uint64(seed))
 		all = append(all, reached)
 	}
 	slices.Sort(all)
 	return float64(all[runs/2]), float64(all[runs*95/100])
 }
 
-// falseHalts plays harmless roll-outs and returns the share that was halted.
-func falseHalts(t *testing.T, tr trialRun, runs int) float64 {
+// falseHalts simulates harmless roll-outs and returns the fraction that was halted.
+func falseHalts(t *testing.T, tr simulation, runs int) float64 {
 	halts := 0
 	for seed := range runs {
-		if _, halted := tr.play(t, uint64(10_000+seed)); halted {
+		if _, halted := tr.simulate(t, uint64(10_000+seed)); halted {
 			halts++
 		}
 	}
@@ -48,19 +48,19 @@
 		t.Skip("figures are measured by make measure")
 	}
 	const runs, harmlessRuns, fewer, callers, lastCaller = 1000, 1000, 300, 2000, 9000
-	bad := trialRun{stable: 0.9, candidate: 0.7, percent: 5, entries: 3, callers: lastCaller}
+	bad := simulation{stable: 0.9, candidate: 0.7, percent: 5, entries: 3, callers: lastCaller}
 	median, p95 := exposure(t, bad, runs)
 	figure.AtMost("roll-out-exposed-median", median, "callers", 60)
 	figure.AtMost("roll-out-exposed-p95", p95, "callers", 150)
-	harmless := trialRun{stable: 0.9, candidate: 0.9, percent: 5, entries: 3, callers: callers}
+	harmless := simulation{stable: 0.9, candidate: 0.9, percent: 5, entries: 3, callers: callers}
 	figure.AtMost("roll-out-false-halts", falseHalts(t, harmless, harmlessRuns), "share", 0.01)
 
-	alone, aloneHarmless := bad, harmless
-	alone.alone, aloneHarmless.alone = true, true
-	median, p95 = exposure(t, alone, runs)
+	separate, separateHarmless := bad, harmless
+	separate.noHome, separateHarmless.noHome = true, true
+	median, p95 = exposure(t, separate, runs)
 	figure.Plain("roll-out-exposed-median-each-entry-alone", median, "callers")
 	figure.Plain("roll-out-exposed-p95-each-entry-alone", p95, "callers")
-	figure.Plain("roll-out-false-halts-each-entry-alone", falseHalts(t, aloneHarmless, fewer), "share")
+	figure.Plain("roll-out-false-halts-each-entry-alone", falseHalts(t, separateHarmless, fewer), "share")
 
 	slight := bad
 	slight.candidate = 0.8
@@ -79,8 +79,8 @@
 	figure.Plain("roll-out-fixed-threshold-exposed-median", median, "callers")
 	figure.Plain("roll-out-fixed-threshold-exposed-p95", p95, "callers")
 	figure.Plain("roll-out-fixed-threshold-false-halts", falseHalts(t, thresholdHarmless, fewer), "share")
-	without := bad
-	without.decide = noGuard
-	median, _ = exposure(t, without, 1)
+	unguarded := bad
+	unguarded.decide = noGuard
+	median, _ = exposure(t, unguarded, 1)
 	figure.Plain("roll-out-no-guard-exposed-in-half-an-hour", median, "callers")
 }
--- a/core/rollout/guard.go
+++ b/core/rollout/guard.go
@@ -15,83 +15,82 @@
 	Kind    Kind
 	Bad     bool
 	At      time.Time
-	// Upstream is where the attempt ran; it is needed for Crash alone.
+	// Upstream is the upstream that ran the attempt; required for Crash only.
 	Upstream core.UpstreamID
 }
 
-// GoodFrom is the rating from which on an answer counts as good.
+// GoodFrom is the lowest rating of an answer that counts as good.
 const GoodFrom core.Quality = 0.5
 
-// Halt is the decision that a version gets no new sessions.
+// Halt is the decision that a version receives no new sessions.
 type Halt struct {
 	Version core.ModelVersion
-	// Why is the evidence, for the audit trail.
+	// Why describes the evidence, for the audit trail.
 	Why string
-	// Reached counts the callers that were given the version as new ones.
+	// Reached counts the new callers that were assigned the version.
 	Reached int
 }
 
-// Guard decides on the roll-outs that are under way. It is safe for concurrent
-// use.
+// Guard decides on the roll-outs in progress. It is safe for concurrent use.
 type Guard struct {
 	mu sync.Mutex
-	// tests are on this entry's own evidence, pools on all entries'.
-	tests, pools map[core.ModelID]*test
-	halts        map[core.ModelVersion]*halt
-	// own and pooled are the losses that were counted in either.
-	own, pooled losses
-	generation  core.Generation
-	halted      chan struct{}
+	// ownTests evaluate this entry's own evidence, pooledTests that of all entries.
+	ownTests, pooledTests map[core.ModelID]*comparison
+	halts                 map[core.ModelVersion]*haltRecord
+	// ownLosses and pooledLosses are the losses of upstreams counted in each of the two.
+	ownLosses, pooledLosses lossTimes
+	generation              core.Generation
+	haltSignal              chan struct{}
 }
 
-// test is one roll-out under way.
-type test struct {
+// comparison is the test of one roll-out in progress.
+type comparison struct {
 	stable, candidate core.ModelVersion
 	percent           int
-	trials            [kinds]*trial
+	tests             [kinds]*sequentialTest
 	reached           int
-	// sending is what goes to the home with the next batch; pooled says that
-	// the home decides.
-	sending Batch
-	pooled  bool
+	// nextBatch is the evidence that is sent to the home entry next. decidedByHome reports that the
+	// home decides on the roll-out instead of this entry.
+	nextBatch     Batch
+	decidedByHome bool
 }
 
-// halt is a decision of this guard. It holds until the configuration has
-// taken it over and an operator has started the roll-out again after that.
-type halt struct {
+// haltRecord is a halt decided or adopted by this guard. It stays in force until the configuration
+// has contained it and an operator has restarted the roll-out after that.
+type haltRecord struct {
 	Halt
 	stored bool
 }
 
-// New returns a guard of no roll-outs.
+// New returns a guard without roll-outs.
 func New() *Guard {
 	return &Guard{
-		tests: map[core.ModelID]*test{}, pools: map[core.ModelID]*test{}, halts: map[core.ModelVersion]*halt{},
-		own: losses{}, pooled: losses{}, halted: make(chan struct{}, 1),
+		ownTests: map[core.ModelID]*comparison{}, pooledTests: map[core.ModelID]*comparison{}, halts: map[core.ModelVersion]*haltRecord{},
+		ownLosses: lossTimes{}, pooledLosses: lossTimes{}, haltSignal: make(chan struct{}, 1),
 	}
 }
 
-// Follow takes in a configuration: tests begin and end with its roll-outs.
+// Follow applies a configuration: tests begin and end with its roll-outs.
 //
-// An operator may apply a change that knows nothing of a halt which has not
-// reached the store yet. Were the halt dropped then, the version would get new
-// sessions again and callers would meet it a second time; so a halt is lifted
-// only by a configuration in which it was seen and then cleared.
+// An operator may apply a change that was made without a halt that has not reached the store yet.
+// If that dropped the halt, the version would receive new sessions again and harm callers a second
+// time. So a halt is lifted only by a configuration in which it was present before and has been
+// cleared.
 func (gu *Guard) Follow(sn *declaration.Snapshot) {
 	gu.mu.Lock()
 	defer gu.mu.Unlock()
 	gu.generation = sn.Number
-	tests, pools := map[core.ModelID]*test{}, map[core.ModelID]*test{}
+	own, pooled := map[core.ModelID]*comparison{}, map[core.ModelID]*comparison{}
 	listed := map[core.ModelVersion]bool{}
 	for _, ro := range sn.Doc.RollOuts {
 		mv := core.ModelVersion{Model: ro.Model, Version: ro.Version}
 		listed[mv] = true
-		if gu.holds(mv, ro.Halted != "") || ro.Halted != "" {
+		if gu.haltInForce(mv, ro.Halted != "") || ro.Halted != "" {
 			continue
 		}
-		if te := newTest(sn, mv, ro.Percent); te != nil {
-			tests[ro.Model] = gu.tests[ro.Model].follow(te)
-			pools[ro.Model] = gu.pools[ro.Model].follow(newTest(sn, mv, ro.Percent))
+		if te := newComparison(sn, mv, ro.Percent); te != nil {
+			own[ro.Model] = gu.ownTests[ro.Model].continueAs(te)
+			pooled[ro.Model] = gu.pooledTests[ro.Model].continueAs(newComparison(sn, mv, ro.Percent))
 		}
 	}
 	for mv := range gu.halts {
@@ -99,11 +98,12 @@
 			delete(gu.halts, mv)
 		}
 	}
-	gu.tests, gu.pools = tests, pools
+	gu.ownTests, gu.pooledTests = own, pooled
 }
 
-// holds reports whether a halt of this guard stands against a configuration.
-func (gu *Guard) holds(mv core.ModelVersion, stored bool) bool {
+// haltInForce reports whether a halt of this guard overrides a configuration; stored reports that
+// the configuration contains a halt of the version.
+func (gu *Guard) haltInForce(mv core.ModelVersion, stored bool) bool {
 	ha := gu.halts[mv]
 	switch {
 	case ha == nil:
@@ -117,8 +117,8 @@
 	return true
 }
 
-// newTest returns the test of a roll-out, or nil when it is none.
-func newTest(sn *declaration.Snapshot, mv core.ModelVersion, percent int) *test {
+// newComparison returns the comparison for a roll-out, or nil if there is nothing to compare.
+func newComparison(sn *declaration.Snapshot, mv core.ModelVersion, percent int) *comparison {
 	mo := sn.Model(mv.Model)
 	if mo == nil || mo.Stable == mv.Version {
 		return nil
@@ -128,104 +128,102 @@
 	if sv == nil || cv == nil {
 		return nil
 	}
-	return &test{stable: stable, candidate: mv, percent: percent, trials: newTrials(sv.Quality, cv.Quality, percent)}
+	return &comparison{stable: stable, candidate: mv, percent: percent, tests: newSequentialTests(sv.Quality, cv.Quality, percent)}
 }
 
-// follow returns the test to go on with under a newer configuration: the
-// running one if it is of the same two versions. A change of the share goes on
-// with the evidence so far.
-func (te *test) follow(next *test) *test {
+// continueAs returns the comparison to continue with under a newer configuration: the current one
+// if it is of the same two versions. A change of the percentage keeps the evidence so far.
+func (te *comparison) continueAs(next *comparison) *comparison {
 	if te == nil || te.candidate != next.candidate || te.stable != next.stable {
 		return next
 	}
 	te.percent = next.percent
-	for ki, tr := range te.trials {
-		tr.need = next.trials[ki].need
+	for ki, tr := range te.tests {
+		tr.controls = next.tests[ki].controls
 	}
 	return te
 }
 
-// Reach notes that a new caller was given a version.
+// Reach records that a new caller was assigned a version.
 func (gu *Guard) Reach(mv core.ModelVersion) {
 	gu.mu.Lock()
 	defer gu.mu.Unlock()
-	if te := gu.tests[mv.Model]; te != nil && te.candidate == mv {
+	if te := gu.ownTests[mv.Model]; te != nil && te.candidate == mv {
 		te.reached++
-		te.sending.Reached++
+		te.nextBatch.Reached++
 	}
 }
 
-// RateShare returns the share of a version's answers that are to be rated:
-// all of a version under roll-out, and of the stable version as many as the
-// test can use.
+// RateShare returns the fraction of a version's answers that are to be rated: all of a version
+// under roll-out, and of the stable version as many as the test can use.
 func (gu *Guard) RateShare(mv core.ModelVersion) float64 {
 	gu.mu.Lock()
 	defer gu.mu.Unlock()
-	te := gu.tests[mv.Model]
+	te := gu.ownTests[mv.Model]
 	switch {
 	case te == nil:
 		return 0
 	case te.candidate == mv:
 		return 1
 	case te.stable == mv:
-		// A half more than a block needs, since their number varies.
-		return min(1, 1.5*float64(needFor(te.percent)*te.percent)/float64(max(100-te.percent, 1)))
+		// Half as many again as a block needs, since their number varies.
+		return min(1, 1.5*float64(controlsFor(te.percent)*te.percent)/float64(max(100-te.percent, 1)))
 	}
 	return 0
 }
 
-// Observe takes in an outcome of this entry.
+// Observe records an outcome of this entry.
 func (gu *Guard) Observe(ou Outcome) {
 	gu.mu.Lock()
 	defer gu.mu.Unlock()
-	te := gu.tests[ou.Version.Model]
-	if te == nil || (te.candidate != ou.Version && te.stable != ou.Version) || gu.own.same(ou) {
+	te := gu.ownTests[ou.Version.Model]
+	if te == nil || (te.candidate != ou.Version && te.stable != ou.Version) || gu.ownLosses.absorbs(ou) {
 		return
 	}
-	if len(te.sending.Outcomes) < maxBatch {
-		te.sending.Outcomes = append(te.sending.Outcomes, ou)
+	if len(te.nextBatch.Outcomes) < maxBatch {
+		te.nextBatch.Outcomes = append(te.nextBatch.Outcomes, ou)
 	}
-	moved := te.trials[ou.Kind].observe(te.candidate == ou.Version, ou.Bad)
-	if moved && !te.pooled && te.evidence() >= 1/FalseHalts {
-		gu.halt(te)
+	changed := te.tests[ou.Kind].observe(te.candidate == ou.Version, ou.Bad)
+	if changed && !te.decidedByHome && te.evidence() >= 1/FalseHalts {
+		gu.decideHalt(te)
 	}
 }
 
-// halt decides against the candidate of a test.
-func (gu *Guard) halt(te *test) {
-	gu.halts[te.candidate] = &halt{Halt: Halt{Version: te.candidate, Why: te.why(), Reached: te.reached}}
-	gu.drop(te.candidate.Model)
+// decideHalt halts the candidate of a comparison.
+func (gu *Guard) decideHalt(te *comparison) {
+	gu.halts[te.candidate] = &haltRecord{Halt: Halt{Version: te.candidate, Why: te.describe(), Reached: te.reached}}
+	gu.endTests(te.candidate.Model)
 }
 
-// drop ends the tests of a model and wakes whoever records its halt.
-func (gu *Guard) drop(mo core.ModelID) {
-	delete(gu.tests, mo)
-	delete(gu.pools, mo)
+// endTests ends the tests of a model and signals a new halt.
+func (gu *Guard) endTests(mo core.ModelID) {
+	delete(gu.ownTests, mo)
+	delete(gu.pooledTests, mo)
 	select {
-	case gu.halted <- struct{}{}:
+	case gu.haltSignal <- struct{}{}:
 	default:
 	}
 }
 
 const (
-	// lossPause is the time in which all attempts lost at one upstream count
-	// as one. A host that goes takes all its attempts along; taken one by one
-	// they would be a dozen crashes at once, and a version would be halted for
-	// the loss of a host.
-	lossPause = 10 * time.Second
-	// maxLosses bounds the memory of upstreams that lost attempts.
+	// lossWindow is the time in which all attempts lost at one upstream count as one loss. A host
+	// that fails takes all its attempts along; counted separately they would be a dozen crashes at
+	// once, and a version would be halted for the loss of a host.
+	lossWindow = 10 * time.Second
+	// maxLosses bounds the memory for upstreams that lost attempts.
 	maxLosses = 1024
 )
 
-// losses are the times of the last losses that were counted.
-type losses map[core.UpstreamID]time.Time
+// lossTimes holds the time of the last counted loss by upstream.
+type lossTimes map[core.UpstreamID]time.Time
 
-// same reports whether a lost attempt belongs to a loss that was counted.
-func (lo losses) same(ou Outcome) bool {
+// absorbs reports whether a lost attempt belongs to a loss that was already counted; if not, it
+// counts it.
+func (lo lossTimes) absorbs(ou Outcome) bool {
 	if ou.Kind != Crash || !ou.Bad {
 		return false
 	}
-	if last, ok := lo[ou.Upstream]; ok && ou.At.Sub(last) < lossPause {
+	if last, ok := lo[ou.Upstream]; ok && ou.At.Sub(last) < lossWindow {
 		return true
 	}
 	if len(lo) >= maxLosses {
@@ -235,15 +233,15 @@
 	return false
 }
 
-// Halted reports whether this guard has halted a version. It holds at once,
-// before the configuration says so, and also while the store is away.
+// Halted reports whether this guard has halted a version. A halt is in force at once, before the
+// configuration contains it, and also while the store is unavailable.
 func (gu *Guard) Halted(mv core.ModelVersion) bool {
 	gu.mu.Lock()
 	defer gu.mu.Unlock()
 	return gu.halts[mv] != nil
 }
 
-// Halts lists the halts that the configuration does not have yet.
+// Halts returns the halts that the configuration does not contain yet.
 func (gu *Guard) Halts() []Halt {
 	gu.mu.Lock()
 	defer gu.mu.Unlock()
@@ -256,27 +254,27 @@
 	return out
 }
 
-// New halts are signalled on this channel, one signal for several.
-func (gu *Guard) New() <-chan struct{} { return gu.halted }
+// New returns the channel on which new halts are signalled, one signal for several.
+func (gu *Guard) New() <-chan struct{} { return gu.haltSignal }
 
-// evidence is the weighted mean over the kinds, an e-process itself.
-func (te *test) evidence() float64 {
+// evidence returns the weighted mean over the kinds, which is itself an e-process.
+func (te *comparison) evidence() float64 {
 	sum := 0.0
-	for ki, tr := range te.trials {
+	for ki, tr := range te.tests {
 		sum += kindWeights[ki] * tr.evidence()
 	}
 	return sum
 }
 
-// why tells the evidence of the kind that weighs most.
-func (te *test) why() string {
-	most := Rating
+// describe returns the evidence of the kind with the largest weighted evidence.
+func (te *comparison) describe() string {
+	strongest := Rating
 	for ki := range kinds {
-		if kindWeights[ki]*te.trials[ki].evidence() > kindWeights[most]*te.trials[most].evidence() {
-			most = ki
+		if kindWeights[ki]*te.tests[ki].evidence() > kindWeights[strongest]*te.tests[strongest].evidence() {
+			strongest = ki
 		}
 	}
-	seen := te.trials[most].seen
+	seen := te.tests[strongest].seen
 	return fmt.Sprintf("%d of %d answers of %s were %s, against %d of %d of %s; %d new callers were given it",
-		seen[1].bad, seen[1].all, te.candidate, most, seen[0].bad, seen[0].all, te.stable, te.reached)
+		seen[1].bad, seen[1].all, te.candidate, strongest, seen[0].bad, seen[0].all, te.stable, te.reached)
 }
--- a/core/rollout/guard_test.go
+++ b/core/rollout/guard_test.go
@@ -13,36 +13,36 @@
 	"skylarkstand/core/rollout"
 )
 
-// A version answers worse than the stable one. Callers who were given it
-// notice bad answers; after some dozens of them no further caller is.
+// A version answers worse than the stable one. After some dozens of its callers have received bad
+// answers, no further caller may be assigned to it.
 func TestBadVersionIsHalted(t *testing.T) {
 	for _, sc := range []struct {
 		testName string
-		run      trialRun
+		run      simulation
 		atMost   int
 	}{
-		{"clearly worse at a small share", trialRun{stable: 0.9, candidate: 0.7, percent: 5, callers: 2000}, 200},
-		{"three entries with one home", trialRun{stable: 0.9, candidate: 0.7, percent: 5, entries: 3, callers: 2000}, 250},
-		{"three entries without a home", trialRun{stable: 0.9, candidate: 0.7, percent: 5, entries: 3, alone: true, callers: 2000}, 350},
-		{"worse than was declared of it", trialRun{stable: 0.9, candidate: 0.55, percent: 20, cheaper: true, callers: 2000}, 300},
-		{"broken at half", trialRun{stable: 0.9, candidate: 0.2, percent: 50, callers: 2000}, 150},
-		{"clearly worse for all new callers, against what was declared", trialRun{stable: 0.9, candidate: 0.6, percent: 100, callers: 2000}, 400},
-		{"a weak model that gets weaker", trialRun{stable: 0.7, candidate: 0.4, percent: 20, callers: 2000}, 250},
+		{"clearly worse at a small share", simulation{stable: 0.9, candidate: 0.7, percent: 5, callers: 2000}, 200},
+		{"three entries with one home", simulation{stable: 0.9, candidate: 0.7, percent: 5, entries: 3, callers: 2000}, 250},
+		{"three entries without a home", simulation{stable: 0.9, candidate: 0.7, percent: 5, entries: 3, noHome: true, callers: 2000}, 350},
+		{"worse than declared", simulation{stable: 0.9, candidate: 0.55, percent: 20, cheaper: true, callers: 2000}, 300},
+		{"broken at half", simulation{stable: 0.9, candidate: 0.2, percent: 50, callers: 2000}, 150},
+		{"clearly worse for all new callers, contrary to its declared quality", simulation{stable: 0.9, candidate: 0.6, percent: 100, callers: 2000}, 400},
+		{"a weak model that gets weaker", simulation{stable: 0.7, candidate: 0.4, percent: 20, callers: 2000}, 250},
 	} {
 		t.Run(sc.testName, func(t *testing.T) {
 			for seed := range uint64(20) {
-				reached, halted := sc.run.play(t, seed)
-				assert.Assert(t, halted && reached <= sc.atMost, "seed %d: halted %v after %d", seed, halted, reached)
+				reached, halted := sc.run.simulate(t, seed)
+				assert.Assert(t, halted && reached <= sc.atMost, "seed %d: halted is %v after %d callers", seed, halted, reached)
 			}
 		})
 	}
 }
 
-// A version as good as the stable one is halted by chance. Operators who see
-// that happen stop to believe the guard. The declared quality may be wrong for
-// both, and an hour may be hard for both; neither is the version's fault.
-func TestHarmlessVersionGoesOn(t *testing.T) {
-	for _, run := range []trialRun{
+// A version as good as the stable one is halted by chance. Operators who see that stop trusting the
+// guard. The declared quality may be wrong for both versions, and both may do worse for a while;
+// neither is a fault of the new version.
+func TestHarmlessVersionIsNotHalted(t *testing.T) {
+	for _, run := range []simulation{
 		{stable: 0.9, candidate: 0.9, percent: 5, callers: 500},
 		{stable: 0.9, candidate: 0.89, percent: 20, callers: 500},
 		{stable: 0.6, candidate: 0.6, percent: 20, callers: 500},
@@ -54,16 +54,16 @@
 		t.Run(run.String(), func(t *testing.T) {
 			halts := 0
 			for seed := range uint64(50) {
-				if _, halted := run.play(t, 500+seed); halted {
+				if _, halted := run.simulate(t, 500+seed); halted {
 					halts++
 				}
 			}
-			assert.Assert(t, halts <= 2, "%d of 50", halts)
+			assert.Assert(t, halts <= 2, "%d of 50 harmless roll-outs were halted", halts)
 		})
 	}
 }
 
-func halted(t *testing.T) *rollout.Guard {
+func haltedGuard(t *testing.T) *rollout.Guard {
 	t.Helper()
 	gu := rollout.New()
 	gu.Follow(configuration(t, 1, 20, ""))
@@ -80,12 +80,11 @@
 	return gu
 }
 
-// The store is away when the guard halts a version, and an operator's change
-// that knows nothing of the halt is the next configuration. Callers must not
-// be given the bad version again by that. Once the halt has stood in the
-// configuration, an operator may start the roll-out again.
-func TestLocalHaltHolds(t *testing.T) {
-	gu := halted(t)
+// The store is unavailable when the guard halts a version, and the next configuration is an
+// operator's change made without the halt. It must not assign callers to the bad version again.
+// Once the configuration has contained the halt, an operator may restart the roll-out.
+func TestLocalHaltStaysInForce(t *testing.T) {
+	gu := haltedGuard(t)
 	assert.Assert(t, cmp.Len(gu.Halts(), 1))
 	assert.Assert(t, gu.Halts()[0].Reached < 30)
 	for _, step := range []struct {
@@ -101,16 +100,15 @@
 	assert.Equal(t, gu.RateShare(desk2), 1.0)
 }
 
-// The store is away, and another entry has halted a version. Callers of this
-// entry must not be given it either. A word that is older than the
-// configuration may be of a halt that an operator has lifted, and is not
-// heeded.
+// The store is unavailable, and another entry has halted a version. Callers of this entry must not
+// be assigned to it either. A message older than the configuration may be about a halt that an
+// operator has lifted, and is ignored.
 func TestHaltOfAnotherEntry(t *testing.T) {
 	for _, sc := range []struct {
 		testName string
 		halted   core.ModelVersion
 		decided  core.Generation
-		heeded   bool
+		adopted  bool
 	}{
 		{"by the same configuration", desk2, 3, true},
 		{"by a newer one", desk2, 4, true},
@@ -121,58 +119,58 @@
 			gu := rollout.New()
 			gu.Follow(configuration(t, 3, 20, ""))
 			ha := rollout.Halt{Version: sc.halted, Why: "elsewhere"}
-			assert.Equal(t, gu.Heed(ha, sc.decided), sc.heeded)
-			assert.Equal(t, gu.Halted(sc.halted), sc.heeded)
-			assert.Assert(t, !gu.Heed(ha, sc.decided), "a word that circles is no news")
+			assert.Equal(t, gu.Heed(ha, sc.decided), sc.adopted)
+			assert.Equal(t, gu.Halted(sc.halted), sc.adopted)
+			assert.Assert(t, !gu.Heed(ha, sc.decided), "a halt that is known already is not new")
 		})
 	}
 }
 
-// attempts is a fake of the upstreams whose attempts end as told.
-type attempts struct {
+// fakeUpstreams is a fake of the upstreams whose attempts end with the given errors.
+type fakeUpstreams struct {
 	core.Upstreams
 	err, next error
 }
 
-func (at *attempts) Dispatch(context.Context, core.UpstreamID, *core.Attempt) (core.Answer, error) {
+func (at *fakeUpstreams) Dispatch(context.Context, core.UpstreamID, *core.Attempt) (core.Answer, error) {
 	if at.err != nil {
 		return nil, at.err
 	}
-	return &answer{err: at.next}, nil
+	return &fakeAnswer{err: at.next}, nil
 }
 
-type answer struct {
+type fakeAnswer struct {
 	core.Answer
 	err error
 }
 
-func (an *answer) Next() ([]byte, error) { return nil, an.err }
+func (an *fakeAnswer) Next() ([]byte, error) { return nil, an.err }
 
-func try(ctx context.Context, gu *rollout.Guard, mv core.ModelVersion, fake *attempts) {
+func dispatch(ctx context.Context, gu *rollout.Guard, mv core.ModelVersion, fake *fakeUpstreams) {
 	ans, err := rollout.Watch(fake, gu).Dispatch(ctx, "one", &core.Attempt{Target: mv})
 	if err == nil {
 		_, _ = ans.Next()
 	}
 }
 
-// A version's upstreams fail or are lost while they work, and the requests
-// succeed elsewhere, so that callers notice nothing but the wait. The guard
-// must hear of each attempt all the same. It must not hear of attempts that
-// were refused before they ran, of callers that hung up, nor a dozen times of
-// one host that was lost with all its attempts: none of it is the version's.
-func TestWatchTellsWhatTheVersionDid(t *testing.T) {
+// A version's upstreams fail or are lost during attempts, and the retries succeed on other
+// upstreams, so that callers notice only the delay. The guard must record each of these attempts.
+// It must not record attempts that were refused before they ran or whose caller disconnected, nor
+// count one lost host a dozen times because of all its attempts: none of these is a fault of the
+// version.
+func TestWatchRecordsTheVersionsOwnFailures(t *testing.T) {
 	failed := &core.Failure{Code: core.CodeUpstream, Ran: core.RanFailed}
 	for _, sc := range []struct {
 		testName  string
 		err, next error
 		gone      bool
 		halts     bool
-		tells     bool
+		records   bool
 	}{
-		{testName: "answers", next: io.EOF, tells: true},
-		{testName: "fails at once", err: failed, halts: true, tells: true},
-		{testName: "fails in the middle", next: failed, halts: true, tells: true},
-		{testName: "one host is lost", err: core.Lost("host"), tells: true},
+		{testName: "answers", next: io.EOF, records: true},
+		{testName: "fails at once", err: failed, halts: true, records: true},
+		{testName: "fails in the middle", next: failed, halts: true, records: true},
+		{testName: "one host is lost", err: core.Lost("host"), records: true},
 		{testName: "refused", err: core.Refuse(core.CodeOverloaded, 0, "full")},
 		{testName: "caller gone", next: failed, gone: true},
 	} {
@@ -184,11 +182,11 @@
 			if sc.gone {
 				cancel()
 			}
-			try(ctx, gu, desk2, &attempts{err: sc.err, next: sc.next})
-			assert.Equal(t, len(gu.Batches()[0].Outcomes) > 0, sc.tells)
+			dispatch(ctx, gu, desk2, &fakeUpstreams{err: sc.err, next: sc.next})
+			assert.Equal(t, len(gu.Batches()[0].Outcomes) > 0, sc.records)
 			for range 40 {
-				try(ctx, gu, desk1, &attempts{next: io.EOF})
-				try(ctx, gu, desk2, &attempts{err: sc.err, next: sc.next})
+				dispatch(ctx, gu, desk1, &fakeUpstreams{next: io.EOF})
+				dispatch(ctx, gu, desk2, &fakeUpstreams{err: sc.err, next: sc.next})
 			}
 			assert.Equal(t, gu.Halted(desk2), sc.halts)
 		})
--- a/core/rollout/pool.go
+++ b/core/rollout/pool.go
@@ -5,28 +5,27 @@
 	"skylarkstand/core/rendezvous"
 )
 
-// Batch is evidence on one model's roll-out on its way from an entry to the
-// entry that pools it.
+// Batch is evidence on one model's roll-out, sent by an entry to the entry that pools it.
 type Batch struct {
 	Model core.ModelID
-	// Reached counts the new callers that were given the version meanwhile.
+	// Reached counts the new callers that were assigned the version since the last batch.
 	Reached  int
 	Outcomes []Outcome
 }
 
-// maxBatch bounds the outcomes of an entry that wait for the next batch: about
-// ten seconds' worth at a thousand answers a second with their ratings. What
-// is beyond is left out; the pool then learns more slowly.
+// maxBatch bounds the outcomes of an entry that wait for the next batch: about ten seconds' worth
+// at a thousand answers a second with their ratings. Outcomes beyond it are dropped, so that the
+// pooled test gathers evidence more slowly.
 const maxBatch = 1 << 14
 
-// Home returns the entry that pools the evidence on a model's roll-out, and
-// whether the host list names any.
+// Home returns the entry that pools the evidence on a model's roll-out, and whether the host list
+// contains one.
 //
-// Each entry alone sees its own callers only. With three entries, each needs
-// as many bad answers as one would, and a version reaches half as many callers
-// again before the first of them has seen enough. So all send what they see to
-// one home. Entries whose lists differ may prefer two homes for a while: each
-// then has part of the evidence, and the halt comes later, but never wrongly.
+// Each entry alone sees only its own callers. With three entries deciding separately, each needs as
+// many bad answers as a single one would, and a version reaches half as many callers again before
+// the first of them has enough evidence. So all of them send their evidence to one home. Entries
+// with different host lists may use two homes for a while: each then has part of the evidence, so
+// that the halt comes later, but is never a wrong one.
 func Home(mo core.ModelID, hosts []core.Host) (core.Host, bool) {
 	var entries []core.Host
 	for _, ho := range hosts {
@@ -41,76 +40,74 @@
 	return top[0], true
 }
 
-// Batches takes out what was observed since the last call, for each roll-out
-// under way.
+// Batches removes and returns the evidence recorded since the last call, for each roll-out in
+// progress.
 func (gu *Guard) Batches() []Batch {
 	gu.mu.Lock()
 	defer gu.mu.Unlock()
 	var out []Batch
-	for mo, te := range gu.tests {
-		out = append(out, Batch{Model: mo, Reached: te.sending.Reached, Outcomes: te.sending.Outcomes})
-		te.sending = Batch{}
+	for mo, te := range gu.ownTests {
+		out = append(out, Batch{Model: mo, Reached: te.nextBatch.Reached, Outcomes: te.nextBatch.Outcomes})
+		te.nextBatch = Batch{}
 	}
 	return out
 }
 
-// Pool takes in a batch at the home of a roll-out. The stable version's
-// outcomes go first, so that the new version's find others to stand beside.
-// The evidence is looked at once a batch. Pool reports false when there is no
-// such roll-out here: this entry may not know the configuration yet, or the
-// roll-out has been halted.
+// Pool merges a batch at the home of a roll-out. The stable version's outcomes are added first, so
+// that they are available as controls for the new version's. The evidence is evaluated once per
+// batch. Pool returns false if there is no such roll-out here: this entry may not have the
+// configuration yet, or the roll-out has been halted.
 func (gu *Guard) Pool(ba Batch) bool {
 	gu.mu.Lock()
 	defer gu.mu.Unlock()
-	te := gu.pools[ba.Model]
+	te := gu.pooledTests[ba.Model]
 	if te == nil {
 		return false
 	}
 	te.reached += ba.Reached
 	for _, mv := range []core.ModelVersion{te.stable, te.candidate} {
 		for _, ou := range ba.Outcomes {
-			if ou.Version == mv && !gu.pooled.same(ou) {
-				te.trials[ou.Kind].observe(mv == te.candidate, ou.Bad)
+			if ou.Version == mv && !gu.pooledLosses.absorbs(ou) {
+				te.tests[ou.Kind].observe(mv == te.candidate, ou.Bad)
 			}
 		}
 	}
 	if te.evidence() >= 1/FalseHalts {
-		gu.halt(te)
+		gu.decideHalt(te)
 	}
 	return true
 }
 
-// Alone says whether this entry must decide on a model's roll-out by its own
-// evidence, because the home cannot be reached. An entry that waited for a
-// home that is gone would go on giving its callers a bad version.
+// Alone sets whether this entry must decide on a model's roll-out by its own evidence because the
+// home is unreachable. An entry that waited for an unreachable home would keep assigning callers to
+// a bad version.
 func (gu *Guard) Alone(mo core.ModelID, alone bool) {
 	gu.mu.Lock()
 	defer gu.mu.Unlock()
-	te := gu.tests[mo]
+	te := gu.ownTests[mo]
 	if te == nil {
 		return
 	}
-	te.pooled = !alone
+	te.decidedByHome = !alone
 	if alone && te.evidence() >= 1/FalseHalts {
-		gu.halt(te)
+		gu.decideHalt(te)
 	}
 }
 
-// Heed takes in another entry's halt, decided by a generation of the
-// configuration, and reports whether it was news here.
+// Heed adopts another entry's halt, which was decided under a generation of the configuration, and
+// reports whether it was new here.
 //
-// While the store is away a halt can not reach the others through the
-// configuration. Once the generation has moved on, the store is back and the
-// configuration tells of the halt itself; a word that comes later than that
-// may be of a halt which an operator has lifted since.
+// While the store is unavailable, a halt cannot reach the other entries through the configuration.
+// Once the generation has advanced, the store is available again and the configuration contains the
+// halt itself; a message that arrives later may be about a halt that an operator has lifted since.
 func (gu *Guard) Heed(ha Halt, decided core.Generation) bool {
 	gu.mu.Lock()
 	defer gu.mu.Unlock()
-	te := gu.tests[ha.Version.Model]
+	te := gu.ownTests[ha.Version.Model]
 	if te == nil || te.candidate != ha.Version || gu.generation > decided {
 		return false
 	}
-	gu.halts[ha.Version] = &halt{Halt: ha}
-	gu.drop(ha.Version.Model)
+	gu.halts[ha.Version] = &haltRecord{Halt: ha}
+	gu.endTests(ha.Version.Model)
 	return true
 }
--- a/core/rollout/recorder.go
+++ b/core/rollout/recorder.go
@@ -9,12 +9,11 @@
 	"skylarkstand/core/declaration"
 )
 
-// ErrPending tells that a halt could not be recorded yet. It holds in this
-// entry all the same, and recording it is tried again.
+// ErrPending reports that a halt could not be recorded yet. It is in force in this entry all the
+// same, and recording it is retried.
 var ErrPending = errors.New("rollout: halt is not in the configuration yet")
 
-// Recorder writes halts into the configuration, from where all entries adopt
-// them.
+// Recorder writes halts into the configuration, from which all entries adopt them.
 type Recorder struct {
 	chain *chain.Chain
 	inf   *declaration.InForce
@@ -25,21 +24,20 @@
 	return &Recorder{chain: ch, inf: inf}
 }
 
-// maxClashes bounds the newer generations that one call goes after. Operators
-// apply a few changes an hour; more than that many at once will have settled
-// by the next call.
-const maxClashes = 8
+// maxConflicts bounds the newer generations that one call follows. Operators apply a few changes an
+// hour; a larger burst will be over by the next call.
+const maxConflicts = 8
 
-// Record makes a halt the next generation and puts it in force here. It
-// returns nil once the configuration has the halt, or has no such roll-out any
-// more, and whether this call wrote it. Errors: ErrPending.
+// Record writes a halt as the next generation and puts it in force here. It returns whether this
+// call wrote it, and a nil error once the configuration contains the halt or has no such roll-out
+// any more. Errors: ErrPending.
 //
-// Several entries may halt a version at once, and an operator may apply a
-// change in the same moment. The chain takes one of them; whoever lost reads
-// the newer generation and finds the halt in it, or makes the next one. Were
-// the halt put over what was read before, the other's change would be undone.
+// Several entries may halt a version at once, and an operator may apply a change at the same
+// moment. The chain accepts one of them; the others read the newer generation and either find the
+// halt in it or write the next one. Writing the halt over the generation that was read before would
+// undo the other change.
 func (rec *Recorder) Record(ctx context.Context, ha Halt, when time.Time) (bool, error) {
-	for range maxClashes {
+	for range maxConflicts {
 		last, err := rec.chain.Last(ctx)
 		if err != nil || last.Number == 0 || last.Seal {
 			return false, ErrPending
@@ -61,7 +59,7 @@
 		case err == nil:
 			return true, rec.adopt(raw)
 		case !errors.Is(err, chain.ErrTaken):
-			// The write may yet take effect. The next call reads it then.
+			// The write may still take effect. The next call reads it then.
 			return false, ErrPending
 		}
 	}
--- a/core/rollout/recorder_test.go
+++ b/core/rollout/recorder_test.go
@@ -14,22 +14,22 @@
 	"skylarkstand/core/rollout"
 )
 
-// memory is a store that can be away.
-type memory struct {
+// memoryStore is a store that can be unavailable.
+type memoryStore struct {
 	core.Store
-	mu    sync.Mutex
-	items map[string][]byte
-	away  bool
-	// onCreate runs before a write, as another writer's would.
+	mu          sync.Mutex
+	items       map[string][]byte
+	unavailable bool
+	// onCreate runs before a write, like a concurrent writer's.
 	onCreate func(key string)
 }
 
-func (me *memory) Get(_ context.Context, key string) (core.Item, error) {
+func (me *memoryStore) Get(_ context.Context, key string) (core.Item, error) {
 	me.mu.Lock()
 	defer me.mu.Unlock()
 	val, ok := me.items[key]
 	switch {
-	case me.away:
+	case me.unavailable:
 		return core.Item{}, core.ErrUnavailable
 	case !ok:
 		return core.Item{}, core.ErrNotFound
@@ -37,14 +37,14 @@
 	return core.Item{Key: key, Value: val, Revision: 1}, nil
 }
 
-func (me *memory) Create(_ context.Context, key string, val []byte, _ core.LeaseID) (core.Revision, error) {
+func (me *memoryStore) Create(_ context.Context, key string, val []byte, _ core.LeaseID) (core.Revision, error) {
 	if fn := me.onCreate; fn != nil {
 		me.onCreate = nil
 		fn(key)
 	}
 	me.mu.Lock()
 	defer me.mu.Unlock()
-	if me.away {
+	if me.unavailable {
 		return 0, core.ErrUnavailable
 	}
 	if me.items[key] != nil {
@@ -54,17 +54,17 @@
 	return 1, nil
 }
 
-func (me *memory) Swap(_ context.Context, key string, _ core.Revision, val []byte) (core.Revision, error) {
+func (me *memoryStore) Swap(_ context.Context, key string, _ core.Revision, val []byte) (core.Revision, error) {
 	me.mu.Lock()
 	defer me.mu.Unlock()
 	me.items[key] = val
 	return 2, nil
 }
 
-// applied returns a store in which an operator has applied a roll-out.
-func applied(t *testing.T) (*memory, *chain.Chain) {
+// storeWithRollOut returns a store in which an operator has applied a roll-out.
+func storeWithRollOut(t *testing.T) (*memoryStore, *chain.Chain) {
 	t.Helper()
-	me := &memory{items: map[string][]byte{}}
+	me := &memoryStore{items: map[string][]byte{}}
 	ch := chain.New(me, "configuration")
 	assert.NilError(t, ch.Create(context.Background(), 1, configuration(t, 1, 20, "").Raw))
 	return me, ch
@@ -81,10 +81,10 @@
 
 var badVersion = rollout.Halt{Version: desk2, Why: "17 of 20 answers were rated badly"}
 
-// Two entries halt a version in the same moment. Operators see one halt in the
-// history, not two, and both entries work by it.
+// Several entries halt a version at the same moment. The history must contain one halt, not
+// several, and all entries must apply it.
 func TestTwoEntriesHaltAtOnce(t *testing.T) {
-	_, ch := applied(t)
+	_, ch := storeWithRollOut(t)
 	var wg sync.WaitGroup
 	wrote, infs := make([]bool, 4), make([]*declaration.InForce, 4)
 	for i := range wrote {
@@ -110,11 +110,10 @@
 	assert.DeepEqual(t, gen.Audit.Changed, []string{"~ model desk: roll-out of v2 halted: " + badVersion.Why})
 }
 
-// An operator applies a change between the guard's read and its write. Were
-// the halt written over what was read, the change would be lost, and the
-// operator would see an accepted configuration come undone.
+// An operator applies a change between the guard's read and its write. Writing the halt over the
+// generation that was read would lose the change, and an accepted configuration would be undone.
 func TestHaltKeepsAnOperatorsChange(t *testing.T) {
-	me, ch := applied(t)
+	me, ch := storeWithRollOut(t)
 	me.onCreate = func(string) {
 		assert.NilError(t, ch.Create(context.Background(), 2, configuration(t, 2, 35, "").Raw))
 	}
@@ -127,16 +126,16 @@
 	assert.Equal(t, gen.Document.RollOuts[0].Halted, badVersion.Why)
 }
 
-// The store is away when the guard halts a version. The halt is told to be
-// pending, so that the entry goes on trying; when the store is back it is
-// recorded, and later tries find it there.
+// The store is unavailable when the guard halts a version. The recorder must report the halt as
+// pending, so that the entry retries. When the store is available again the halt is recorded, and
+// later calls find it there.
 func TestHaltIsRecordedWhenTheStoreIsBack(t *testing.T) {
-	me, ch := applied(t)
+	me, ch := storeWithRollOut(t)
 	rec := rollout.NewRecorder(ch, declaration.NewInForce())
-	me.away = true
+	me.unavailable = true
 	_, err := rec.Record(context.Background(), badVersion, time.Unix(0, 0))
 	assert.ErrorIs(t, err, rollout.ErrPending)
-	me.away = false
+	me.unavailable = false
 	for _, first := range []bool{true, false} {
 		wrote, err := rec.Record(context.Background(), badVersion, time.Unix(0, 0))
 		assert.NilError(t, err)
--- a/core/rollout/sim_test.go
+++ b/core/rollout/sim_test.go
@@ -22,11 +22,11 @@
 // configuration returns a generation with a roll-out of desk@v2.
 func configuration(t testing.TB, number core.Generation, percent int, halted string) *declaration.Snapshot {
 	t.Helper()
-	return declared(t, number, percent, halted, 0.9)
+	return configurationWithQuality(t, number, percent, halted, 0.9)
 }
 
-// declared is configuration with the quality that is declared of desk@v2.
-func declared(t testing.TB, number core.Generation, percent int, halted string, quality core.Quality) *declaration.Snapshot {
+// configurationWithQuality is configuration with a declared quality of desk@v2.
+func configurationWithQuality(t testing.TB, number core.Generation, percent int, halted string, quality core.Quality) *declaration.Snapshot {
 	t.Helper()
 	gen := &declaration.Generation{Number: number, Document: declaration.Document{
 		Models: []declaration.Model{{ID: "desk", Stable: "v1", Versions: []declaration.Version{
@@ -39,38 +39,37 @@
 	return declaration.NewSnapshot(gen, raw)
 }
 
-// trialRun is one roll-out in virtual time: new callers come at random, are
-// answered, and their answers are rated a while later.
-type trialRun struct {
-	// stable and candidate are the shares of good answers.
+// simulation is one roll-out in virtual time: new callers arrive at random and are answered, and
+// their answers are rated a while later.
+type simulation struct {
+	// stable and candidate are the fractions of good answers.
 	stable, candidate float64
 	percent           int
-	// cheaper says that the candidate is declared at 0.8, the stable one at
-	// 0.9: it is meant to be worse.
+	// cheaper declares the candidate at 0.8 and the stable version at 0.9: it is meant to be worse.
 	cheaper bool
-	// entries see the callers that come to them, and send what they see to
-	// the first, but for those that are alone.
+	// entries is the number of entries. Each observes its own callers and sends its evidence to the
+	// first, unless noHome is set.
 	entries int
-	alone   bool
-	// callers of the candidate after which the run ends without a halt.
+	noHome  bool
+	// callers is the number of callers of the candidate after which the run ends without a halt.
 	callers int
 	// decide replaces the guard by a rule over the ratings so far.
 	decide func(seen [2][2]int) bool
 }
 
-// pace is the callers a second over all entries.
-const pace = 100
+// callersPerSecond is the rate of callers over all entries.
+const callersPerSecond = 100
 
 const (
-	// batchPace is the time between two batches to the home.
-	batchPace = 500 * time.Millisecond
-	// spreadTime is what a halt takes to all entries.
-	spreadTime = 200 * time.Millisecond
+	// batchInterval is the time between two batches to the home.
+	batchInterval = 500 * time.Millisecond
+	// haltPropagation is the time that a halt takes to reach all entries.
+	haltPropagation = 200 * time.Millisecond
 )
 
-// batches sends all entries' evidence to the home and reports whether it has
-// halted the roll-out.
-func batches(guards []*rollout.Guard) bool {
+// exchangeBatches sends all entries' evidence to the home and reports whether it has halted the
+// roll-out.
+func exchangeBatches(guards []*rollout.Guard) bool {
 	for _, gu := range guards {
 		for _, ba := range gu.Batches() {
 			guards[0].Pool(ba)
@@ -79,9 +78,8 @@
 	return guards[0].Halted(desk2)
 }
 
-// play returns how many callers were given the candidate and whether it was
-// halted.
-func (tr trialRun) play(t testing.TB, seed uint64) (reached int, halted bool) {
+// simulate returns how many callers were assigned the candidate and whether it was halted.
+func (tr simulation) simulate(t testing.TB, seed uint64) (reached int, halted bool) {
 	rnd := rand.New(rand.NewPCG(seed, 11))
 	guards := make([]*rollout.Guard, max(tr.entries, 1))
 	for i := range guards {
@@ -90,8 +88,8 @@
 		if tr.cheaper {
 			quality = 0.8
 		}
-		guards[i].Follow(declared(t, 1, tr.percent, "", quality))
-		guards[i].Alone("desk", tr.alone)
+		guards[i].Follow(configurationWithQuality(t, 1, tr.percent, "", quality))
+		guards[i].Alone("desk", tr.noHome)
 	}
 	var qu eventqueue.Queue
 	var seen [2][2]int
@@ -99,15 +97,15 @@
 	sent := now
 	end := func(at time.Time) {
 		if stop.IsZero() {
-			halted, stop = true, at.Add(spreadTime)
+			halted, stop = true, at.Add(haltPropagation)
 		}
 	}
 	for reached < tr.callers && (stop.IsZero() || now.Before(stop)) {
-		now = now.Add(time.Duration(rnd.ExpFloat64() * float64(time.Second/pace)))
+		now = now.Add(time.Duration(rnd.ExpFloat64() * float64(time.Second/callersPerSecond)))
 		qu.RunBefore(now)
-		if !tr.alone && now.Sub(sent) >= batchPace {
+		if !tr.noHome && now.Sub(sent) >= batchInterval {
 			sent = now
-			if batches(guards) && tr.decide == nil {
+			if exchangeBatches(guards) && tr.decide == nil {
 				end(now)
 			}
 		}
@@ -123,7 +121,7 @@
 		if rnd.Float64() >= gu.RateShare(mv) {
 			continue
 		}
-		wait := time.Duration(500+rnd.IntN(1000)) * time.Millisecond // The answer, then its rating.
+		wait := time.Duration(500+rnd.IntN(1000)) * time.Millisecond // The time to the answer and then to its rating.
 		qu.At(now.Add(wait), func(at time.Time) {
 			seen[side][0]++
 			if !good {
@@ -138,6 +136,6 @@
 	return reached, halted
 }
 
-func (tr trialRun) String() string {
+func (tr simulation) String() string {
 	return fmt.Sprintf("%.2f to %.2f at %d%%", tr.stable, tr.candidate, tr.percent)
 }
--- a/core/rollout/watch.go
+++ b/core/rollout/watch.go
@@ -9,32 +9,32 @@
 	"skylarkstand/core"
 )
 
-// Watch returns upstreams whose attempts are told to a guard. An attempt that
-// is tried again elsewhere succeeds for its caller; seen from the caller, a
-// version whose upstreams fail every other attempt would look well.
-func Watch(ups core.Upstreams, gu *Guard) core.Upstreams { return &watched{ups, gu} }
+// Watch wraps upstreams so that a guard observes their attempts. An attempt that is retried on
+// another upstream succeeds for its caller; observed at the caller, a version whose upstreams fail
+// every other attempt would look healthy.
+func Watch(ups core.Upstreams, gu *Guard) core.Upstreams { return &observedUpstreams{ups, gu} }
 
-type watched struct {
+type observedUpstreams struct {
 	core.Upstreams
 	gu *Guard
 }
 
 // Dispatch implements [core.Upstreams].
-func (wa *watched) Dispatch(ctx context.Context, id core.UpstreamID, at *core.Attempt) (core.Answer, error) {
+func (wa *observedUpstreams) Dispatch(ctx context.Context, id core.UpstreamID, at *core.Attempt) (core.Answer, error) {
 	ans, err := wa.Upstreams.Dispatch(ctx, id, at)
 	if at.Target.Model == "" {
 		return ans, err
 	}
 	if err != nil {
-		wa.end(ctx, id, at.Target, err)
+		wa.recordEnd(ctx, id, at.Target, err)
 		return nil, err
 	}
-	return &watchedAnswer{Answer: ans, wa: wa, ctx: ctx, id: id, mv: at.Target}, nil
+	return &observedAnswer{Answer: ans, ups: wa, ctx: ctx, id: id, mv: at.Target}, nil
 }
 
-// end tells how an attempt ended. What was refused before it ran says nothing
-// about the version, nor does an end that the caller brought about.
-func (wa *watched) end(ctx context.Context, id core.UpstreamID, mv core.ModelVersion, err error) {
+// recordEnd records how an attempt ended. A refusal before it ran is no evidence about the version,
+// nor is an end caused by the caller.
+func (wa *observedUpstreams) recordEnd(ctx context.Context, id core.UpstreamID, mv core.ModelVersion, err error) {
 	var fl *core.Failure
 	failed, lost := false, false
 	if err != nil {
@@ -55,24 +55,24 @@
 	wa.gu.Observe(Outcome{Version: mv, Kind: Crash, Bad: lost, At: now, Upstream: id})
 }
 
-type watchedAnswer struct {
+type observedAnswer struct {
 	core.Answer
-	wa   *watched
-	ctx  context.Context
-	id   core.UpstreamID
-	mv   core.ModelVersion
-	told bool
+	ups      *observedUpstreams
+	ctx      context.Context
+	id       core.UpstreamID
+	mv       core.ModelVersion
+	recorded bool
 }
 
 // Next implements [core.Answer].
-func (an *watchedAnswer) Next() ([]byte, error) {
+func (an *observedAnswer) Next() ([]byte, error) {
 	data, err := an.Answer.Next()
-	if err != nil && !an.told {
-		an.told = true
+	if err != nil && !an.recorded {
+		an.recorded = true
 		if errors.Is(err, io.EOF) {
-			an.wa.end(an.ctx, an.id, an.mv, nil)
+			an.ups.recordEnd(an.ctx, an.id, an.mv, nil)
 		} else {
-			an.wa.end(an.ctx, an.id, an.mv, err)
+			an.ups.recordEnd(an.ctx, an.id, an.mv, err)
 		}
 	}
 	return data, err
