--- a/core/guard/guard_test.go
+++ b/core/guard/guard_test.go
@@ -24,9 +24,9 @@
 	return declaration.NewSnapshot(&declaration.Generation{Number: 7, Document: doc}, nil)
 }
 
-// bound returns a configuration in which the workspace is bound to a region, and a
-// zone may be evacuated.
-func bound(evacuated core.Zone) *declaration.Snapshot {
+// restricted returns a configuration in which the workspace is restricted to a region and a zone
+// may be evacuated.
+func restricted(evacuated core.Zone) *declaration.Snapshot {
 	doc := *snapshot(false).Doc
 	doc.Workspaces[0].Regions = []core.Region{"muc"}
 	if evacuated != "" {
@@ -40,9 +40,9 @@
 	return core.Host{ID: "desk-1", Model: "desk", Version: "v1", Region: re, Zone: core.Zone(re) + "-a"}
 }
 
-// An entry that was paused, or that is behind by a configuration, hands over
-// what may not run any more. The agent is the last one to notice; a caller
-// would otherwise be served by a version that an operator has withdrawn.
+// An entry that was paused, or whose configuration is out of date, dispatches an attempt that may
+// not run any more. The agent is the last process that can refuse it; without that, a caller would
+// be served by a version that an operator has withdrawn.
 func TestCheck(t *testing.T) {
 	engine := core.Host{ID: "desk-1", Model: "desk", Version: "v1"}
 	service := core.Host{ID: "orders-1", Service: "subsidy"}
@@ -73,9 +73,9 @@
 		{"another version runs here", snapshot(false), engine, false, with(chat, func(at *core.Attempt) { at.Target.Version = "v2" }), core.CodeNoUpstream},
 		{"another service runs here", snapshot(false), engine, false, call, core.CodeNoUpstream},
 		{"unknown operation", snapshot(false), service, false, with(call, func(at *core.Attempt) { at.Operation = "x" }), core.CodeUnknownModel},
-		{"in an allowed region", bound(""), remoteEngine("muc"), false, chat, ""},
-		{"in another region", bound(""), remoteEngine("nue"), false, chat, core.CodeNoRegion},
-		{"in an evacuated zone", bound("muc-a"), remoteEngine("muc"), false, chat, core.CodeEvacuated},
+		{"in an allowed region", restricted(""), remoteEngine("muc"), false, chat, ""},
+		{"in another region", restricted(""), remoteEngine("nue"), false, chat, core.CodeNoRegion},
+		{"in an evacuated zone", restricted("muc-a"), remoteEngine("muc"), false, chat, core.CodeEvacuated},
 		{"service not allowed", snapshot(false), service, false, with(call, func(at *core.Attempt) { at.Workspace = "x" }), core.CodeNotAllowed},
 	} {
 		t.Run(sc.testName, func(t *testing.T) {
