--- a/core/spread/spread.go
+++ b/core/spread/spread.go
@@ -1,9 +1,9 @@
-// Package spread decides how an accepted configuration reaches every entry:
-// who waits on the platform's store, and whom the others listen to.
+// Package spread determines how an accepted configuration reaches every entry: which entries watch
+// the platform's store, and which entries the others receive it from.
 //
-// A waiting watch counts as a call of the store, so 360 entries must not all
-// wait. In each availability zone two preferred readers do; the others link to
-// them. Agents hear it from the entries that they are linked with.
+// A waiting watch counts as a call of the store, so 360 entries must not all watch it. In each
+// availability zone two preferred readers do, and the others keep links to them. Agents receive the
+// configuration from the entries that they are linked with.
 //
 // # Usage
 //
@@ -18,25 +18,25 @@
 	"skylarkstand/core/rendezvous"
 )
 
-// readersPerZone is how many entries of a zone wait on the store. One would
-// leave its zone without news while it restarts; with two, news come through
-// one restart, and a zone that loses both is noticed by the bound on silence.
-// At 16 zones it makes 32 waiting watches.
+// readersPerZone is how many entries of a zone watch the store. A single one would leave its zone
+// without updates while it restarts; with two, updates continue through one restart, and a zone
+// that loses both is detected by the limit on the age of updates. At 16 zones this makes 32 waiting
+// watches.
 const readersPerZone = 2
 
-// peersPerForeignZone is how many readers of each other zone of the region an
-// entry links with. They matter when the store is away or the own zone has
-// just started and knows nothing.
-const peersPerForeignZone = 1
+// peersPerOtherZone is how many readers of each other zone of the region an entry links with. They
+// are needed while the store is unavailable or the entry's own zone has just started and has no
+// configuration.
+const peersPerOtherZone = 1
 
-// peersAbroad is how many readers in other regions an entry links with, for
-// the case that its own region cannot reach the store, which stands in one
-// region alone. An idle link costs a few bytes a second of the paid link.
-const peersAbroad = 1
+// crossRegionPeers is how many readers in other regions an entry links with, in case its own region
+// cannot reach the store, which is located in one region only. An idle link uses a few bytes a
+// second of the metered cross-region link.
+const crossRegionPeers = 1
 
 func addr(ho core.Host) string { return ho.Addr }
 
-// entries lists the entries that are not leaving.
+// entries returns the entries that are not leaving and that keep accepts.
 func entries(hosts []core.Host, keep func(core.Host) bool) []core.Host {
 	var out []core.Host
 	for _, ho := range hosts {
@@ -52,9 +52,9 @@
 	return rendezvous.Top(string(zo), entries(hosts, func(ho core.Host) bool { return ho.Zone == zo }), readersPerZone, addr)
 }
 
-// Reads reports whether an entry waits on the store itself: when it is a
-// preferred reader, when the list does not name it, or when it has had no
-// fresh word from its readers. A wrong answer costs a watch, nothing else.
+// Reads reports whether an entry watches the store itself: if it is a preferred reader, if the host
+// list does not contain it, or if it has received no recent update from its readers. A wrong result
+// costs only an additional watch.
 func Reads(hosts []core.Host, self core.Host, fresh bool) bool {
 	readers := Readers(hosts, self.Zone)
 	listed := slices.ContainsFunc(hosts, func(ho core.Host) bool { return ho.Role == core.RoleEntry && ho.Addr == self.Addr })
@@ -62,34 +62,34 @@
 	return preferred || !listed || !fresh
 }
 
-// Peers returns the entries that an entry keeps links with: the readers of its
-// own zone, of the other zones of its region, and some abroad.
+// Peers returns the entries that an entry keeps links with: the readers of its own zone, of the
+// other zones of its region, and some in other regions.
 func Peers(hosts []core.Host, self core.Host) []core.Host {
 	peers := Readers(hosts, self.Zone)
-	var abroad []core.Host
+	var otherRegions []core.Host
 	for _, zo := range zones(hosts) {
 		switch {
 		case zo.zone == self.Zone:
 		case zo.region == self.Region:
 			readers := Readers(hosts, zo.zone)
-			peers = append(peers, readers[:min(len(readers), peersPerForeignZone)]...)
+			peers = append(peers, readers[:min(len(readers), peersPerOtherZone)]...)
 		default:
-			abroad = append(abroad, Readers(hosts, zo.zone)...)
+			otherRegions = append(otherRegions, Readers(hosts, zo.zone)...)
 		}
 	}
-	peers = append(peers, rendezvous.Top(self.Addr, abroad, peersAbroad, addr)...)
+	peers = append(peers, rendezvous.Top(self.Addr, otherRegions, crossRegionPeers, addr)...)
 	return slices.DeleteFunc(peers, func(ho core.Host) bool { return ho.Addr == self.Addr })
 }
 
-type place struct {
+type location struct {
 	zone   core.Zone
 	region core.Region
 }
 
-func zones(hosts []core.Host) []place {
-	var out []place
+func zones(hosts []core.Host) []location {
+	var out []location
 	for _, ho := range entries(hosts, func(core.Host) bool { return true }) {
-		pl := place{ho.Zone, ho.Region}
+		pl := location{ho.Zone, ho.Region}
 		if !slices.Contains(out, pl) {
 			out = append(out, pl)
 		}
--- a/core/spread/spread_test.go
+++ b/core/spread/spread_test.go
@@ -10,7 +10,7 @@
 	"skylarkstand/core/spread"
 )
 
-// fleet returns entries spread evenly over zones, four zones a region.
+// fleet returns entries distributed evenly over zones, four zones a region.
 func fleet(zones, each int) []core.Host {
 	var out []core.Host
 	for zo := range zones {
@@ -24,9 +24,9 @@
 	return out
 }
 
-// Were each of 360 entries to wait on the store, waiting alone would take a
-// fifth of its reads, and a mass restart far more.
-func TestFewEntriesReadTheStore(t *testing.T) {
+// If each of 360 entries watched the store, the watches alone would take a fifth of its reads, and
+// a mass restart far more.
+func TestFewEntriesWatchTheStore(t *testing.T) {
 	hosts := fleet(16, 22)
 	readers := 0
 	for _, ho := range hosts {
@@ -37,18 +37,17 @@
 	assert.Equal(t, readers, 32)
 }
 
-// A preferred reader that lost its way to the store says nothing. An entry
-// that went on listening to it would work by an old configuration for good.
-func TestSilenceSendsAnEntryToTheStore(t *testing.T) {
+// A preferred reader that has lost its connection to the store sends no updates. An entry that kept
+// relying on it would use an outdated configuration indefinitely.
+func TestEntryWithoutUpdatesWatchesTheStore(t *testing.T) {
 	for _, ho := range fleet(2, 5) {
 		assert.Assert(t, spread.Reads(fleet(2, 5), ho, false))
 	}
 }
 
-// Every entry must hear of a change although few read the store: from each
-// reader a path over the links leads to every other entry, also when any one
-// entry is gone.
-func TestEveryEntryHearsOfAChange(t *testing.T) {
+// Every entry must receive a change although few watch the store: from each reader a path over the
+// links must lead to every other entry, also when any one entry is gone.
+func TestEveryEntryReceivesAChange(t *testing.T) {
 	all := fleet(16, 5)
 	for gone := range all {
 		hosts := append(append([]core.Host{}, all[:gone]...), all[gone+1:]...)
