--- a/core/session/holder.go
+++ b/core/session/holder.go
@@ -8,70 +8,69 @@
 	"skylarkstand/core"
 )
 
-// Key names a session within its workspace.
+// Key identifies a session within its workspace.
 type Key struct {
 	Workspace core.WorkspaceID
 	Session   core.SessionID
 }
 
-// Versions are what a session runs on, by model.
+// Versions are the versions that a session runs on, by model.
 type Versions map[core.ModelID]core.VersionID
 
 const (
-	// keptFor is how long a session that is not used is kept. It is above the
-	// pauses within a working day, and a session that comes back later begins
-	// anew, as after any end of a session.
-	keptFor = 12 * time.Hour
-	// maxSessions bounds memory: at the 500 bytes that were measured for a session it is 33 MB. An
-	// entry is a preferred holder for its region's sessions divided by the
-	// region's entries, twice. When it is full, the older half goes.
+	// idleTTL is how long an unused session is kept. It is longer than the pauses within a working
+	// day; a session that returns later starts anew, as after any end of a session.
+	idleTTL = 12 * time.Hour
+	// maxSessions bounds memory: at 500 bytes a session it is 33 MB. An entry is a preferred holder
+	// for twice its region's sessions divided by the region's entries. When it is full, the older
+	// half is evicted.
 	maxSessions = 65_536
 )
 
-// Holder keeps the versions of sessions whose callers send an id and no token.
-// It is safe for concurrent use.
+// Holder stores the versions of sessions whose callers send an id and no token. It is safe for
+// concurrent use.
 type Holder struct {
 	mu       sync.Mutex
-	sessions map[Key]held
+	sessions map[Key]storedSession
 	limit    int
 }
 
-type held struct {
+type storedSession struct {
 	versions Versions
-	used     time.Time
+	lastUsed time.Time
 }
 
-// HolderOption changes a Holder at construction.
+// HolderOption configures a Holder.
 type HolderOption func(*Holder)
 
-// Limit bounds the sessions.
+// Limit bounds the number of sessions.
 func Limit(n int) HolderOption { return func(ho *Holder) { ho.limit = n } }
 
 // NewHolder returns an empty holder.
 func NewHolder(opts ...HolderOption) *Holder {
-	ho := &Holder{sessions: map[Key]held{}, limit: maxSessions}
+	ho := &Holder{sessions: map[Key]storedSession{}, limit: maxSessions}
 	for _, opt := range opts {
 		opt(ho)
 	}
 	return ho
 }
 
-// Find returns a session's versions, or nil.
+// Find returns a session's versions, or nil if it is unknown or expired.
 func (ho *Holder) Find(key Key, now time.Time) Versions {
 	ho.mu.Lock()
 	defer ho.mu.Unlock()
 	el, ok := ho.sessions[key]
-	if !ok || now.Sub(el.used) > keptFor {
+	if !ok || now.Sub(el.lastUsed) > idleTTL {
 		return nil
 	}
-	el.used = now
+	el.lastUsed = now
 	ho.sessions[key] = el
 	return maps.Clone(el.versions)
 }
 
-// Keep notes what a session runs on, model by model. The newest word counts:
-// a version changes only when the old one may not run any more, and every
-// entry refuses to run that one.
+// Keep records the versions that a session runs on, model by model. The latest one is
+// authoritative: a version changes only when the old one may not run any more, and every entry
+// refuses to run that one.
 func (ho *Holder) Keep(key Key, vs Versions, now time.Time) {
 	ho.mu.Lock()
 	defer ho.mu.Unlock()
@@ -84,18 +83,18 @@
 		all = Versions{}
 	}
 	maps.Copy(all, vs)
-	ho.sessions[key] = held{versions: all, used: now}
+	ho.sessions[key] = storedSession{versions: all, lastUsed: now}
 }
 
-// evict drops what was not used for the longest time: everything older than
-// half of the oldest age, so that one pass frees about half.
+// evict removes the sessions that have been unused for the longest time: all that have been unused
+// for at least half of the longest time, so that one pass frees about half.
 func (ho *Holder) evict(now time.Time) {
 	var oldest time.Duration
 	for _, el := range ho.sessions {
-		oldest = max(oldest, now.Sub(el.used))
+		oldest = max(oldest, now.Sub(el.lastUsed))
 	}
 	for key, el := range ho.sessions {
-		if now.Sub(el.used) >= oldest/2 {
+		if now.Sub(el.lastUsed) >= oldest/2 {
 			delete(ho.sessions, key)
 		}
 	}
--- a/core/session/session.go
+++ b/core/session/session.go
@@ -1,9 +1,9 @@
-// Package session keeps a caller's session on its versions.
+// Package session keeps the requests of a caller's session on the same model versions.
 //
-// The versions that a session runs on travel in a token that the caller sends
-// back, signed so that a caller cannot choose versions for itself. Any entry
-// can honour it without shared state. For callers that send only the id of
-// their session, two preferred entries of the region hold its versions.
+// The versions that a session runs on are carried in a token that the caller sends back. It is
+// signed so that a caller cannot choose versions, and any entry can verify it without shared state.
+// For callers that send only the id of their session, two preferred entries of the region store its
+// versions.
 //
 // # Usage
 //
@@ -28,23 +28,24 @@
 	"skylarkstand/core"
 )
 
-// Pin is what a token says.
+// Pin is the content of a token.
 type Pin struct {
 	Workspace core.WorkspaceID `json:"workspace"`
 	Session   core.SessionID   `json:"session"`
 	Versions  Versions         `json:"versions"`
 }
 
-// ErrForged tells that a token is not ours, or another workspace's.
+// ErrForged reports that a token was not signed with this keyring's secret, or is of another
+// workspace.
 var ErrForged = errors.New("session: token is not valid here")
 
-// Keyring signs and opens tokens. All entries share its secret.
+// Keyring signs and verifies tokens. All entries share its secret.
 type Keyring struct{ secret []byte }
 
 // NewKeyring returns a keyring for a secret.
 func NewKeyring(secret string) *Keyring { return &Keyring{secret: []byte(secret)} }
 
-// Sign returns the token of a pin.
+// Sign returns the signed token of a pin.
 func (kr *Keyring) Sign(pin Pin) string {
 	raw, err := json.Marshal(pin)
 	if err != nil {
@@ -60,7 +61,7 @@
 	return ma.Sum(nil)
 }
 
-// Open checks a token and returns its pin.
+// Open verifies a token and returns its pin.
 func (kr *Keyring) Open(tok string, ws core.WorkspaceID) (Pin, error) {
 	var pin Pin
 	body, sig, ok := strings.Cut(tok, ".")
@@ -78,8 +79,8 @@
 	return pin, nil
 }
 
-// Draw returns a session's place in a roll-out, from 0 to 1. It depends on the
-// ids alone, so that every entry places a session alike.
+// Draw maps a session to a number from 0 to 1 that determines whether it is part of a roll-out. It
+// depends on the ids alone, so that every entry treats a session alike.
 func Draw(ws core.WorkspaceID, id core.SessionID) float64 {
 	return float64(xxhash.Sum64String(string(ws)+"\x00"+string(id))) / math.MaxUint64
 }
--- a/core/session/session_test.go
+++ b/core/session/session_test.go
@@ -11,8 +11,8 @@
 	"skylarkstand/core/session"
 )
 
-// Sessions come without an end. Were they all kept, the entry would run out of
-// memory; those used last must survive.
+// Sessions have no explicit end. If all of them were kept, the entry would run out of memory; the
+// most recently used ones must survive an eviction.
 func TestHolderIsBounded(t *testing.T) {
 	ho, now := session.NewHolder(session.Limit(100)), time.Now()
 	for i := range 1000 {
@@ -25,9 +25,9 @@
 	assert.Equal(t, ho.Find(session.Key{Session: "last"}, now)["desk"], core.VersionID("v2"))
 }
 
-// A caller changes a token, or uses another workspace's, to reach a version
-// that it was not given. The token must not open.
-func TestForgedTokenDoesNotOpen(t *testing.T) {
+// A caller changes a token, or uses another workspace's, to reach a version that it was not
+// assigned. The token must be rejected.
+func TestForgedTokenIsRejected(t *testing.T) {
 	kr := session.NewKeyring("secret")
 	tok := kr.Sign(session.Pin{Workspace: "schools", Session: "s1", Versions: session.Versions{"desk": "v2"}})
 	pin, err := kr.Open(tok, "schools")
