--- a/core/canary/evidence.go
+++ b/core/canary/evidence.go
@@ -17,7 +17,7 @@
 	// Neutral outcomes are no evidence about the version: the caller disconnected, or the upstream
 	// refused for lack of capacity.
 	Neutral bool
-	// Going reports that the answer is still streaming: only its rate is known.
+	// Going reports that the answer is still streaming: only its chunk interval is known.
 	Going bool
 	// Failed covers an error, a truncated answer, a wrong answer and a timeout.
 	Failed bool
@@ -241,8 +241,8 @@
 	return fmt.Sprintf("%d of %d answers %s; the old version's rate is %.0f in 100", te.bad, te.seen, what, 100*te.rate)
 }
 
-// Observe records what an attempt reveals about its version: its rate while it is still streaming,
-// and whether it failed when it ends.
+// Observe records what an attempt reveals about its version: the chunk interval while it is still
+// streaming, and whether it failed when it ends.
 func (gu *Guard) Observe(ou Outcome) {
 	gu.mu.Lock()
 	defer gu.mu.Unlock()
