--- a/core/canary/sessions.go
+++ b/core/canary/sessions.go
@@ -102,7 +102,8 @@
 // seconds the count stays far below it.
 const maxSessions = 1 << 16
 
-// sweep removes the inactive sessions, at most once per session gap.
+// sweep removes the inactive sessions, once per session gap and whenever maxSessions is reached. If
+// too many are active, it drops all of them.
 func (gu *Guard) sweep(now time.Time) {
 	if now.Sub(gu.lastSweep) < gu.gap && len(gu.sessions) < maxSessions {
 		return
