--- a/core/admission/bookkeeping.go
+++ b/core/admission/bookkeeping.go
@@ -2,111 +2,114 @@
 
 import "time"
 
-// space returns a workspace's part. Parts are kept: their number is bounded by
-// the workspaces of the configuration, and what was learned stays known.
-func (con *Controller) space(wo Work) *space {
-	sp := con.spaces[wo.Workspace]
+// workspace returns the state of a workspace and updates its weight. States are
+// never deleted: the configuration bounds the number of workspaces, and keeping
+// them preserves their estimates.
+func (con *Controller) workspace(wo Work) *workspaceState {
+	sp := con.workspaces[wo.Workspace]
 	weight := float64(max(wo.Share, 1))
 	if sp == nil {
-		sp = &space{weight: weight, output: firstOutput, place: -1}
-		con.spaces[wo.Workspace] = sp
+		sp = &workspaceState{weight: weight, output: initialOutput, heapIndex: -1}
+		con.workspaces[wo.Workspace] = sp
 	}
 	if sp.weight != weight {
-		if sp.counted {
-			con.weights += weight - sp.weight
+		if sp.active {
+			con.activeWeight += weight - sp.weight
 		}
 		if sp.count > 0 {
-			con.queuing += weight - sp.weight
+			con.waitingWeight += weight - sp.weight
 		}
 		sp.weight = weight
 	}
 	return sp
 }
 
-// weigh keeps the sum of the shares that have work.
-func (con *Controller) weigh(sp *space) {
-	active := sp.count > 0 || sp.flying > 0
-	if active == sp.counted {
+// updateActive adds a workspace's weight to the sum of the active workspaces
+// when it has work, and removes it when it has none.
+func (con *Controller) updateActive(sp *workspaceState) {
+	active := sp.count > 0 || sp.running > 0
+	if active == sp.active {
 		return
 	}
-	sp.counted = active
+	sp.active = active
 	if active {
-		con.weights += sp.weight
+		con.activeWeight += sp.weight
 	} else {
-		con.weights = max(con.weights-sp.weight, 0)
+		con.activeWeight = max(con.activeWeight-sp.weight, 0)
 	}
 }
 
-func (con *Controller) weightsWith(sp *space) float64 {
-	if sp.counted {
-		return con.weights
+func (con *Controller) activeWeightWith(sp *workspaceState) float64 {
+	if sp.active {
+		return con.activeWeight
 	}
-	return con.weights + sp.weight
+	return con.activeWeight + sp.weight
 }
 
 func (con *Controller) enqueue(ti *Ticket) {
-	sp := ti.space
+	sp := ti.workspace
 	if sp.count == 0 {
-		con.quiet -= sp.flying
-		con.queuing += sp.weight
+		con.unqueuedRunning -= sp.running
+		con.waitingWeight += sp.weight
 	}
 	sp.push(ti)
 	con.queued++
-	if sp.place < 0 {
-		// What a workspace did not use while it was away is not owed to it.
-		sp.tag = max(sp.tag, con.clock)
+	if sp.heapIndex < 0 {
+		// An idle workspace does not accumulate credit.
+		sp.tag = max(sp.tag, con.virtualTime)
 		con.waiting.push(sp)
 	}
-	con.weigh(sp)
+	con.updateActive(sp)
 }
 
 func (con *Controller) dequeue(ti *Ticket) {
-	sp := ti.space
+	sp := ti.workspace
 	sp.remove(ti)
 	con.queued--
 	if sp.count == 0 {
-		con.waiting.remove(sp.place)
-		con.quiet += sp.flying
-		con.queuing -= sp.weight
+		con.waiting.remove(sp.heapIndex)
+		con.unqueuedRunning += sp.running
+		con.waitingWeight -= sp.weight
 	}
-	con.weigh(sp)
+	con.updateActive(sp)
 }
 
-// start charges a request to its workspace and lets virtual time follow.
+// start charges a request to its workspace and advances virtual time.
 func (con *Controller) start(now time.Time, ti *Ticket) {
-	sp := ti.space
+	sp := ti.workspace
 	ti.started = now
-	sp.tag = max(sp.tag, con.clock)
-	con.clock = sp.tag
+	sp.tag = max(sp.tag, con.virtualTime)
+	con.virtualTime = sp.tag
 	sp.tag += ti.units / sp.weight
-	if sp.place >= 0 {
-		con.waiting.fix(sp.place)
+	if sp.heapIndex >= 0 {
+		con.waiting.fix(sp.heapIndex)
 	}
 	if con.epoch.IsZero() {
 		con.epoch = now
 	}
-	con.fly(ti, 1)
-	con.weigh(sp)
+	con.addRunning(ti, 1)
+	con.updateActive(sp)
 }
 
-// fly counts a request that starts or ends.
-func (con *Controller) fly(ti *Ticket, by int) {
-	sp := ti.space
-	con.started += float64(by) * ti.started.Sub(con.epoch).Seconds()
-	con.charged += float64(by) * ti.units
-	con.flying += by
-	if con.flying == 0 {
-		con.started, con.charged = 0, 0 // No rounding is carried on.
+// addRunning updates the totals of the running requests when one starts (by is
+// 1) or ends (by is -1).
+func (con *Controller) addRunning(ti *Ticket, by int) {
+	sp := ti.workspace
+	con.startSum += float64(by) * ti.started.Sub(con.epoch).Seconds()
+	con.chargedUnits += float64(by) * ti.units
+	con.running += by
+	if con.running == 0 {
+		con.startSum, con.chargedUnits = 0, 0 // Discards accumulated rounding errors.
 	}
-	sp.flying += by
+	sp.running += by
 	if sp.count == 0 {
-		con.quiet += by
+		con.unqueuedRunning += by
 	}
 }
 
-// ticket takes a ticket from the free list, so that an admission allocates
-// nothing while the pool is in a steady state.
-func (con *Controller) ticket() *Ticket {
+// newTicket takes a ticket from the free list, so that admission allocates
+// nothing in the steady state.
+func (con *Controller) newTicket() *Ticket {
 	ti := con.free
 	if ti == nil {
 		return new(Ticket)
@@ -120,5 +123,5 @@
 	con.free = ti
 }
 
-// GiveUp ends a ticket that Next did not start.
+// GiveUp releases a ticket that Next returned without starting it.
 func (con *Controller) GiveUp(ti *Ticket) { con.release(ti) }
--- a/core/admission/controller.go
+++ b/core/admission/controller.go
@@ -7,89 +7,94 @@
 	"skylarkstand/core"
 )
 
-// Work is what is known of a request on arrival.
+// Work describes a request on arrival.
 type Work struct {
 	Workspace core.WorkspaceID
 	// Share is the workspace's weight, at least 1.
 	Share int
-	// Limit bounds the workspace's requests in a gate, over all its pools; 0 is
-	// none.
+	// Limit bounds the workspace's running and waiting requests in a gate, over
+	// all its pools; 0 means no limit.
 	Limit  int
 	Prompt core.Tokens
 	// Body is the size of the request in bytes.
 	Body     int
 	Priority Priority
-	// Deadline is the time left to the caller; 0 is none.
+	// Deadline is the time left until the caller's deadline; 0 means none.
 	Deadline time.Duration
 	// NoWait refuses the request unless it starts at once.
 	NoWait bool
-	// MayCross lets a request that the own region would refuse go to another
-	// one, if that takes it at once.
+	// MayCross allows another region to run a request that the local region
+	// would refuse, if it can start there at once.
 	MayCross bool
-	// Draw is a random number from 0 to 1. It spreads Retry-After.
+	// Draw is a random number from 0 to 1, used as the jitter of Retry-After.
 	Draw float64
 }
 
-// Room is what a pool takes.
+// Room is the capacity of a pool.
 type Room struct {
-	// Places is how many requests of this controller the pool takes at once.
+	// Places is the number of requests of this controller that the pool can run
+	// concurrently.
 	Places int
-	// Slots is how many of all entries. The reserve is a part of these.
+	// Slots is the number of requests of all entries that it can run
+	// concurrently. The reserve is sized by it.
 	Slots int
 }
 
-// Controller decides for one pool. It belongs to one goroutine at a time.
+// Controller makes the admission decisions for one pool. It is not safe for
+// concurrent use.
 type Controller struct {
-	lim    Limits
-	room   Room
-	flying int
-	queued int
-	// weights is the shares of the workspaces with work here, queuing of those
-	// with work that waits, clock the virtual time of the fair queue.
-	weights, queuing, clock float64
-	// quiet is the running requests of workspaces with nothing waiting.
-	quiet   int
-	waiting spaces
-	spaces  map[core.WorkspaceID]*space
-	// seconds and units are smoothed sums over answers; their quotient is the
-	// time that a unit takes.
-	seconds, units float64
-	// started and charged are the sums of the running requests' starts, in
-	// seconds since epoch, and of their units.
-	started, charged float64
-	epoch            time.Time
-	hopeless         int
-	free             *Ticket
+	lim      Limits
+	capacity Room
+	running  int
+	queued   int
+	// activeWeight is the sum of the weights of the workspaces with running or
+	// waiting requests, waitingWeight the sum of those with waiting requests.
+	// virtualTime is the virtual time of the fair queue.
+	activeWeight, waitingWeight, virtualTime float64
+	// unqueuedRunning is the number of running requests of workspaces that have
+	// none waiting.
+	unqueuedRunning int
+	waiting         workspaceHeap
+	workspaces      map[core.WorkspaceID]*workspaceState
+	// meanSeconds and meanUnits are moving averages over finished requests; their
+	// quotient is the time per unit.
+	meanSeconds, meanUnits float64
+	// startSum and chargedUnits are sums over the running requests: of their
+	// start times, in seconds since epoch, and of their units.
+	startSum, chargedUnits float64
+	epoch                  time.Time
+	infeasible             int
+	free                   *Ticket
 }
 
-// New returns a controller of a pool.
+// New returns a controller for a pool of the given capacity.
 func New(ro Room, opts ...Option) *Controller {
 	return &Controller{
-		lim: newLimits(opts), room: ro, spaces: map[core.WorkspaceID]*space{},
-		seconds: firstPace * firstOutput, units: firstOutput,
+		lim: newLimits(opts), capacity: ro, workspaces: map[core.WorkspaceID]*workspaceState{},
+		meanSeconds: initialSecondsPerUnit * initialOutput, meanUnits: initialOutput,
 	}
 }
 
-// Resize sets what the pool takes. Without places it starts nothing.
-func (con *Controller) Resize(ro Room) { con.room = ro }
+// Resize sets the pool's capacity. With zero places, no request starts.
+func (con *Controller) Resize(ro Room) { con.capacity = ro }
 
-// Offer decides on a request that has arrived. It returns the request's ticket
-// and whether it starts now; or the refusal, at once. A ticket that has not
-// started is returned by Next later.
+// Offer decides on an arriving request. It returns the request's ticket and
+// whether it starts now, or a refusal. A ticket that does not start now is
+// queued; Next returns it later.
 //
-// It is made for a pool at several times its capacity. A request that would
-// miss its deadline in the queue is refused here: to let it wait would cost
-// its caller the time to go elsewhere, and to run it too late would cost the
-// pool the answers that could still be in time.
+// Offer is designed for a load of several times the pool's capacity. It refuses
+// a request that would miss its deadline in the queue: waiting would cost the
+// caller the time to try elsewhere, and running it too late would waste capacity
+// that other requests need to meet their deadlines.
 func (con *Controller) Offer(now time.Time, wo Work) (*Ticket, bool, *core.Failure) {
-	sp := con.space(wo)
-	prompt := float64(wo.Prompt) / promptPerUnit
-	la := lane(wo.Priority)
+	sp := con.workspace(wo)
+	prompt := float64(wo.Prompt) / promptTokensPerUnit
+	la := levelOf(wo.Priority)
 	if fl := con.refuse(now, sp, la, prompt, wo); fl != nil {
 		return nil, false, fl
 	}
-	ti := con.ticket()
-	*ti = Ticket{space: sp, lane: la, prompt: prompt, units: prompt + sp.output, arrived: now}
+	ti := con.newTicket()
+	*ti = Ticket{workspace: sp, level: la, prompt: prompt, units: prompt + sp.output, arrived: now}
 	if wo.Deadline > 0 {
 		ti.deadline = now.Add(wo.Deadline)
 	}
@@ -97,30 +102,30 @@
 		con.start(now, ti)
 		return ti, true, nil
 	}
-	ti.expected = con.wait(now, sp, la)
+	ti.expected = con.estimateWait(now, sp, la)
 	con.enqueue(ti)
 	return ti, false, nil
 }
 
-// WorthCrossing reports whether a request that waits here should start in
-// another region instead: when the bytes that it would send over the paid link
-// are few for the waiting that it would save.
+// WorthCrossing reports whether a queued request should start in another region
+// instead: when the bytes that it would send over the paid cross-region link are
+// few in proportion to the wait that it would avoid.
 func (con *Controller) WorthCrossing(ti *Ticket, body int) bool {
-	bytes := float64(body) + ti.space.output*bytesPerToken
-	return bytes <= crossingRate*ti.expected
+	bytes := float64(body) + ti.workspace.output*bytesPerToken
+	return bytes <= crossingBytesPerSecond*ti.expected
 }
 
-// startsNow reports whether a workspace's new request finds room. No other
-// workspace is passed over by it: one that waits has no room to start.
-func (con *Controller) startsNow(sp *space) bool { return sp.count == 0 && con.mayStart(sp) }
+// startsNow reports whether a workspace's new request can start at once. It does
+// not overtake other workspaces: those that wait cannot start.
+func (con *Controller) startsNow(sp *workspaceState) bool { return sp.count == 0 && con.mayStart(sp) }
 
-// refuse returns the refusal of a request that cannot be served in time.
-func (con *Controller) refuse(now time.Time, sp *space, la int, prompt float64, wo Work) *core.Failure {
-	service := con.service(prompt + sp.output)
+// refuse returns the refusal of a request that cannot finish in time, or nil.
+func (con *Controller) refuse(now time.Time, sp *workspaceState, la int, prompt float64, wo Work) *core.Failure {
+	service := con.serviceTime(prompt + sp.output)
 	if con.startsNow(sp) {
-		return con.refuseHopeless(service, wo)
+		return con.refuseInfeasible(service, wo)
 	}
-	wait := con.wait(now, sp, la)
+	wait := con.estimateWait(now, sp, la)
 	if wo.NoWait {
 		return core.Refuse(core.CodeOverloaded, retryAfter(wait, wo.Draw), "the pool has no room")
 	}
@@ -130,7 +135,7 @@
 	limit, need := con.lim.MaxWait.Seconds(), wait
 	if wo.Deadline > 0 {
 		limit = wo.Deadline.Seconds()
-		need = wait*margin + service + con.service(sp.spread)
+		need = wait*waitMargin + service + con.serviceTime(sp.spread)
 	}
 	if need <= limit {
 		return nil
@@ -138,41 +143,42 @@
 	return core.Refuse(core.CodeOverloaded, retryAfter(need-limit, wo.Draw), "the request would wait %.1fs, which its deadline does not allow", wait)
 }
 
-// refuseHopeless refuses work that would not meet its deadline even alone: by
-// more than half, since the estimate is a mean.
-func (con *Controller) refuseHopeless(service float64, wo Work) *core.Failure {
+// refuseInfeasible refuses a request that would miss its deadline even if it
+// started now: when the estimate is more than twice the deadline, since the
+// estimate is a mean.
+func (con *Controller) refuseInfeasible(service float64, wo Work) *core.Failure {
 	if wo.Deadline == 0 || service <= 2*wo.Deadline.Seconds() {
 		return nil
 	}
-	con.hopeless++
-	if con.hopeless%hopelessPart == 0 {
+	con.infeasible++
+	if con.infeasible%infeasibleProbeInterval == 0 {
 		return nil
 	}
 	return core.Refuse(core.CodeDeadline, 0, "answers take %.1fs here, more than the deadline allows", service)
 }
 
-// Next takes a waiting request that starts now, or returns nil. It is called
-// after Leave and Resize until it returns nil. A request that can no longer
-// meet its deadline, because the pool became slower after its arrival, comes
-// back with start false: it is given up, and answered and left at once.
+// Next dequeues the next request that can start now, or returns nil. After Leave
+// and Resize it is called until it returns nil. A request that can no longer
+// meet its deadline, because the pool has slowed down since it arrived, is
+// returned with start false: the caller refuses it at once and calls GiveUp.
 func (con *Controller) Next(now time.Time) (ti *Ticket, start bool) {
-	sp := con.choose()
+	sp := con.nextWorkspace()
 	if sp == nil {
 		return nil, false
 	}
 	ti = sp.head()
 	con.dequeue(ti)
-	if !ti.deadline.IsZero() && con.service(ti.units) > 2*ti.deadline.Sub(now).Seconds() {
+	if !ti.deadline.IsZero() && con.serviceTime(ti.units) > 2*ti.deadline.Sub(now).Seconds() {
 		return ti, false
 	}
 	con.start(now, ti)
 	return ti, true
 }
 
-// choose returns the workspace that is served next. When only the reserve is
-// left, a workspace beyond its share is passed over.
-func (con *Controller) choose() *space {
-	for _, sp := range con.waiting[:min(len(con.waiting), scan)] {
+// nextWorkspace returns the workspace that is served next, or nil. When only the
+// reserve is free, it skips workspaces above their share.
+func (con *Controller) nextWorkspace() *workspaceState {
+	for _, sp := range con.waiting[:min(len(con.waiting), maxScan)] {
 		if con.mayStart(sp) {
 			return sp
 		}
@@ -180,147 +186,151 @@
 	return nil
 }
 
-// mayStart reports whether a workspace's next request finds room. A workspace
-// that is well above its share of the places leaves a reserve to the others.
+// mayStart reports whether a workspace's next request can start. A workspace
+// well above its share of the places must leave a reserve to the others.
 //
-// It is made for one workspace that takes all that is free: without it, each
-// request of the others would first wait for one of the hog's to end. Requests
-// arrive at random, so the places that the others need vary with the square
-// root of what they use, and so does the reserve. Workspaces that have work
-// waiting need none: they are next by their turn. To keep a reserve for them
-// as well was tried; in a full pool it held workspaces back that had a few
-// long answers running, past their deadlines.
-func (con *Controller) mayStart(sp *space) bool {
-	room := con.room.Places - con.flying
-	if room <= 0 {
+// This guards against one workspace that takes all free places: without the
+// reserve, each request of the others would first wait for one of the hog's to
+// end. Requests arrive at random, so the places that the others need vary with
+// the square root of those they use, and the reserve is sized accordingly.
+// Workspaces with waiting requests need no reserve, since the fair queue serves
+// them next. A reserve for them would, in a full pool, hold back workspaces with
+// a few long responses running until past their deadlines.
+func (con *Controller) mayStart(sp *workspaceState) bool {
+	free := con.capacity.Places - con.running
+	if free <= 0 {
 		return false
 	}
-	over := con.over(sp)
-	return over == 0 || float64(room) > over*con.reserve(sp)
+	excess := con.excess(sp)
+	return excess == 0 || float64(free) > excess*con.reserve(sp)
 }
 
-// over is how far a workspace would be above its share of the places, from 0
-// to 1, beyond what a share varies by itself. A workspace with most of the
-// shares would vary over all places; it leaves half of what is not its own.
-func (con *Controller) over(sp *space) float64 {
-	places := float64(con.room.Places)
-	share := sp.weight * places / con.weightsWith(sp)
+// excess returns how far one more request would put a workspace above its share
+// of the places, from 0 to 1, allowing for random variation. The variation of a
+// workspace with most of the weight would span all places; it is capped at half
+// of the places outside its share.
+func (con *Controller) excess(sp *workspaceState) float64 {
+	places := float64(con.capacity.Places)
+	share := sp.weight * places / con.activeWeightWith(sp)
 	rest := places - share
-	usual := share + min(ownSpread*math.Sqrt(share), rest/2)
-	return min(max((float64(sp.flying+1)-usual)/max(min(share, rest), 1e-3), 0), 1)
+	usual := share + min(shareDeviations*math.Sqrt(share), rest/2)
+	return min(max((float64(sp.running+1)-usual)/max(min(share, rest), 1e-3), 0), 1)
 }
 
-// others is the places that workspaces with nothing waiting use, but one.
-func (con *Controller) others(sp *space) float64 {
+// othersRunning returns the number of places used by the workspaces that have
+// nothing waiting, excluding sp.
+func (con *Controller) othersRunning(sp *workspaceState) float64 {
 	if sp.count == 0 {
-		return float64(con.quiet - sp.flying)
+		return float64(con.unqueuedRunning - sp.running)
 	}
-	return float64(con.quiet)
+	return float64(con.unqueuedRunning)
 }
 
-// reserve is the free places that one workspace leaves to the others. The
-// other entries' callers are taken to be like this entry's.
-func (con *Controller) reserve(sp *space) float64 {
-	return othersSpread * math.Sqrt(con.others(sp)*float64(con.room.Slots)/float64(con.room.Places))
+// reserve returns the number of free places that a workspace above its share
+// leaves to the others. The load of the other entries is assumed to be like this
+// entry's.
+func (con *Controller) reserve(sp *workspaceState) float64 {
+	return reserveDeviations * math.Sqrt(con.othersRunning(sp)*float64(con.capacity.Slots)/float64(con.capacity.Places))
 }
 
-// Leave ends a started request. Used is the answer's usage, or nil when there
-// was none to learn from. The ticket is not used afterwards.
+// Leave ends a started request. Used is the usage of its response, or nil if the
+// response was cut off. The ticket must not be used afterwards.
 func (con *Controller) Leave(now time.Time, ti *Ticket, used *core.Usage) {
-	sp := ti.space
-	con.fly(ti, -1)
+	sp := ti.workspace
+	con.addRunning(ti, -1)
 	if used != nil {
-		con.learn(sp, ti, now.Sub(ti.started), used)
+		con.observe(sp, ti, now.Sub(ti.started), used)
 	} else {
-		con.learnCut(sp, ti, now.Sub(ti.started))
+		con.observeTruncated(sp, ti, now.Sub(ti.started))
 	}
-	con.weigh(sp)
+	con.updateActive(sp)
 	con.release(ti)
 }
 
-// learn takes an answer into the estimates. The workspace is not charged for
-// the difference to what was expected: its next requests are expected to be
-// like this one, which comes to the same over time. To charge each long answer
-// at once was tried; it pushed what waited behind it past its deadline, after
-// it had been admitted.
-func (con *Controller) learn(sp *space, ti *Ticket, took time.Duration, used *core.Usage) {
-	out := max(float64(used.Generated), 1)
-	total := out + max(ti.prompt, float64(used.Prompt)/promptPerUnit)
-	con.seconds += smooth * (took.Seconds() - con.seconds)
-	con.units += smooth * (total - con.units)
-	sp.learn(out)
+// observe updates the estimates with a finished request. The workspace is not
+// charged for the difference from the estimate: the updated estimate raises the
+// charge of its next requests, which evens out over time. Charging a long
+// response at once would push admitted requests behind it past their deadlines.
+func (con *Controller) observe(sp *workspaceState, ti *Ticket, took time.Duration, used *core.Usage) {
+	output := max(float64(used.Generated), 1)
+	total := output + max(ti.prompt, float64(used.Prompt)/promptTokensPerUnit)
+	con.meanSeconds += smoothing * (took.Seconds() - con.meanSeconds)
+	con.meanUnits += smoothing * (total - con.meanUnits)
+	sp.observeOutput(output)
 }
 
-// learnCut takes an answer into the estimates that was cut by its deadline or
-// its caller. How long it would have become is not known, only that it was at
-// least as long as its time allowed. Without it only the short answers of a
-// full pool would be learned from, and the queue would take ever more work
-// that then does not end in time.
-func (con *Controller) learnCut(sp *space, ti *Ticket, took time.Duration) {
-	if out := took.Seconds()/con.pace() - ti.prompt; out > sp.output {
-		sp.learn(out)
+// observeTruncated updates the estimates with a response that was cut off by its
+// deadline or its caller. Its full length is unknown, but at least what its
+// running time allowed. Without this, only the short responses of a full pool
+// would count, and the queue would admit more and more requests that then miss
+// their deadlines.
+func (con *Controller) observeTruncated(sp *workspaceState, ti *Ticket, took time.Duration) {
+	if output := took.Seconds()/con.secondsPerUnit() - ti.prompt; output > sp.output {
+		sp.observeOutput(output)
 	}
 }
 
-// Cancel takes a waiting request out, because its caller is gone. The ticket
-// is not used afterwards.
+// Cancel removes a waiting request from the queue. The ticket must not be used
+// afterwards.
 func (con *Controller) Cancel(ti *Ticket) {
 	con.dequeue(ti)
 	con.release(ti)
 }
 
-// Queued returns how many requests wait, Flying how many run.
+// Queued returns the number of waiting requests.
 func (con *Controller) Queued() int { return con.queued }
 
-// Flying returns how many requests run.
-func (con *Controller) Flying() int { return con.flying }
+// Flying returns the number of running requests.
+func (con *Controller) Flying() int { return con.running }
 
-// pace is the seconds that a unit takes in one place.
-func (con *Controller) pace() float64 { return con.seconds / max(con.units, 1) }
+// secondsPerUnit returns the estimated time per unit of one running request.
+func (con *Controller) secondsPerUnit() float64 { return con.meanSeconds / max(con.meanUnits, 1) }
 
-func (con *Controller) service(units float64) float64 { return units * con.pace() }
+func (con *Controller) serviceTime(units float64) float64 { return units * con.secondsPerUnit() }
 
-// wait estimates the seconds that a request would wait. Workspaces without a
-// queue take what they use now; the rest of the pool's rate is divided by
-// share among those that wait. The work that waits now over the rate was tried
-// for a bound: it is none, as work that comes later may have its turn first.
+// estimateWait estimates the seconds that a request would wait. Workspaces
+// without a queue are assumed to keep the places they use; the rest of the
+// pool's rate is divided by weight among those that wait. The queued work divided
+// by the rate is no upper bound, since requests that arrive later may be served
+// first.
 //
-// Those without a queue are never taken to keep more than their share. In the
-// first second of a burst all places are theirs, and without this bound one
-// order of a hundred let 6 of 200 callers in where 17 were answered in time.
-func (con *Controller) wait(now time.Time, sp *space, la int) float64 {
-	places := float64(max(con.room.Places, 1))
-	weights := con.queuing
+// Workspaces without a queue are never assumed to keep more than their share. In
+// the first second of a burst they hold all places, and without this bound one
+// arrival order in a hundred admits 6 of 200 callers where 17 can be answered in
+// time.
+func (con *Controller) estimateWait(now time.Time, sp *workspaceState, la int) float64 {
+	places := float64(max(con.capacity.Places, 1))
+	weights := con.waitingWeight
 	if sp.count == 0 {
 		weights += sp.weight
 	}
-	used := con.others(sp)
-	if con.room.Places > 0 && con.over(sp) > 0 {
+	used := con.othersRunning(sp)
+	if con.capacity.Places > 0 && con.excess(sp) > 0 {
 		used += con.reserve(sp)
 	}
-	left := max(1-used/places, weights/con.weightsWith(sp), leastLeft)
-	rate := places / (con.pace() * con.overrun(now))
-	own := max(sp.tag-con.clock, 0)*weights + sp.ahead(la)*weights/sp.weight
-	return (own/left + con.units) / rate
+	left := max(1-used/places, weights/con.activeWeightWith(sp), minRateShare)
+	rate := places / (con.secondsPerUnit() * con.overrunFactor(now))
+	own := max(sp.tag-con.virtualTime, 0)*weights + sp.unitsAhead(la)*weights/sp.weight
+	return (own/left + con.meanUnits) / rate
 }
 
-// overrun is how many times longer the running requests are than they were
-// expected to be, judged by their age so far; at least 1.
+// overrunFactor returns how many times longer than estimated the running
+// requests take, judged by their mean age so far; at least 1.
 //
-// An entry that has just started knows only the answers that have ended, which
-// are the short ones. While the long ones run it would take the pool for
-// faster than it is, and let work wait past its deadline.
-func (con *Controller) overrun(now time.Time) float64 {
-	if con.flying == 0 {
+// An entry that has just started has seen only the requests that have ended,
+// which are the short ones. While the long ones still run, its estimates are too
+// fast, and requests would wait past their deadlines.
+func (con *Controller) overrunFactor(now time.Time) float64 {
+	if con.running == 0 {
 		return 1
 	}
-	age := now.Sub(con.epoch).Seconds() - con.started/float64(con.flying)
-	charged := con.service(con.charged / float64(con.flying))
+	age := now.Sub(con.epoch).Seconds() - con.startSum/float64(con.running)
+	charged := con.serviceTime(con.chargedUnits / float64(con.running))
 	return max(age/max(charged, 1e-6), 1)
 }
 
 func retryAfter(seconds, draw float64) time.Duration {
 	d := time.Duration(seconds * float64(time.Second))
-	d = min(max(d, minRetry), maxRetry)
-	return d + time.Duration(draw*retrySpread*float64(d))
+	d = min(max(d, minRetryAfter), maxRetryAfter)
+	return d + time.Duration(draw*retryJitter*float64(d))
 }
--- a/core/admission/doc.go
+++ b/core/admission/doc.go
@@ -1,26 +1,27 @@
-// Package admission decides in an entry which request starts now, which waits
-// and which is refused, before any upstream is asked.
+// Package admission implements the admission control of an entry: it decides
+// which request starts now, which waits and which is refused, before anything
+// is sent to an upstream.
 //
-// A [Controller] does so for one pool: the upstreams of one model version or
+// A [Controller] decides for one pool: the upstreams of one model version or
 // of one plain service. It is pure: time and randomness come in as arguments.
-// A [Gate] holds the controllers of an entry and lets goroutines wait.
+// A [Gate] holds the controllers of an entry and blocks goroutines while their
+// requests wait.
 //
-// Work is counted in units: generated tokens, with prompt tokens at a tenth.
-// How much a request will generate is learned per workspace, how long a unit
-// takes per pool. From the two follow the rate at which a pool drains, the
-// time that a request would wait, and the time after which a refused one is
-// worth sending again.
+// Work is counted in units: one per generated token, and a tenth per prompt
+// token. The output of a request is estimated per workspace, the time per unit
+// per pool. These two estimates give the rate at which a pool drains, the
+// expected wait of a request, and the Retry-After of a refused one.
 //
 // Waiting workspaces are served by start-time fair queueing (Goyal, Vin and
-// Cheng, 1996) over their units, each by its share. Priority orders the work
-// within a workspace and never across: callers name it themselves, and one
-// that marks everything urgent must not gain by it.
+// Cheng, 1996) over their units, weighted by share. Priority orders requests
+// only within a workspace: callers set it themselves, and a caller that marks
+// everything urgent must not gain by it.
 //
 // # Usage
 //
-//	gt := admission.NewGate(room, admission.MaxWait(30*time.Second))
+//	gt := admission.NewGate(capacity, admission.MaxWait(30*time.Second))
 //	ps, err := gt.Enter(ctx, admission.ModelPool(mv), admission.Work{Workspace: ws, Share: 2, Prompt: 400})
 //	if err != nil { refuse }          // a *core.Failure, not run
 //	defer ps.Leave()
-//	ps.Used(usage)                    // once the whole answer is there
+//	ps.Used(usage)                    // once the response is complete
 package admission
--- a/core/admission/figures_test.go
+++ b/core/admission/figures_test.go
@@ -11,28 +11,28 @@
 	"skylarkstand/test/figure"
 )
 
-func measuring(t *testing.T) {
+func skipUnlessMeasuring(t *testing.T) {
 	if os.Getenv("SKYLARKSTAND_MEASURE") != "1" {
-		t.Skip("make measure prints the figures")
+		t.Skip("set SKYLARKSTAND_MEASURE=1 or run make measure to print the figures")
 	}
 }
 
 var baselines = []string{"round-robin", "least-loaded", "random"}
 
 func TestFiguresLoadSaturation(t *testing.T) {
-	measuring(t)
+	skipUnlessMeasuring(t)
 	late, missed := 0, 0
 	for _, sh := range shapes() {
 		sit := sh.make()
 		full := simulate(sit, policy{})
-		triple := simulate(sit.at(3), policy{})
+		triple := simulate(sit.atLoad(3), policy{})
 		figure.AtLeast("goodput-3x-over-1x-"+sh.name, triple.goodput()/full.goodput(), "ratio", 0.95)
-		figure.AtLeast("tokens-in-time-3x-over-1x-"+sh.name, triple.goodUnits()/full.goodUnits(), "ratio", 0.95)
-		fifoFull, fifo := simulate(sit, policy{fifo: true}), simulate(sit.at(3), policy{fifo: true})
+		figure.AtLeast("tokens-in-time-3x-over-1x-"+sh.name, triple.goodTokens()/full.goodTokens(), "ratio", 0.95)
+		fifoFull, fifo := simulate(sit, policy{fifo: true}), simulate(sit.atLoad(3), policy{fifo: true})
 		figure.Plain("goodput-3x-over-1x-fifo-"+sh.name, fifo.goodput()/fifoFull.goodput(), "ratio")
-		figure.Plain("tokens-in-time-3x-over-1x-fifo-"+sh.name, fifo.goodUnits()/fifoFull.goodUnits(), "ratio")
-		for _, ou := range []*outcome{full, simulate(sit.at(2), policy{}), triple, simulate(sit.at(2).with(func(si *situation) { si.burst = 5 }), policy{}), simulate(sit.at(0.8).hog(), policy{})} {
-			late += ou.late()
+		figure.Plain("tokens-in-time-3x-over-1x-fifo-"+sh.name, fifo.goodTokens()/fifoFull.goodTokens(), "ratio")
+		for _, ou := range []*outcome{full, simulate(sit.atLoad(2), policy{}), triple, simulate(sit.atLoad(2).with(func(si *scenario) { si.burst = 5 }), policy{}), simulate(sit.atLoad(0.8).withHog(), policy{})} {
+			late += ou.lateRefusals()
 			missed += ou.count(expired)
 		}
 	}
@@ -40,8 +40,8 @@
 	figure.Plain("admitted-and-missed-deadline", float64(missed), "count")
 	lateMixed, refusedMixed := 0, 0
 	for _, sh := range shapes() {
-		ou := simulate(sh.make().at(2).mixed(), policy{})
-		lateMixed += ou.late()
+		ou := simulate(sh.make().atLoad(2).withMixedSizes(), policy{})
+		lateMixed += ou.lateRefusals()
 		refusedMixed += ou.count(refused)
 	}
 	figure.AtMost("refusals-late-mixed-work", float64(lateMixed), "count", 0)
@@ -49,73 +49,73 @@
 }
 
 func TestFiguresLoadSlowUpstream(t *testing.T) {
-	measuring(t)
+	skipUnlessMeasuring(t)
 	for _, sh := range shapes() {
-		// A pool of three has a third of its capacity less; at 0.4 the two
-		// others can still do the work.
+		// A slow upstream costs a pool of three a third of its capacity; at 0.4
+		// the other two can still serve the load.
 		load := 0.6
 		if len(sh.make().sites) == 3 && sh.make().sites[0].upstreams == 1 {
 			load = 0.4
 		}
-		sit := sh.make().at(load)
-		slow := sit.with(func(sit *situation) { sit.slow = 10 })
+		sit := sh.make().atLoad(load)
+		slow := sit.with(func(sit *scenario) { sit.slow = 10 })
 		for _, pl := range append([]string{""}, baselines...) {
-			sound, ill := simulate(sit, policy{place: pl}), simulate(slow, policy{place: pl})
-			wholes := ill.percentile(0.99, "", whole) / sound.percentile(0.99, "", whole)
-			firsts := ill.percentile(0.99, "", first) / sound.percentile(0.99, "", first)
+			healthy, degraded := simulate(sit, policy{balancing: pl}), simulate(slow, policy{balancing: pl})
+			totalRatio := degraded.percentile(0.99, "", whole) / healthy.percentile(0.99, "", whole)
+			firstTokenRatio := degraded.percentile(0.99, "", first) / healthy.percentile(0.99, "", first)
 			if pl == "" {
-				figure.AtMost("p99-with-slow-upstream-over-without-"+sh.name, wholes, "ratio", 1.5)
-				figure.AtMost("p99-first-token-with-slow-upstream-over-without-"+sh.name, firsts, "ratio", 1.5)
+				figure.AtMost("p99-with-slow-upstream-over-without-"+sh.name, totalRatio, "ratio", 1.5)
+				figure.AtMost("p99-first-token-with-slow-upstream-over-without-"+sh.name, firstTokenRatio, "ratio", 1.5)
 				continue
 			}
-			figure.Plain("p99-with-slow-upstream-over-without-"+pl+"-"+sh.name, wholes, "ratio")
+			figure.Plain("p99-with-slow-upstream-over-without-"+pl+"-"+sh.name, totalRatio, "ratio")
 		}
 	}
 }
 
 func TestFiguresLoadHog(t *testing.T) {
-	measuring(t)
+	skipUnlessMeasuring(t)
 	for _, sh := range shapes() {
-		sit := sh.make().at(0.6)
-		calm, hog := simulate(sit, policy{}), simulate(sit.hog(), policy{})
+		sit := sh.make().atLoad(0.6)
+		calm, hog := simulate(sit, policy{}), simulate(sit.withHog(), policy{})
 		figure.AtMost("harm-p95-of-hog-"+sh.name, hog.percentile(0.95, "w9", whole)/calm.percentile(0.95, "w9", whole), "ratio", 1.10)
 		figure.AtMost("harm-p95-first-token-of-hog-"+sh.name, hog.percentile(0.95, "w9", first)/calm.percentile(0.95, "w9", first), "ratio", 1.10)
-		fifoCalm, fifo := simulate(sit, policy{fifo: true}), simulate(sit.hog(), policy{fifo: true})
+		fifoCalm, fifo := simulate(sit, policy{fifo: true}), simulate(sit.withHog(), policy{fifo: true})
 		figure.Plain("harm-p95-of-hog-fifo-"+sh.name, fifo.percentile(0.95, "w9", whole)/fifoCalm.percentile(0.95, "w9", whole), "ratio")
 	}
 }
 
 func TestFiguresLoadRetries(t *testing.T) {
-	measuring(t)
+	skipUnlessMeasuring(t)
 	for _, sh := range shapes() {
-		sit := sh.make().at(3)
-		figure.AtMost("retry-amplification-3x-"+sh.name, simulate(sit, policy{}).amplified(), "ratio", 1.1)
-		failing := sit.with(func(sit *situation) { sit.failing = 0.2 })
-		figure.AtMost("retry-amplification-3x-failing-"+sh.name, simulate(failing, policy{}).amplified(), "ratio", 1.1)
-		figure.Plain("retry-amplification-3x-failing-no-budget-"+sh.name, simulate(failing, policy{retries: true}).amplified(), "ratio")
+		sit := sh.make().atLoad(3)
+		figure.AtMost("retry-amplification-3x-"+sh.name, simulate(sit, policy{}).attemptsPerRequest(), "ratio", 1.1)
+		failing := sit.with(func(sit *scenario) { sit.failing = 0.2 })
+		figure.AtMost("retry-amplification-3x-failing-"+sh.name, simulate(failing, policy{}).attemptsPerRequest(), "ratio", 1.1)
+		figure.Plain("retry-amplification-3x-failing-no-budget-"+sh.name, simulate(failing, policy{retries: true}).attemptsPerRequest(), "ratio")
 	}
 }
 
-// The situations with no bound of their own, beside the baselines.
+// Prints the scenarios that have no bound of their own, next to the baselines.
 func TestFiguresLoadSituations(t *testing.T) {
-	measuring(t)
-	situations := []struct {
+	skipUnlessMeasuring(t)
+	cases := []struct {
 		name   string
 		load   float64
-		change func(*situation)
+		change func(*scenario)
 	}{
-		{"half-lost", 0.8, func(sit *situation) { sit.lostHalf = true }},
-		{"region-cut", 0.6, func(sit *situation) { sit.cut = true }},
-		{"burst", 0.7, func(sit *situation) { sit.burst = 5 }},
-		{"mixed-2x", 2, func(sit *situation) { *sit = sit.mixed() }},
-		{"stale", 0.8, func(sit *situation) { sit.stale = true }},
+		{"half-lost", 0.8, func(sit *scenario) { sit.halfLost = true }},
+		{"region-cut", 0.6, func(sit *scenario) { sit.partitioned = true }},
+		{"burst", 0.7, func(sit *scenario) { sit.burst = 5 }},
+		{"mixed-2x", 2, func(sit *scenario) { *sit = sit.withMixedSizes() }},
+		{"stale", 0.8, func(sit *scenario) { sit.stale = true }},
 	}
-	for _, st := range situations {
-		for _, sh := range []namedShape{{"landesamt-drafter", landesamt}, {"association-lm", association}} {
-			sit := sh.make().at(st.load).with(st.change)
+	for _, st := range cases {
+		for _, sh := range []poolShape{{"landesamt-drafter", landesamt}, {"association-lm", association}} {
+			sit := sh.make().atLoad(st.load).with(st.change)
 			policies := map[string]policy{"product": {}, "fifo": {fifo: true}}
 			for _, pl := range baselines {
-				policies[pl] = policy{place: pl}
+				policies[pl] = policy{balancing: pl}
 			}
 			for _, name := range append([]string{"product", "fifo"}, baselines...) {
 				ou := simulate(sit, policies[name])
@@ -133,18 +133,19 @@
 }
 
 func TestFiguresLoadAdmissionCost(t *testing.T) {
-	measuring(t)
-	res := testing.Benchmark(admitting)
+	skipUnlessMeasuring(t)
+	res := testing.Benchmark(benchmarkAdmission)
 	if res.N == 0 {
-		t.Fatal("the benchmark broke off")
+		t.Fatal("the benchmark of an admission failed before it finished")
 	}
 	figure.AtMost("admission-1000-workspaces", float64(res.NsPerOp())/1000, "us", 1)
 	figure.AtMost("admission-1000-workspaces-allocations", float64(res.AllocsPerOp()), "count", 0)
 }
 
-// admitting is one request through a full controller of 1,000 workspaces that
-// all wait: its arrival, the end of another one, and the start of the next.
-func admitting(bb *testing.B) {
+// benchmarkAdmission measures one request through a full controller of 1,000
+// workspaces that all have requests waiting: its arrival, the end of another
+// request, and the start of the next.
+func benchmarkAdmission(bb *testing.B) {
 	con := admission.New(admission.Room{Places: 1000, Slots: 1000}, admission.MaxWait(time.Hour), admission.MaxQueue(1<<20))
 	names := make([]core.WorkspaceID, 1000)
 	for ix := range names {
@@ -170,7 +171,7 @@
 		con.Leave(now, running[ix%len(running)], us)
 		ti, start := con.Next(now)
 		if !start {
-			bb.Fatal("nothing started")
+			bb.Fatal("Leave freed a place, but Next started no request")
 		}
 		running[ix%len(running)] = ti
 	}
--- a/core/admission/gate.go
+++ b/core/admission/gate.go
@@ -8,82 +8,86 @@
 	"skylarkstand/core"
 )
 
-// Pool names the upstreams that a controller admits to.
+// Pool identifies the upstreams that a controller admits requests to.
 type Pool struct {
 	Target  core.ModelVersion
 	Service core.ServiceID
-	// Far is set for the upstreams of other regions.
+	// Far selects the upstreams of other regions instead of the local ones.
 	Far bool
 }
 
-// ModelPool is the pool of a model version.
+// ModelPool returns the local pool of a model version.
 func ModelPool(mv core.ModelVersion) Pool { return Pool{Target: mv} }
 
-// ServicePool is the pool of a plain service.
+// ServicePool returns the local pool of a plain service.
 func ServicePool(sv core.ServiceID) Pool { return Pool{Service: sv} }
 
-// Gate lets the goroutines of an entry wait for their start. It has a
-// controller and a lock for each pool, so that a full pool holds up no other.
-// It is safe for concurrent use.
+// Gate blocks the goroutines of an entry until their requests may start. Each
+// pool has its own controller and lock, so that a full pool does not delay the
+// others. It is safe for concurrent use.
 type Gate struct {
-	room func(Pool) Room
-	opts []Option
+	capacity func(Pool) Room
+	opts     []Option
 
 	mu    sync.Mutex
-	pools map[Pool]*door
-	// held counts the requests of workspaces that have a limit.
-	held map[core.WorkspaceID]int
+	pools map[Pool]*poolState
+	// limited counts the running and waiting requests of each workspace that has
+	// a limit.
+	limited map[core.WorkspaceID]int
 }
 
-// NewGate returns a gate.
-func NewGate(room func(Pool) Room, opts ...Option) *Gate {
-	return &Gate{room: room, opts: opts, pools: map[Pool]*door{}, held: map[core.WorkspaceID]int{}}
+// NewGate returns a gate that gets the capacity of each pool from a function.
+func NewGate(capacity func(Pool) Room, opts ...Option) *Gate {
+	return &Gate{capacity: capacity, opts: opts, pools: map[Pool]*poolState{}, limited: map[core.WorkspaceID]int{}}
 }
 
-// roomAge is how old a pool's room may be. Reports come a few times a second,
-// so asking for each request would only find the same again.
-const roomAge = 20 * time.Millisecond
+// capacityMaxAge is how long a pool's capacity is cached. Load reports arrive a
+// few times a second, so recomputing it for each request would give the same
+// result.
+const capacityMaxAge = 20 * time.Millisecond
 
-// door is one pool's controller.
-type door struct {
-	mu      sync.Mutex
-	con     *Controller
-	checked time.Time
+// poolState is the controller of one pool and its lock.
+type poolState struct {
+	mu        sync.Mutex
+	con       *Controller
+	refreshed time.Time
 }
 
-// waiter is a goroutine that waits; its channel holds the one decision.
+// waiter is a waiting goroutine. Its channel receives exactly one decision:
+// whether the request starts.
 type waiter struct{ decided chan bool }
 
-// Pass is the place of a request that was admitted.
+// Pass represents an admitted request until Leave is called.
 type Pass struct {
 	gt    *Gate
 	po    Pool
-	do    *door
+	do    *poolState
 	ti    *Ticket
 	wo    Work
 	usage *core.Usage
 	once  sync.Once
 }
 
-// Enter admits a request, or refuses it with a *core.Failure that was not run.
-// It blocks while the request waits for its turn.
+// Enter admits a request, or refuses it with a *core.Failure that says it was not
+// run. It blocks while the request is queued.
 //
-// What the own region would refuse, or let wait for longer than the crossing
-// is worth, may start in another one, if that has room at this moment and the
-// link between them has budget. It is not queued there.
+// A request with MayCross that the local region would refuse, or queue for long
+// enough to be worth crossing, may start in another region, if that has free
+// places now and the link between the regions has budget. It is never queued
+// there.
 func (gt *Gate) Enter(ctx context.Context, po Pool, wo Work) (*Pass, error) {
-	if fl := gt.hold(wo); fl != nil {
+	if fl := gt.acquireLimit(wo); fl != nil {
 		return nil, fl
 	}
 	ps, wa, fl := gt.offer(po, wo)
 	if fl != nil && fl.Code == core.CodeOverloaded && wo.MayCross {
-		if far := gt.cross(po, wo); far != nil {
-			return far, nil
+		if other := gt.offerCrossRegion(po, wo); other != nil {
+			return other, nil
 		}
 	}
 	switch {
 	case fl != nil:
-		gt.leave(wo)
+		gt.releaseLimit(wo)
 		return nil, fl
 	case wa == nil:
 		return ps, nil
@@ -92,15 +96,15 @@
 	}
 }
 
-// offer puts a request to a pool's controller. The waiter is nil when the
+// offer submits a request to a pool's controller. The waiter is nil if the
 // request starts at once.
 func (gt *Gate) offer(po Pool, wo Work) (*Pass, *waiter, *core.Failure) {
-	do := gt.door(po)
+	do := gt.state(po)
 	do.mu.Lock()
 	defer do.mu.Unlock()
 	now := time.Now()
-	gt.refresh(po, do, now)
-	do.pump(now)
+	gt.refreshCapacity(po, do, now)
+	do.startWaiting(now)
 	ti, start, fl := do.con.Offer(now, wo)
 	if fl != nil {
 		return nil, nil, fl
@@ -110,9 +114,9 @@
 		return ps, nil, nil
 	}
 	if wo.MayCross && do.con.WorthCrossing(ti, wo.Body) {
-		if far := gt.cross(po, wo); far != nil {
+		if other := gt.offerCrossRegion(po, wo); other != nil {
 			do.con.Cancel(ti)
-			return far, nil, nil
+			return other, nil, nil
 		}
 	}
 	wa := &waiter{decided: make(chan bool, 1)}
@@ -120,10 +124,10 @@
 	return ps, wa, nil
 }
 
-// cross offers a request to the other regions, where it starts at once or not
-// at all. The lock of the own region's door may be held: the other's is always
-// taken after it.
-func (gt *Gate) cross(po Pool, wo Work) *Pass {
+// offerCrossRegion offers a request to the other regions, where it starts at once
+// or not at all. The lock of the local pool may be held: the lock of the other
+// regions' pool is always acquired after it, which prevents deadlocks.
+func (gt *Gate) offerCrossRegion(po Pool, wo Work) *Pass {
 	po.Far, wo.NoWait, wo.MayCross = true, true, false
 	ps, _, fl := gt.offer(po, wo)
 	if fl != nil {
@@ -132,7 +136,7 @@
 	return ps
 }
 
-// await blocks until the request starts, is given up, or its caller is gone.
+// await blocks until the request starts, is refused, or its caller disconnects.
 func (gt *Gate) await(ctx context.Context, ps *Pass, wa *waiter) (*Pass, error) {
 	var start bool
 	select {
@@ -141,89 +145,91 @@
 		ps.do.mu.Lock()
 		select {
 		case start = <-wa.decided:
-			// The decision and the caller's end crossed.
+			// The decision was made before the lock was acquired.
 		default:
 			ps.do.con.Cancel(ps.ti)
 			ps.do.mu.Unlock()
-			gt.leave(ps.wo)
+			gt.releaseLimit(ps.wo)
 			return nil, core.Refuse(core.CodeCallerGone, 0, "the caller gave up while the request waited")
 		}
 		ps.do.mu.Unlock()
 	}
 	if !start {
-		gt.leave(ps.wo)
-		return nil, core.Refuse(core.CodeOverloaded, minRetry, "the upstreams became slower and the deadline cannot be met any more")
+		gt.releaseLimit(ps.wo)
+		return nil, core.Refuse(core.CodeOverloaded, minRetryAfter, "the upstreams became slower and the deadline cannot be met any more")
 	}
 	return ps, nil
 }
 
-// Crossing says that the request was admitted to another region.
+// Crossing reports whether the request was admitted to another region.
 func (ps *Pass) Crossing() bool { return ps.po.Far }
 
-// Used tells what the whole answer took, for the estimates of later requests.
+// Used records the usage of the complete response, for the estimates of later
+// requests.
 func (ps *Pass) Used(us core.Usage) { ps.usage = &us }
 
-// Leave gives the place back. It may be called more than once.
+// Leave releases the request's place. It may be called more than once.
 func (ps *Pass) Leave() {
 	ps.once.Do(func() {
-		ps.gt.leave(ps.wo)
+		ps.gt.releaseLimit(ps.wo)
 		ps.do.mu.Lock()
 		defer ps.do.mu.Unlock()
 		now := time.Now()
 		ps.do.con.Leave(now, ps.ti, ps.usage)
-		ps.gt.refresh(ps.po, ps.do, now)
-		ps.do.pump(now)
+		ps.gt.refreshCapacity(ps.po, ps.do, now)
+		ps.do.startWaiting(now)
 	})
 }
 
-func (gt *Gate) door(po Pool) *door {
+func (gt *Gate) state(po Pool) *poolState {
 	gt.mu.Lock()
 	defer gt.mu.Unlock()
 	do := gt.pools[po]
 	if do == nil {
-		do = &door{con: New(Room{}, gt.opts...)}
+		do = &poolState{con: New(Room{}, gt.opts...)}
 		gt.pools[po] = do
 	}
 	return do
 }
 
-// hold counts a request against its workspace's limit. The limit is kept by
-// each entry for itself.
-func (gt *Gate) hold(wo Work) *core.Failure {
+// acquireLimit counts a request against its workspace's limit, or refuses it.
+// Each entry enforces the limit on its own.
+func (gt *Gate) acquireLimit(wo Work) *core.Failure {
 	if wo.Limit == 0 {
 		return nil
 	}
 	gt.mu.Lock()
 	defer gt.mu.Unlock()
-	if gt.held[wo.Workspace] >= wo.Limit {
+	if gt.limited[wo.Workspace] >= wo.Limit {
 		return core.Refuse(core.CodeOverloaded, retryAfter(0, wo.Draw), "the workspace has %d requests here, its limit", wo.Limit)
 	}
-	gt.held[wo.Workspace]++
+	gt.limited[wo.Workspace]++
 	return nil
 }
 
-func (gt *Gate) leave(wo Work) {
+func (gt *Gate) releaseLimit(wo Work) {
 	if wo.Limit == 0 {
 		return
 	}
 	gt.mu.Lock()
 	defer gt.mu.Unlock()
-	if gt.held[wo.Workspace]--; gt.held[wo.Workspace] <= 0 {
-		delete(gt.held, wo.Workspace)
+	if gt.limited[wo.Workspace]--; gt.limited[wo.Workspace] <= 0 {
+		delete(gt.limited, wo.Workspace)
 	}
 }
 
-func (gt *Gate) refresh(po Pool, do *door, now time.Time) {
-	if now.Sub(do.checked) < roomAge {
+func (gt *Gate) refreshCapacity(po Pool, do *poolState, now time.Time) {
+	if now.Sub(do.refreshed) < capacityMaxAge {
 		return
 	}
-	do.checked = now
-	do.con.Resize(gt.room(po))
+	do.refreshed = now
+	do.con.Resize(gt.capacity(po))
 }
 
-// pump starts what may start. A decision is sent while the lock is held, so
-// that a caller that ends meanwhile sees it.
-func (do *door) pump(now time.Time) {
+// startWaiting starts all requests that can start now. It sends the decisions
+// while the lock is held, so that a caller that disconnects meanwhile sees its
+// decision.
+func (do *poolState) startWaiting(now time.Time) {
 	for {
 		ti, start := do.con.Next(now)
 		if ti == nil {
--- a/core/admission/gate_test.go
+++ b/core/admission/gate_test.go
@@ -29,87 +29,87 @@
 	return fl
 }
 
-// burst sends 200 callers of three workspaces to a pool of four places at one
-// instant, in an order, and returns how many were answered and refused. Each
-// answer must come in time, and each refusal at once.
-func burst(t *testing.T, order []int) (done, told int) {
+// runBurst sends 200 requests of three workspaces to a pool of four places at one
+// instant, in the given order, and returns how many were answered and refused.
+// Each response must arrive before the deadline, and each refusal at once.
+func runBurst(t *testing.T, order []int) (done, rejected int) {
 	synctest.Test(t, func(t *testing.T) {
 		gt := admission.NewGate(oneUpstream)
 		var mu sync.Mutex
 		var wg sync.WaitGroup
-		flying := 0
+		running := 0
 		for _, ix := range order {
 			wg.Go(func() {
 				ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 				defer cancel()
-				came := time.Now()
+				arrived := time.Now()
 				ps, err := gt.Enter(ctx, admission.Pool{}, admission.Work{Workspace: core.WorkspaceID('a' + rune(ix%3)), Deadline: 10 * time.Second})
 				mu.Lock()
 				if err != nil {
 					fl := failure(t, err)
 					assert.Check(t, fl.Ran == core.NotRun && fl.RetryAfter > 0)
-					assert.Check(t, time.Since(came) == 0)
-					told++
+					assert.Check(t, time.Since(arrived) == 0)
+					rejected++
 					mu.Unlock()
 					return
 				}
-				flying++
-				assert.Check(t, flying <= 4)
+				running++
+				assert.Check(t, running <= 4)
 				mu.Unlock()
 				time.Sleep(time.Second)
 				mu.Lock()
-				flying--
+				running--
 				done++
 				mu.Unlock()
 				ps.Used(core.Usage{Generated: 100})
 				ps.Leave()
 				ps.Leave()
-				assert.Check(t, ctx.Err() == nil, "the answer came too late")
+				assert.Check(t, ctx.Err() == nil, "the response arrived after the deadline")
 			})
-			// The next one comes when this one has been let in, waits or is
-			// refused: the order would otherwise be the scheduler's.
+			// Sends the next request only after this one was admitted, queued or
+			// refused; otherwise the scheduler would determine the order.
 			synctest.Wait()
 		}
 		wg.Wait()
 	})
-	return done, told
+	return done, rejected
 }
 
-// A burst meets a pool of four places. Each caller either gets its answer
-// before its deadline or is refused in the moment it comes, with a time to come
-// back; none is kept waiting for a refusal.
-func TestGateAnswersEachCallerOnceAndInTime(t *testing.T) {
+// In a burst on a pool of four places, each caller either gets its response before
+// its deadline or is refused on arrival with a Retry-After; no caller waits for a
+// refusal.
+func TestGateServesOrRefusesEachCallerInTime(t *testing.T) {
 	order := make([]int, 200)
 	for i := range order {
 		order[i] = i
 	}
-	done, told := burst(t, order)
-	assert.Equal(t, done+told, 200)
-	assert.Assert(t, done >= 12 && told >= 100, "%d done", done)
+	done, rejected := runBurst(t, order)
+	assert.Equal(t, done+rejected, 200)
+	assert.Assert(t, done >= 12 && rejected >= 100, "%d done", done)
 }
 
-// The same burst in orders drawn at random. In one of a hundred, all places go to
-// callers of a workspace that has nothing else waiting. A gate that takes that
-// workspace to keep them refuses the others' callers: six get an answer where
-// seventeen could.
-func TestGateAnswersABurstInAnyOrder(t *testing.T) {
+// Repeats the burst in a hundred random orders. In one of them, all places go to a
+// workspace that has nothing else waiting. If the gate assumed that this workspace
+// keeps them, it would refuse the other workspaces' callers: six would be answered
+// where seventeen can be.
+func TestGateServesBurstInAnyOrder(t *testing.T) {
 	for seed := range uint64(100) {
-		done, told := burst(t, rand.New(rand.NewPCG(seed, 1)).Perm(200))
-		assert.Equal(t, done+told, 200)
-		assert.Check(t, done >= 12 && told >= 100, "seed %d: %d done", seed, done)
+		done, rejected := runBurst(t, rand.New(rand.NewPCG(seed, 1)).Perm(200))
+		assert.Equal(t, done+rejected, 200)
+		assert.Check(t, done >= 12 && rejected >= 100, "seed %d: %d done", seed, done)
 	}
 }
 
-// A caller hangs up while it waits. Its place in the queue is free for the
-// next, and nothing of it reaches an upstream.
-func TestGateForgetsCallersThatLeft(t *testing.T) {
+// A caller that disconnects while its request is queued frees its place in the
+// queue and its workspace's limit, and its request never starts.
+func TestGateDropsDisconnectedCallers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		gt := admission.NewGate(oneUpstream)
-		var held []*admission.Pass
+		var passes []*admission.Pass
 		for range 4 {
 			ps, err := gt.Enter(t.Context(), admission.Pool{}, admission.Work{Workspace: "a"})
 			assert.NilError(t, err)
-			held = append(held, ps)
+			passes = append(passes, ps)
 		}
 		ctx, cancel := context.WithCancel(t.Context())
 		go func() {
@@ -118,7 +118,7 @@
 		}()
 		synctest.Wait()
 		_, err := gt.Enter(t.Context(), admission.Pool{}, admission.Work{Workspace: "a", Limit: 1})
-		assert.Equal(t, failure(t, err).Code, core.CodeOverloaded, "the workspace's limit")
+		assert.Equal(t, failure(t, err).Code, core.CodeOverloaded, "the workspace's limit was not enforced")
 		cancel()
 		synctest.Wait()
 		entered := false
@@ -130,7 +130,7 @@
 		}()
 		synctest.Wait()
 		assert.Assert(t, !entered)
-		for _, ps := range held {
+		for _, ps := range passes {
 			ps.Leave()
 		}
 		synctest.Wait()
@@ -138,9 +138,9 @@
 	})
 }
 
-// The own region is full and another has room. A short question goes there at
-// once; a floor plan, which would fill the paid link, waits or is refused.
-func TestGateCrossesForSmallWork(t *testing.T) {
+// The local region is full and another has free places. Small requests start there
+// at once until it is full too, and the next one is refused.
+func TestGateCrossesRegionsForSmallRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		far := 2
 		gt := admission.NewGate(func(po admission.Pool) admission.Room {
@@ -150,9 +150,9 @@
 			return admission.Room{Places: 1, Slots: 1}
 		})
 		work := admission.Work{Workspace: "a", Deadline: time.Second, MayCross: true, Body: 2000}
-		near, err := gt.Enter(t.Context(), admission.Pool{}, work)
+		local, err := gt.Enter(t.Context(), admission.Pool{}, work)
 		assert.NilError(t, err)
-		assert.Assert(t, !near.Crossing())
+		assert.Assert(t, !local.Crossing())
 		for range far {
 			ps, err := gt.Enter(t.Context(), admission.Pool{}, work)
 			assert.NilError(t, err)
@@ -160,7 +160,7 @@
 		}
 		_, err = gt.Enter(t.Context(), admission.Pool{}, work)
 		assert.Equal(t, failure(t, err).Code, core.CodeOverloaded)
-		near.Leave()
+		local.Leave()
 		ps, err := gt.Enter(t.Context(), admission.Pool{}, work)
 		assert.NilError(t, err)
 		assert.Assert(t, !ps.Crossing())
--- a/core/admission/outcome_test.go
+++ b/core/admission/outcome_test.go
@@ -7,7 +7,7 @@
 	"skylarkstand/core"
 )
 
-// outcome is what the callers of a simulation got.
+// outcome is the result of a simulation as its callers observed it.
 type outcome struct {
 	length   time.Duration
 	requests []*request
@@ -18,73 +18,75 @@
 	return &outcome{length: si.sit.length, requests: si.requests, crossed: si.crossed}
 }
 
-// goodput is the answers in time a second, while requests arrive: a queue that
-// is worked off afterwards does not count.
+// goodput returns the rate, per second, of responses in time while requests
+// arrive: responses from a queue that drains afterwards do not count.
 func (ou *outcome) goodput() float64 {
 	return ou.rate(func(*request) float64 { return 1 })
 }
 
-// goodUnits is the tokens a second of answers in time.
-func (ou *outcome) goodUnits() float64 {
+// goodTokens returns the rate, per second, of the tokens of responses in time.
+func (ou *outcome) goodTokens() float64 {
 	return ou.rate(func(rq *request) float64 { return rq.output })
 }
 
 func (ou *outcome) rate(of func(*request) float64) float64 {
 	sum := 0.0
 	for _, rq := range ou.requests {
-		if rq.end == answered && rq.ended <= ou.length {
+		if rq.state == answered && rq.ended <= ou.length {
 			sum += of(rq)
 		}
 	}
 	return sum / ou.length.Seconds()
 }
 
-func (ou *outcome) count(en ending) int {
+func (ou *outcome) count(en requestState) int {
 	sum := 0
 	for _, rq := range ou.requests {
-		if rq.end == en {
+		if rq.state == en {
 			sum++
 		}
 	}
 	return sum
 }
 
-const promptly = 50 * time.Millisecond
+const maxRefusalDelay = 50 * time.Millisecond
 
-// late counts the refusals that did not come promptly.
-func (ou *outcome) late() int {
+// lateRefusals counts the refusals sent later than maxRefusalDelay after arrival.
+func (ou *outcome) lateRefusals() int {
 	sum := 0
 	for _, rq := range ou.requests {
-		if rq.end == refused && rq.ended-rq.arrived > promptly {
+		if rq.state == refused && rq.ended-rq.arrived > maxRefusalDelay {
 			sum++
 		}
 	}
 	return sum
 }
 
-// amplified is the attempts handed to agents over the requests that were.
-func (ou *outcome) amplified() float64 {
-	handed, attempts := 0, 0
+// attemptsPerRequest returns the mean number of attempts of the requests that were
+// dispatched to an agent.
+func (ou *outcome) attemptsPerRequest() float64 {
+	dispatched, attempts := 0, 0
 	for _, rq := range ou.requests {
-		if rq.dispatch > 0 {
-			handed++
-			attempts += rq.dispatch
+		if rq.dispatches > 0 {
+			dispatched++
+			attempts += rq.dispatches
 		}
 	}
-	return float64(attempts) / float64(max(handed, 1))
+	return float64(attempts) / float64(max(dispatched, 1))
 }
 
-// percentile is over the requests of all tenants but one. What was not
-// answered counts as its deadline, so that refusing does not look fast.
-func (ou *outcome) percentile(part float64, but core.WorkspaceID, of func(*request) time.Duration) float64 {
+// percentile returns a percentile, in seconds, over the requests of all tenants
+// except one. An unanswered request counts with its deadline, so that refusals do
+// not look fast.
+func (ou *outcome) percentile(part float64, except core.WorkspaceID, of func(*request) time.Duration) float64 {
 	var all []time.Duration
 	for _, rq := range ou.requests {
 		switch {
-		case rq.ten.id == but:
-		case rq.end == answered:
+		case rq.tenant.id == except:
+		case rq.state == answered:
 			all = append(all, of(rq))
 		default:
-			all = append(all, rq.ten.deadline)
+			all = append(all, rq.tenant.deadline)
 		}
 	}
 	if len(all) == 0 {
--- a/core/admission/queue.go
+++ b/core/admission/queue.go
@@ -4,62 +4,66 @@
 	"time"
 )
 
-// Priority orders work within one workspace.
+// Priority orders the requests of one workspace.
 type Priority int
 
-// The priorities. Values outside are taken for the nearest.
+// The priorities. Values out of range are clamped.
 const (
 	Low    Priority = -1
 	Normal Priority = 0
 	High   Priority = 1
 )
 
-const lanes = int(High-Low) + 1
+const levelCount = int(High-Low) + 1
 
-// lane returns the index of a priority's queue; 0 goes first.
-func lane(pr Priority) int { return int(High - min(max(pr, Low), High)) }
+// levelOf returns the index of a priority's queue; 0 is served first.
+func levelOf(pr Priority) int { return int(High - min(max(pr, Low), High)) }
 
-// Ticket is one request in a controller. It is valid until Leave or Cancel.
+// Ticket is one request in a controller. It is valid until Leave, Cancel or
+// GiveUp.
 type Ticket struct {
-	// Waiter belongs to the caller of Offer, to find its request again.
+	// Waiter is for the caller of Offer, to identify its request in Next.
 	Waiter any
 
-	space    *space
-	lane     int
-	prompt   float64
-	units    float64
-	arrived  time.Time
-	started  time.Time
-	deadline time.Time // zero: none
-	expected float64   // seconds of waiting, as estimated on arrival
-	prev     *Ticket
-	next     *Ticket
+	workspace *workspaceState
+	level     int
+	prompt    float64
+	units     float64
+	arrived   time.Time
+	started   time.Time
+	deadline  time.Time // zero: none
+	expected  float64   // wait in seconds, as estimated on arrival
+	prev      *Ticket
+	next      *Ticket
 }
 
 // Wait returns how long the request waited before it started.
 func (ti *Ticket) Wait() time.Duration { return ti.started.Sub(ti.arrived) }
 
-// space is a workspace's part of a controller.
-type space struct {
+// workspaceState is the state of one workspace in a controller.
+type workspaceState struct {
 	weight float64
-	// tag is the virtual time at which the next waiting request may start.
+	// tag is the virtual start time of the next waiting request.
 	tag float64
-	// output and spread are the mean answer and its mean deviation, in units.
+	// output and spread are the mean output and its mean absolute deviation, in
+	// units.
 	output, spread float64
-	// queued units wait in each lane, count requests in all of them.
-	queued [lanes]float64
-	count  int
-	flying int
-	heads  [lanes]*Ticket
-	tails  [lanes]*Ticket
-	// place is the index in the heap of waiting workspaces, or -1.
-	place int
-	// counted says that the weight stands in the controller's sum.
-	counted bool
+	// queued is the number of waiting units at each priority level, count the
+	// number of waiting requests over all levels.
+	queued  [levelCount]float64
+	count   int
+	running int
+	heads   [levelCount]*Ticket
+	tails   [levelCount]*Ticket
+	// heapIndex is the index in the heap of waiting workspaces, or -1.
+	heapIndex int
+	// active is set while the weight is included in the controller's activeWeight.
+	active bool
 }
 
-// head is the request that goes first: the oldest of the highest priority.
-func (sp *space) head() *Ticket {
+// head returns the request that is served first: the oldest of the highest
+// priority, or nil.
+func (sp *workspaceState) head() *Ticket {
 	for _, ti := range sp.heads {
 		if ti != nil {
 			return ti
@@ -68,74 +72,75 @@
 	return nil
 }
 
-func (sp *space) push(ti *Ticket) {
-	ti.prev = sp.tails[ti.lane]
+func (sp *workspaceState) push(ti *Ticket) {
+	ti.prev = sp.tails[ti.level]
 	if ti.prev == nil {
-		sp.heads[ti.lane] = ti
+		sp.heads[ti.level] = ti
 	} else {
 		ti.prev.next = ti
 	}
-	sp.tails[ti.lane] = ti
-	sp.queued[ti.lane] += ti.units
+	sp.tails[ti.level] = ti
+	sp.queued[ti.level] += ti.units
 	sp.count++
 }
 
-func (sp *space) remove(ti *Ticket) {
+func (sp *workspaceState) remove(ti *Ticket) {
 	if ti.prev == nil {
-		sp.heads[ti.lane] = ti.next
+		sp.heads[ti.level] = ti.next
 	} else {
 		ti.prev.next = ti.next
 	}
 	if ti.next == nil {
-		sp.tails[ti.lane] = ti.prev
+		sp.tails[ti.level] = ti.prev
 	} else {
 		ti.next.prev = ti.prev
 	}
 	ti.prev, ti.next = nil, nil
-	sp.queued[ti.lane] = max(sp.queued[ti.lane]-ti.units, 0)
+	sp.queued[ti.level] = max(sp.queued[ti.level]-ti.units, 0)
 	sp.count--
 	if sp.count == 0 {
-		sp.queued = [lanes]float64{} // No rounding is carried on.
+		sp.queued = [levelCount]float64{} // Discards accumulated rounding errors.
 	}
 }
 
-// ahead is the workspace's own work that goes before a new request in a lane.
-func (sp *space) ahead(la int) float64 {
+// unitsAhead returns the workspace's waiting units that are served before a new
+// request of a level.
+func (sp *workspaceState) unitsAhead(la int) float64 {
 	sum := 0.0
-	for _, un := range sp.queued[:la+1] {
-		sum += un
+	for _, units := range sp.queued[:la+1] {
+		sum += units
 	}
 	return sum
 }
 
-func (sp *space) learn(out float64) {
-	off := out - sp.output
-	sp.output += smooth * off
-	sp.spread += smooth * (max(off, -off) - sp.spread)
+func (sp *workspaceState) observeOutput(output float64) {
+	deviation := output - sp.output
+	sp.output += smoothing * deviation
+	sp.spread += smoothing * (max(deviation, -deviation) - sp.spread)
 }
 
-// spaces is a heap of the workspaces with waiting work, the lowest tag first.
-type spaces []*space
+// workspaceHeap is a min-heap by tag of the workspaces with waiting requests.
+type workspaceHeap []*workspaceState
 
-func (he spaces) less(ix, jx int) bool { return he[ix].tag < he[jx].tag }
+func (he workspaceHeap) less(ix, jx int) bool { return he[ix].tag < he[jx].tag }
 
-func (he spaces) swap(ix, jx int) {
+func (he workspaceHeap) swap(ix, jx int) {
 	he[ix], he[jx] = he[jx], he[ix]
-	he[ix].place, he[jx].place = ix, jx
+	he[ix].heapIndex, he[jx].heapIndex = ix, jx
 }
 
-func (he *spaces) push(sp *space) {
-	sp.place = len(*he)
+func (he *workspaceHeap) push(sp *workspaceState) {
+	sp.heapIndex = len(*he)
 	*he = append(*he, sp)
-	he.up(sp.place)
+	he.up(sp.heapIndex)
 }
 
-func (he *spaces) remove(ix int) {
+func (he *workspaceHeap) remove(ix int) {
 	last := len(*he) - 1
-	(*he)[ix].place = -1
+	(*he)[ix].heapIndex = -1
 	if ix != last {
 		(*he)[ix] = (*he)[last]
-		(*he)[ix].place = ix
+		(*he)[ix].heapIndex = ix
 	}
 	(*he)[last] = nil
 	*he = (*he)[:last]
@@ -144,19 +149,19 @@
 	}
 }
 
-func (he spaces) fix(ix int) {
+func (he workspaceHeap) fix(ix int) {
 	he.up(ix)
 	he.down(ix)
 }
 
-func (he spaces) up(ix int) {
+func (he workspaceHeap) up(ix int) {
 	for ix > 0 && he.less(ix, (ix-1)/2) {
 		he.swap(ix, (ix-1)/2)
 		ix = (ix - 1) / 2
 	}
 }
 
-func (he spaces) down(ix int) {
+func (he workspaceHeap) down(ix int) {
 	for {
 		low := ix
 		for kid := 2*ix + 1; kid <= 2*ix+2 && kid < len(he); kid++ {
--- a/core/admission/shapes_test.go
+++ b/core/admission/shapes_test.go
@@ -7,39 +7,40 @@
 	"skylarkstand/core"
 )
 
-// The pools of the two users, with ten workspaces each, a few large.
-func landesamt() situation {
-	return shape([]site{{"muc-a", "muc", 8}, {"muc-b", "muc", 6}, {"nue-a", "nue", 4}}, 400, 30*time.Second)
+// landesamt is the larger pool of the first user, with ten workspaces, of which
+// three are large. The scenarios below are the other pools of the two users.
+func landesamt() scenario {
+	return newScenario([]site{{"muc-a", "muc", 8}, {"muc-b", "muc", 6}, {"nue-a", "nue", 4}}, 400, 30*time.Second)
 }
 
-func landesamtDesk() situation {
-	return shape([]site{{"muc-a", "muc", 1}, {"muc-b", "muc", 1}, {"nue-a", "nue", 1}}, 80, 8*time.Second)
+func landesamtDesk() scenario {
+	return newScenario([]site{{"muc-a", "muc", 1}, {"muc-b", "muc", 1}, {"nue-a", "nue", 1}}, 80, 8*time.Second)
 }
 
-func association() situation {
-	return shape([]site{{"sapporo-a", "doo-central", 5}, {"otaru-b", "doo-central", 4}, {"kushiro-a", "doto-east", 3}}, 150, 12*time.Second)
+func association() scenario {
+	return newScenario([]site{{"sapporo-a", "doo-central", 5}, {"otaru-b", "doo-central", 4}, {"kushiro-a", "doto-east", 3}}, 150, 12*time.Second)
 }
 
-func associationOrders() situation {
-	return shape([]site{{"sapporo-a", "doo-central", 1}, {"otaru-b", "doo-central", 1}, {"kushiro-a", "doto-east", 1}}, 20, 4*time.Second)
+func associationOrders() scenario {
+	return newScenario([]site{{"sapporo-a", "doo-central", 1}, {"otaru-b", "doo-central", 1}, {"kushiro-a", "doto-east", 1}}, 20, 4*time.Second)
 }
 
-type namedShape struct {
+type poolShape struct {
 	name string
-	make func() situation
+	make func() scenario
 }
 
-func shapes() []namedShape {
-	return []namedShape{
+func shapes() []poolShape {
+	return []poolShape{
 		{"landesamt-drafter", landesamt}, {"landesamt-desk", landesamtDesk},
 		{"association-lm", association}, {"association-orders", associationOrders},
 	}
 }
 
-// shape is ten workspaces, three of them large, at the full capacity of the
-// sites in sum.
-func shape(sites []site, output float64, deadline time.Duration) situation {
-	sit := situation{seed: 1, sites: sites, slots: 8, length: 4 * time.Minute, report: time.Second}
+// newScenario returns a scenario of ten workspaces, three of them large, whose
+// total load equals the capacity of all sites.
+func newScenario(sites []site, output float64, deadline time.Duration) scenario {
+	sit := scenario{seed: 1, sites: sites, slots: 8, length: 4 * time.Minute, reportInterval: time.Second}
 	for ix := range 10 {
 		share := 1
 		if ix < 3 {
@@ -49,11 +50,12 @@
 			id: core.WorkspaceID(fmt.Sprintf("w%d", ix)), share: share, prompt: 500, output: output, deadline: deadline,
 		})
 	}
-	return sit.at(1)
+	return sit.atLoad(1)
 }
 
-// capacity is the requests a second that all upstreams can answer.
-func (sit situation) capacity() float64 {
+// capacity returns the number of requests per second that all upstreams together
+// can answer.
+func (sit scenario) capacity() float64 {
 	slots := 0
 	for _, st := range sit.sites {
 		slots += st.upstreams * sit.slots
@@ -62,9 +64,9 @@
 	return float64(slots) / (float64(te.prompt)*secondsPerPrompt + te.output*secondsPerToken)
 }
 
-// at returns the situation with the offered load at a multiple of the
-// capacity, each workspace sending in proportion to its share.
-func (sit situation) at(load float64) situation {
+// atLoad returns the scenario with the offered load at a multiple of the capacity,
+// divided among the workspaces by share.
+func (sit scenario) atLoad(load float64) scenario {
 	shares, rate := 0, sit.capacity()*load
 	for _, te := range sit.tenants {
 		shares += te.share
@@ -78,9 +80,9 @@
 	return sit
 }
 
-// hog returns the situation with the last workspace sending ten times its share
+// withHog returns the scenario with the last workspace sending ten times its share
 // of the capacity.
-func (sit situation) hog() situation {
+func (sit scenario) withHog() scenario {
 	shares := 0
 	for _, te := range sit.tenants {
 		shares += te.share
@@ -91,8 +93,9 @@
 	return sit
 }
 
-// mixed gives every second workspace long work and the others short.
-func (sit situation) mixed() situation {
+// withMixedSizes returns the scenario with long responses for every second
+// workspace and short ones for the others.
+func (sit scenario) withMixedSizes() scenario {
 	sit.tenants = append([]tenant(nil), sit.tenants...)
 	for ix := range sit.tenants {
 		te := &sit.tenants[ix]
@@ -105,7 +108,7 @@
 	return sit
 }
 
-func (sit situation) with(change func(*situation)) situation {
+func (sit scenario) with(change func(*scenario)) scenario {
 	change(&sit)
 	return sit
 }
--- a/core/admission/sim_job_test.go
+++ b/core/admission/sim_job_test.go
@@ -8,48 +8,48 @@
 	"skylarkstand/core/placement"
 )
 
-// attempt places a request's next attempt and hands it over.
-func (jo *job) attempt() {
+// startAttempt picks an upstream for the request's next attempt and sends it there.
+func (jo *job) startAttempt() {
 	si, en := jo.si, jo.en
-	ch, ok := jo.place()
+	ch, ok := jo.pickUpstream()
 	if !ok {
 		jo.finish(refused, nil)
 		return
 	}
 	ix := slices.IndexFunc(si.ups, func(up *upstream) bool { return up.host.ID == ch.ID })
-	jo.up, jo.sent, jo.over, jo.heard, jo.choice = si.ups[ix], si.now, false, false, ch
+	jo.up, jo.sent, jo.done, jo.gotFirstToken, jo.choice = si.ups[ix], si.now, false, false, ch
 	jo.tried = append(jo.tried, ch.ID)
-	jo.rq.dispatch++
-	if jo.rq.dispatch == 1 {
+	jo.rq.dispatches++
+	if jo.rq.dispatches == 1 {
 		jo.rq.entryWait = si.now - jo.rq.arrived
 	}
 	en.views[ix].Own++
 	en.pk.Sent(si.clock(), ch.ID)
-	si.after(jo.delay(), func() { jo.reach(jo.up) })
+	si.after(jo.delay(), func() { jo.arriveAtAgent(jo.up) })
 }
 
-func (jo *job) place() (placement.Choice, bool) {
+func (jo *job) pickUpstream() (placement.Choice, bool) {
 	si, en := jo.si, jo.en
-	if si.pol.place == "" {
-		rq := placement.Request{Pool: pool, Body: 4 * jo.rq.ten.prompt, Cross: jo.con == en.far, Tried: jo.tried}
+	if si.pol.balancing == "" {
+		rq := placement.Request{Pool: pool, Body: 4 * jo.rq.tenant.prompt, Cross: jo.con == en.far, Tried: jo.tried}
 		return en.pk.Pick(si.clock(), rq, en.views, si.rnd.IntN)
 	}
-	var able []int
+	var available []int
 	for ix, up := range en.views {
 		if up.Up && up.Host.Region == en.site.region && !slices.Contains(jo.tried, up.Host.ID) {
-			able = append(able, ix)
+			available = append(available, ix)
 		}
 	}
-	if len(able) == 0 {
+	if len(available) == 0 {
 		return placement.Choice{}, false
 	}
-	at := able[si.rnd.IntN(len(able))]
-	switch si.pol.place {
+	at := available[si.rnd.IntN(len(available))]
+	switch si.pol.balancing {
 	case "round-robin":
-		at = able[en.turn%len(able)]
-		en.turn++
+		at = available[en.nextIndex%len(available)]
+		en.nextIndex++
 	case "least-loaded":
-		at = slices.MinFunc(able, func(aa, bb int) int {
+		at = slices.MinFunc(available, func(aa, bb int) int {
 			return en.views[aa].Load.Running + en.views[aa].Load.Queued - en.views[bb].Load.Running - en.views[bb].Load.Queued
 		})
 	}
@@ -63,16 +63,16 @@
 	return nearDelay
 }
 
-// reach is the arrival at the agent.
-func (jo *job) reach(up *upstream) {
-	if jo.over {
+// arriveAtAgent simulates the attempt's arrival at the agent.
+func (jo *job) arriveAtAgent(up *upstream) {
+	if jo.done {
 		return
 	}
 	if up.dead {
 		jo.fail(core.Refuse(core.CodeNoUpstream, time.Second, "the link is lost"))
 		return
 	}
-	left := jo.rq.ten.deadline - (jo.si.now - jo.rq.arrived)
+	left := jo.rq.tenant.deadline - (jo.si.now - jo.rq.arrived)
 	if jo.si.pol.fifo {
 		left = 0
 	}
@@ -88,7 +88,7 @@
 	}
 }
 
-// run is the engine's part.
+// run simulates the engine.
 func (jo *job) run() {
 	si, up, rq := jo.si, jo.up, jo.rq
 	factor := 1.0
@@ -96,9 +96,9 @@
 		factor = si.sit.slow
 	}
 	whole := seconds(rq.service().Seconds() * factor)
-	first := seconds((float64(rq.ten.prompt)*secondsPerPrompt + secondsPerToken) * factor)
+	first := seconds((float64(rq.tenant.prompt)*secondsPerPrompt + secondsPerToken) * factor)
 	sent := jo.sent
-	valid := func() bool { return !jo.over && jo.up == up && jo.sent == sent }
+	valid := func() bool { return !jo.done && jo.up == up && jo.sent == sent }
 	if si.rnd.Float64() < si.sit.failing {
 		si.after(whole/2, func() {
 			if valid() {
@@ -111,7 +111,7 @@
 		if !valid() {
 			return
 		}
-		rq.first, jo.heard = si.now-rq.arrived, true
+		rq.first, jo.gotFirstToken = si.now-rq.arrived, true
 		jo.en.pk.Heard(si.clock(), pool, up.host.ID, time.Unix(0, 0).Add(sent))
 	})
 	if pieces := seconds(placement.PacePieces * secondsPerToken * factor); rq.output > placement.PacePieces {
@@ -124,47 +124,47 @@
 	si.after(whole+jo.delay(), func() {
 		if valid() {
 			jo.en.budget.Succeeded()
-			jo.finish(answered, &core.Usage{Prompt: core.Tokens(rq.ten.prompt), Generated: core.Tokens(rq.output)})
+			jo.finish(answered, &core.Usage{Prompt: core.Tokens(rq.tenant.prompt), Generated: core.Tokens(rq.output)})
 		}
 	})
 }
 
-// fail ends an attempt without an answer, and tries another upstream when the
-// retry logic allows it.
+// fail ends an attempt without a response, and starts another one if the retry
+// policy allows it.
 func (jo *job) fail(fl *core.Failure) {
-	if jo.over || jo.rq.end != unended {
+	if jo.done || jo.rq.state != pending {
 		return
 	}
 	jo.en.pk.Failed(jo.si.clock(), jo.up.host.ID)
-	jo.free()
+	jo.releaseSlot()
 	again := jo.tries.Again(fl, true)
 	if jo.si.pol.retries {
-		again = jo.rq.dispatch < 3
+		again = jo.rq.dispatches < 3
 	}
 	if again {
-		jo.attempt()
+		jo.startAttempt()
 		return
 	}
-	jo.over = true
-	jo.si.end(jo.rq, refused)
-	jo.leave(nil)
+	jo.done = true
+	jo.si.setState(jo.rq, refused)
+	jo.releasePlace(nil)
 }
 
-func (jo *job) finish(en ending, us *core.Usage) {
-	jo.over = true
+func (jo *job) finish(en requestState, us *core.Usage) {
+	jo.done = true
 	jo.rq.whole = jo.si.now - jo.rq.arrived
 	if us != nil && jo.choice.Crossing {
 		bytes := int(us.Generated) * bytesPerToken
-		jo.si.crossed += bytes + 4*jo.rq.ten.prompt
+		jo.si.crossed += bytes + 4*jo.rq.tenant.prompt
 		jo.en.pk.Crossed(jo.si.clock(), bytes)
 	}
-	jo.si.end(jo.rq, en)
-	jo.free()
-	jo.leave(us)
+	jo.si.setState(jo.rq, en)
+	jo.releaseSlot()
+	jo.releasePlace(us)
 }
 
-// free gives the place at the agent back.
-func (jo *job) free() {
+// releaseSlot releases the attempt's slot at the agent.
+func (jo *job) releaseSlot() {
 	if jo.up == nil {
 		return
 	}
@@ -172,7 +172,7 @@
 	jo.up = nil
 	ix := slices.Index(jo.si.ups, up)
 	if !jo.si.sit.stale {
-		jo.en.see(jo.si.clock(), ix, up)
+		jo.en.updateView(jo.si.clock(), ix, up)
 	}
 	jo.en.views[ix].Own--
 	if !up.jobs[jo] {
@@ -193,13 +193,13 @@
 	}
 }
 
-// leave gives the place at the entry back.
-func (jo *job) leave(us *core.Usage) {
+// releasePlace releases the request's place at the entry.
+func (jo *job) releasePlace(us *core.Usage) {
 	if jo.ti == nil {
 		return
 	}
 	ti := jo.ti
 	jo.ti = nil
 	jo.con.Leave(jo.si.clock(), ti, us)
-	jo.si.pump(jo.en)
+	jo.si.startWaiting(jo.en)
 }
--- a/core/admission/sim_test.go
+++ b/core/admission/sim_test.go
@@ -15,44 +15,44 @@
 	"skylarkstand/core/retry"
 )
 
-// site is the upstreams, and one entry, in an availability zone.
+// site is an availability zone with one entry and some upstreams.
 type site struct {
 	zone      core.Zone
 	region    core.Region
 	upstreams int
 }
 
-// tenant is a workspace with its callers.
+// tenant is a workspace and the load of its callers.
 type tenant struct {
 	id       core.WorkspaceID
 	share    int
-	rate     float64 // requests a second
+	rate     float64 // requests per second
 	prompt   int     // tokens
 	output   float64 // tokens, mean of an exponential distribution
 	deadline time.Duration
 }
 
-// situation is what the pure logic is put through. The zero faults are none.
-type situation struct {
-	seed     uint64
-	sites    []site
-	slots    int
-	tenants  []tenant
-	length   time.Duration
-	report   time.Duration // between two load reports
-	stale    bool          // answers do not carry a report as well
-	slow     float64       // factor of upstream 0, from a third of the length on
-	lostHalf bool          // every second upstream dies at half of the length
-	cut      bool          // the second half of the sites' upstreams die then
-	burst    float64       // factor of the rates in the middle tenth
-	failing  float64       // share of attempts that fail while they run
+// scenario is the load and the faults of a simulation. Zero values mean no fault.
+type scenario struct {
+	seed           uint64
+	sites          []site
+	slots          int
+	tenants        []tenant
+	length         time.Duration
+	reportInterval time.Duration // time between two load reports
+	stale          bool          // responses carry no load report
+	slow           float64       // slowdown of upstream 0 after a third of the length
+	halfLost       bool          // every second upstream fails at half of the length
+	partitioned    bool          // upstreams outside the first site's region fail at half of the length
+	burst          float64       // factor of the arrival rates in the middle tenth of the length
+	failing        float64       // fraction of attempts that fail while they run
 }
 
-// policy is what decides. The zero value is the product's.
+// policy selects the logic under test. The zero value is the production logic.
 type policy struct {
-	place   string // "", "round-robin", "least-loaded", "random"
-	fifo    bool   // no admission and no refusal: first in, first out
-	retries bool   // three tries for all that fails, without a budget
+	balancing string // "", "round-robin", "least-loaded", "random"
+	fifo      bool   // no admission control: an unbounded first-in, first-out queue
+	retries   bool   // three attempts per failing request, without a retry budget
 }
 
 const (
@@ -60,30 +60,30 @@
 	secondsPerToken  = 0.01
 	nearDelay        = time.Millisecond
 	farDelay         = 20 * time.Millisecond
-	bytesPerToken    = 150 // of an answer, as events of a stream
+	bytesPerToken    = 150 // of a response, as a stream event
 	unboundedQueue   = 1 << 30
 )
 
-type ending int
+type requestState int
 
 const (
-	unended ending = iota
+	pending requestState = iota
 	answered
 	refused
 	expired
 )
 
-// request is one caller's request, with what became of it.
+// request is one caller's request and its result.
 type request struct {
-	ten       *tenant
-	arrived   time.Duration
-	output    float64
-	first     time.Duration // to the first token
-	entryWait time.Duration
-	whole     time.Duration
-	end       ending
-	ended     time.Duration
-	dispatch  int // attempts handed to agents
+	tenant     *tenant
+	arrived    time.Duration
+	output     float64
+	first      time.Duration // time to first token
+	entryWait  time.Duration
+	whole      time.Duration
+	state      requestState
+	ended      time.Duration
+	dispatches int // attempts sent to agents
 }
 
 type event struct {
@@ -107,10 +107,10 @@
 	return last
 }
 
-// sim is the event loop: virtual time, one seed, the pure logic of entries and
-// agents, and queues in place of engines.
+// sim is a discrete-event simulation with virtual time and one seed. It runs the
+// production logic of entries and agents, and models engines by delays.
 type sim struct {
-	sit      situation
+	sit      scenario
 	pol      policy
 	rnd      *rand.Rand
 	now      time.Duration
@@ -130,31 +130,31 @@
 }
 
 type entry struct {
-	site    site
-	con     *admission.Controller
-	far     *admission.Controller // of the other regions' upstreams
-	pk      *placement.Picker
-	budget  *retry.Budget
-	views   []core.Upstream
-	turn    int
-	waiting map[*request]*admission.Ticket
+	site      site
+	con       *admission.Controller
+	far       *admission.Controller // admits to the upstreams of other regions
+	pk        *placement.Picker
+	budget    *retry.Budget
+	views     []core.Upstream
+	nextIndex int
+	waiting   map[*request]*admission.Ticket
 }
 
-// job is one attempt at an upstream.
+// job is a request in progress, with its current attempt.
 type job struct {
-	si     *sim
-	en     *entry
-	up     *upstream
-	rq     *request
-	pl     *execute.Place
-	ti     *admission.Ticket
-	con    *admission.Controller
-	tries  *retry.Tries
-	tried  []core.UpstreamID
-	sent   time.Duration
-	choice placement.Choice
-	over   bool
-	heard  bool
+	si            *sim
+	en            *entry
+	up            *upstream
+	rq            *request
+	pl            *execute.Place
+	ti            *admission.Ticket
+	con           *admission.Controller
+	tries         *retry.Tries
+	tried         []core.UpstreamID
+	sent          time.Duration
+	choice        placement.Choice
+	done          bool
+	gotFirstToken bool
 }
 
 var pool = placement.Pool{Target: core.ModelVersion{Model: "m", Version: "v"}}
@@ -168,8 +168,8 @@
 
 func seconds(val float64) time.Duration { return time.Duration(val * float64(time.Second)) }
 
-// simulate runs a situation under a policy and returns what callers got.
-func simulate(sit situation, pol policy) *outcome {
+// simulate runs a scenario under a policy and returns its outcome.
+func simulate(sit scenario, pol policy) *outcome {
 	si := &sim{sit: sit, pol: pol, rnd: rand.New(rand.NewPCG(sit.seed, 7))}
 	limit := 32
 	if pol.fifo {
@@ -190,12 +190,12 @@
 			views: make([]core.Upstream, len(si.ups)), waiting: map[*request]*admission.Ticket{},
 		}
 		si.entries = append(si.entries, en)
-		si.report(en)
+		si.reportLoad(en)
 	}
 	for ix := range sit.tenants {
 		si.arrive(&sit.tenants[ix], rand.New(rand.NewPCG(sit.seed, uint64(100+ix))))
 	}
-	si.faults()
+	si.scheduleFaults()
 	for len(si.queue) > 0 && si.now < 2*sit.length {
 		ev := heap.Pop(&si.queue).(event)
 		si.now = ev.at
@@ -204,27 +204,28 @@
 	return newOutcome(si)
 }
 
-// report brings an entry the agents' load, and again after the interval.
-func (si *sim) report(en *entry) {
+// reportLoad delivers the agents' load reports to an entry, and schedules the next
+// reports.
+func (si *sim) reportLoad(en *entry) {
 	for ix, up := range si.ups {
-		en.see(si.clock(), ix, up)
+		en.updateView(si.clock(), ix, up)
 	}
 	if si.now < 2*si.sit.length {
-		si.after(si.sit.report, func() { si.report(en) })
+		si.after(si.sit.reportInterval, func() { si.reportLoad(en) })
 	}
 }
 
-func (en *entry) see(now time.Time, ix int, up *upstream) {
+func (en *entry) updateView(now time.Time, ix int, up *upstream) {
 	vi := &en.views[ix]
 	vi.Host, vi.Up, vi.Load = up.host, !up.dead, up.bo.Load()
 	vi.Reported, vi.OwnThen = now, vi.Own
 }
 
-func (si *sim) faults() {
-	if si.sit.lostHalf || si.sit.cut {
+func (si *sim) scheduleFaults() {
+	if si.sit.halfLost || si.sit.partitioned {
 		si.after(si.sit.length/2, func() {
 			for ix, up := range si.ups {
-				if si.sit.lostHalf && ix%2 == 0 || si.sit.cut && up.host.Region != si.sit.sites[0].region {
+				if si.sit.halfLost && ix%2 == 0 || si.sit.partitioned && up.host.Region != si.sit.sites[0].region {
 					si.kill(up)
 				}
 			}
@@ -245,15 +246,15 @@
 	for _, en := range si.entries {
 		for ix := range en.views {
 			if en.views[ix].Host.ID == up.host.ID {
-				en.views[ix].Up = false // The link is seen to be lost.
+				en.views[ix].Up = false // The entry detects the lost link.
 			}
 		}
 	}
 }
 
-// arrive draws the next arrival of a tenant, at an entry in proportion to the
-// upstreams beside it. Each tenant has its own random numbers, so that all
-// policies get the same work.
+// arrive schedules the next request of a tenant, at an entry chosen in proportion
+// to the upstreams in its zone. Each tenant has its own random source, so that all
+// policies get the same load.
 func (si *sim) arrive(te *tenant, rnd *rand.Rand) {
 	rate := te.rate
 	if part := float64(si.now) / float64(si.sit.length); si.sit.burst > 0 && part > 0.45 && part < 0.55 {
@@ -265,7 +266,7 @@
 		}
 		at := rnd.IntN(len(si.ups))
 		ix := slices.IndexFunc(si.sit.sites, func(st site) bool { return st.zone == si.ups[at].host.Zone })
-		rq := &request{ten: te, arrived: si.now, output: math.Ceil(rnd.ExpFloat64() * te.output)}
+		rq := &request{tenant: te, arrived: si.now, output: math.Ceil(rnd.ExpFloat64() * te.output)}
 		si.requests = append(si.requests, rq)
 		si.offer(si.entries[ix], rq)
 		si.arrive(te, rnd)
@@ -273,30 +274,30 @@
 }
 
 func (rq *request) service() time.Duration {
-	return seconds(float64(rq.ten.prompt)*secondsPerPrompt + rq.output*secondsPerToken)
+	return seconds(float64(rq.tenant.prompt)*secondsPerPrompt + rq.output*secondsPerToken)
 }
 
-func (si *sim) end(rq *request, en ending) {
-	if rq.end != unended {
+func (si *sim) setState(rq *request, en requestState) {
+	if rq.state != pending {
 		return
 	}
-	rq.end, rq.ended = en, si.now
+	rq.state, rq.ended = en, si.now
 }
 
 func (si *sim) offer(en *entry, rq *request) {
 	tr := retry.NewTries(en.budget)
 	jo := &job{si: si, en: en, rq: rq, tries: &tr}
-	si.after(rq.ten.deadline, func() { si.expire(jo) })
+	si.after(rq.tenant.deadline, func() { si.expire(jo) })
 	if si.pol.fifo {
-		jo.attempt()
+		jo.startAttempt()
 		return
 	}
-	si.pump(en)
+	si.startWaiting(en)
 	wo := admission.Work{
-		Workspace: rq.ten.id, Share: rq.ten.share, Prompt: core.Tokens(rq.ten.prompt),
-		Deadline: rq.ten.deadline, Draw: si.rnd.Float64(),
+		Workspace: rq.tenant.id, Share: rq.tenant.share, Prompt: core.Tokens(rq.tenant.prompt),
+		Deadline: rq.tenant.deadline, Draw: si.rnd.Float64(),
 	}
-	body := 4 * rq.ten.prompt
+	body := 4 * rq.tenant.prompt
 	jo.con = en.con
 	ti, start, fl := en.con.Offer(si.clock(), wo)
 	if fl != nil || !start && en.con.WorthCrossing(ti, body) {
@@ -310,20 +311,20 @@
 		}
 	}
 	if fl != nil {
-		si.end(rq, refused)
+		si.setState(rq, refused)
 		return
 	}
 	ti.Waiter, jo.ti = jo, ti
 	if start {
-		jo.attempt()
+		jo.startAttempt()
 		return
 	}
 	en.waiting[rq] = ti
 }
 
-// pump starts what may start at an entry.
-func (si *sim) pump(en *entry) {
-	en.con.Resize(admission.Room(en.pk.Room(en.views, si.sharers(en))))
+// startWaiting starts all queued requests that an entry can start now.
+func (si *sim) startWaiting(en *entry) {
+	en.con.Resize(admission.Room(en.pk.Room(en.views, si.entriesInRegion(en))))
 	for {
 		ti, start := en.con.Next(si.clock())
 		if ti == nil {
@@ -333,14 +334,14 @@
 		delete(en.waiting, jo.rq)
 		if !start {
 			en.con.GiveUp(ti)
-			si.end(jo.rq, refused)
+			si.setState(jo.rq, refused)
 			continue
 		}
-		jo.attempt()
+		jo.startAttempt()
 	}
 }
 
-func (si *sim) sharers(en *entry) int {
+func (si *sim) entriesInRegion(en *entry) int {
 	count := 0
 	for _, st := range si.sit.sites {
 		if st.region == en.site.region {
@@ -350,21 +351,21 @@
 	return count
 }
 
-// expire is the caller that gives up at its deadline.
+// expire simulates a caller that disconnects at its deadline.
 func (si *sim) expire(jo *job) {
-	if jo.rq.end != unended {
+	if jo.rq.state != pending {
 		return
 	}
-	si.end(jo.rq, expired)
+	si.setState(jo.rq, expired)
 	if ti := jo.en.waiting[jo.rq]; ti != nil {
 		delete(jo.en.waiting, jo.rq)
 		jo.en.con.Cancel(ti)
 		return
 	}
-	jo.over = true
-	if jo.up != nil && !jo.heard {
+	jo.done = true
+	if jo.up != nil && !jo.gotFirstToken {
 		jo.en.pk.Failed(si.clock(), jo.up.host.ID)
 	}
-	jo.free()
-	jo.leave(nil)
+	jo.releaseSlot()
+	jo.releasePlace(nil)
 }
