--- a/core/placement/affinity.go
+++ b/core/placement/affinity.go
@@ -7,56 +7,57 @@
 )
 
 const (
-	// minPrefix is the shortest prompt, in bytes, that is worth keeping
-	// together: below it an engine reads the prompt faster than a wait costs.
-	minPrefix = 1 << 10
-	// affineOver is how far above the region's mean load the upstream that
-	// holds a prefix may be. It is made for a prefix that all callers of a
-	// workspace share: without the bound they would all go to one upstream,
-	// and a cached prefix saves less than a wait for a slot costs.
-	affineOver = 1.25
-	// affineFull is the load above which affinity does not count at all.
-	affineFull = 1.0
+	// minPrefixBytes is the length of the hashed prefix and of the shortest prompt
+	// with affinity. The prefill of a shorter prompt costs less than a wait for a
+	// particular upstream.
+	minPrefixBytes = 1 << 10
+	// affinityMaxOverMean is the multiple of the region's mean load up to which
+	// affinity applies. Without this bound, a prefix shared by all callers of a
+	// workspace would send them all to one upstream, and a prefix cache hit saves
+	// less than a wait for a slot costs.
+	affinityMaxOverMean = 1.25
+	// affinityMaxLoad is the load above which affinity never applies.
+	affinityMaxLoad = 1.0
 )
 
-// Prefix returns the hash of a prompt's beginning that attempts are kept
-// together by, or 0 when the prompt is too short to matter.
+// Prefix returns the hash of a prompt's first bytes for prefix affinity, or 0 if the
+// prompt is too short to benefit.
 func Prefix(prompt []byte) uint64 {
-	if len(prompt) < minPrefix {
+	if len(prompt) < minPrefixBytes {
 		return 0
 	}
-	return max(xxhash.Sum64(prompt[:minPrefix]), 1)
+	return max(xxhash.Sum64(prompt[:minPrefixBytes]), 1)
 }
 
-// affine returns the upstream that a prefix is kept on: the first by
-// rendezvous hashing, while it is not much fuller than the others and not
-// slow. No table of cached prefixes is kept: the engines' cache events come
-// late and with gaps, and all entries agree on the hash without them.
-func (pk *Picker) affine(fi *field, prefix uint64) (int, bool) {
-	best, top := -1, uint64(0)
-	for _, at := range fi.near[:fi.nears] {
+// pickByPrefix returns the local upstream that rendezvous hashing assigns to a
+// prefix, and whether to use it: it must be neither slow nor much more loaded than
+// the others. There is no table of cached prefixes, since the engines' cache
+// events arrive late and with gaps; all entries agree on the hash without them.
+func (pk *Picker) pickByPrefix(fi *candidateSet, prefix uint64) (int, bool) {
+	best, topScore := -1, uint64(0)
+	for _, at := range fi.local[:fi.localCount] {
 		up := &fi.cands[at]
 		if up.Hash == 0 {
 			up.Hash = Hash(up.Host.ID)
 		}
 		score := mix(prefix ^ up.Hash)
-		if best < 0 || score > top {
-			best, top = int(at), score
+		if best < 0 || score > topScore {
+			best, topScore = int(at), score
 		}
 	}
 	lo, probe := pk.load(fi, best)
-	return best, !probe && lo <= affineFull && lo <= max(affineOver*fi.mean, affineFloor)
+	return best, !probe && lo <= affinityMaxLoad && lo <= max(affinityMaxOverMean*fi.mean, affinityMinLoad)
 }
 
-// affineFloor is the load up to which affinity always counts: an idle pool has
-// a mean of nothing, and any attempt would be above it.
-const affineFloor = 0.5
+// affinityMinLoad is the load up to which affinity always applies: the mean load
+// of an idle pool is 0, and any attempt would exceed a multiple of it.
+const affinityMinLoad = 0.5
 
-// Hash is the hash of an upstream's id that [core.Upstream] carries.
+// Hash returns the hash of an upstream's id, which [core.Upstream] caches.
 func Hash(id core.UpstreamID) uint64 { return xxhash.Sum64String(string(id)) }
 
-// mix turns a seed and a hash into a score for rendezvous hashing (Thaler and
-// Ravishankar, 1998). It is the finalizer of splitmix64.
+// mix returns the score for rendezvous hashing (Thaler and Ravishankar, 1998) of a
+// seed XORed with a hash. It is the finalizer of splitmix64.
 func mix(val uint64) uint64 {
 	val = (val ^ val>>30) * 0xbf58476d1ce4e5b9
 	val = (val ^ val>>27) * 0x94d049bb133111eb
--- a/core/placement/crossing.go
+++ b/core/placement/crossing.go
@@ -3,59 +3,60 @@
 import "time"
 
 const (
-	// MaxCrossing bounds the body of an attempt that goes to another region
-	// because its own is full. The benefit is one answer, whatever it weighs:
-	// a floor plan of some megabytes would take the link from thirty short
-	// questions.
+	// MaxCrossing bounds the body, in bytes, of an attempt that goes to another
+	// region because the local one is full. The benefit is one response whatever
+	// the body's size: a floor plan of some megabytes would use as much of the
+	// link's budget as thirty short questions.
 	MaxCrossing = 128 << 10
-	// answerBytes is kept of the budget for an answer: a few hundred pieces of
-	// a stream at some hundred and fifty bytes each.
-	answerBytes = 48 << 10
-	// linkBurst is how many seconds of the budget may be saved up. The link
-	// has a queue of its own; more than a second of data in it would hold up
-	// the store's traffic.
-	linkBurst = 1.0
+	// responseBytes is the part of the budget reserved for an attempt's response:
+	// a few hundred stream events of some hundred and fifty bytes each.
+	responseBytes = 48 << 10
+	// linkBurstSeconds is the burst size, in seconds of the budget. More than a
+	// second of data in the link's queue would delay the store's traffic.
+	linkBurstSeconds = 1.0
 )
 
-// budget is a token bucket of bytes. It may go below nothing, as an answer's
-// size is known only when it has crossed.
+// budget is a token bucket of bytes. Its level may become negative, since the size
+// of a response is known only after it was transferred.
 type budget struct {
 	rate, level float64
 	last        time.Time
 }
 
-func newBudget(rate float64) budget { return budget{rate: rate, level: rate * linkBurst} }
+func newBudget(rate float64) budget { return budget{rate: rate, level: rate * linkBurstSeconds} }
 
 func (bu *budget) refill(now time.Time) {
 	if !bu.last.IsZero() {
-		bu.level = min(bu.level+bu.rate*now.Sub(bu.last).Seconds(), bu.rate*linkBurst)
+		bu.level = min(bu.level+bu.rate*now.Sub(bu.last).Seconds(), bu.rate*linkBurstSeconds)
 	}
 	bu.last = now
 }
 
-// MayCross reports whether the link's budget allows one more attempt with a
-// body of this many bytes.
+// MayCross reports whether the link's budget allows one more attempt with a body of
+// the given size.
 func (pk *Picker) MayCross(now time.Time, body int) bool {
 	pk.link.refill(now)
-	return pk.link.rate > 0 && pk.link.level >= min(float64(body+answerBytes), pk.link.rate*linkBurst)
+	return pk.link.rate > 0 && pk.link.level >= min(float64(body+responseBytes), pk.link.rate*linkBurstSeconds)
 }
 
-// Crossed charges bytes that went over the link between regions.
+// Crossed charges the budget for bytes sent or received over the link between
+// regions.
 func (pk *Picker) Crossed(now time.Time, bytes int) {
 	pk.link.refill(now)
 	pk.link.level -= float64(bytes)
 }
 
-// cross chooses an upstream of another region. The load it is made for is a
-// region so full that the request would be refused, or cut off from all its
-// upstreams, while another has room. The budget keeps the store's and the configuration's traffic, which
-// share the link, from waiting behind answers, and bounds what it costs.
-func (pk *Picker) cross(fi *field, rq Request, draw func(n int) int, enough float64) (Choice, bool) {
-	if fi.fars == 0 || !pk.MayCross(fi.now, rq.Body) {
+// pickCrossRegion picks an upstream of another region whose load is at most maxLoad
+// (0 means no bound). It serves a region that is so full that the request would be
+// refused, or that has lost all its upstreams, while another region has free
+// capacity. The budget bounds the cost, and keeps the traffic of the store and of
+// the configuration, which share the link, from queueing behind responses.
+func (pk *Picker) pickCrossRegion(fi *candidateSet, rq Request, draw func(n int) int, maxLoad float64) (Choice, bool) {
+	if fi.remoteCount == 0 || !pk.MayCross(fi.now, rq.Body) {
 		return Choice{}, false
 	}
-	ix, load := pk.twoChoices(fi, fi.far[:fi.fars], draw, max(enough, slotFree))
-	if enough > 0 && load > enough {
+	ix, load := pk.twoChoices(fi, fi.remote[:fi.remoteCount], draw, max(maxLoad, freeSlotLoad))
+	if maxLoad > 0 && load > maxLoad {
 		return Choice{}, false
 	}
 	pk.Crossed(fi.now, rq.Body)
--- a/core/placement/figures_test.go
+++ b/core/placement/figures_test.go
@@ -14,12 +14,12 @@
 
 func TestFiguresLoadPlacementCost(t *testing.T) {
 	if os.Getenv("SKYLARKSTAND_MEASURE") != "1" {
-		t.Skip("make measure prints the figures")
+		t.Skip("set SKYLARKSTAND_MEASURE=1 or run make measure to print the figures")
 	}
 	for _, prefix := range []uint64{0, 1} {
-		res := testing.Benchmark(func(bb *testing.B) { placing(bb, prefix) })
+		res := testing.Benchmark(func(bb *testing.B) { benchmarkPick(bb, prefix) })
 		if res.N == 0 {
-			t.Fatal("the benchmark broke off")
+			t.Fatal("the benchmark of Pick failed before it finished")
 		}
 		name := "placement-subset-of-64"
 		if prefix != 0 {
@@ -30,8 +30,8 @@
 	}
 }
 
-// placing is one decision among 64 upstreams that are known from answers.
-func placing(bb *testing.B, prefix uint64) {
+// benchmarkPick measures one decision among 64 upstreams with recorded responses.
+func benchmarkPick(bb *testing.B, prefix uint64) {
 	now := time.Unix(100, 0)
 	pk := placement.New("muc-a", "muc")
 	po := placement.Pool{Target: core.ModelVersion{Model: "drafter", Version: "v1"}}
@@ -54,7 +54,7 @@
 			rq.Prefix = uint64(ix + 1)
 		}
 		if _, ok := pk.Pick(now, rq, cands, draw); !ok {
-			bb.Fatal("no upstream")
+			bb.Fatal("Pick found no upstream")
 		}
 	}
 }
--- a/core/placement/placement_test.go
+++ b/core/placement/placement_test.go
@@ -20,14 +20,14 @@
 	}
 }
 
-// A few seconds after an upstream says that it leaves, and as soon as its link
-// is down or an attempt came back from it, no attempt goes there. A caller
-// would lose its answer in the middle, or wait for one that never comes.
-func TestPickTakesOnlyAbleUpstreams(t *testing.T) {
+// Pick never returns an upstream that is leaving, whose link is down, or that was
+// tried already. Its caller would lose the response midway, or wait for one that never
+// arrives.
+func TestPickTakesOnlyAvailableUpstreams(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		var cands []core.Upstream
 		var tried []core.UpstreamID
-		able := map[core.UpstreamID]bool{}
+		available := map[core.UpstreamID]bool{}
 		for ix := range rapid.IntRange(0, 70).Draw(rt, "upstreams") {
 			re := rapid.SampledFrom([]core.Region{"muc", "nue"}).Draw(rt, "region")
 			up := upstream(fmt.Sprint(ix), rapid.SampledFrom([]core.Zone{"a", "b"}).Draw(rt, "zone"), re, rapid.IntRange(0, 20).Draw(rt, "running"))
@@ -35,7 +35,7 @@
 			if rapid.IntRange(0, 4).Draw(rt, "tried") == 0 {
 				tried = append(tried, up.Host.ID)
 			} else if up.Up && !up.Leaving && ix < placement.MaxSubset {
-				able[up.Host.ID] = true
+				available[up.Host.ID] = true
 			}
 			cands = append(cands, up)
 		}
@@ -43,13 +43,13 @@
 		pk := placement.New("a", "muc")
 		rq := placement.Request{Prefix: rapid.Uint64().Draw(rt, "prefix"), Cross: rapid.Bool().Draw(rt, "cross"), Tried: tried}
 		ch, ok := pk.Pick(time.Unix(1, 0), rq, cands, rnd.IntN)
-		assert.Equal(rt, ok, len(able) > 0)
-		assert.Assert(rt, !ok || able[ch.ID])
+		assert.Equal(rt, ok, len(available) > 0)
+		assert.Assert(rt, !ok || available[ch.ID])
 	})
 }
 
-// picks counts where many attempts go.
-func picks(pk *placement.Picker, rq placement.Request, cands []core.Upstream) map[core.UpstreamID]int {
+// countPicks counts the picks per upstream over 1000 attempts.
+func countPicks(pk *placement.Picker, rq placement.Request, cands []core.Upstream) map[core.UpstreamID]int {
 	rnd := rand.New(rand.NewPCG(1, 1))
 	got := map[core.UpstreamID]int{}
 	for range 1000 {
@@ -63,21 +63,21 @@
 func TestPickByDistanceAndLoad(t *testing.T) {
 	scenarios := []struct {
 		testName string
-		loads    [3]int // of near, neighbour and far
+		loads    [3]int // of the upstreams near, neighbour and far
 		rq       placement.Request
 		want     core.UpstreamID
 	}{
-		{"the own zone while it has room", [3]int{4, 0, 0}, placement.Request{}, "near"},
+		{"the local zone while it has free slots", [3]int{4, 0, 0}, placement.Request{}, "near"},
 		{"the region once the zone is full", [3]int{8, 2, 0}, placement.Request{}, "neighbour"},
-		{"no crossing by placement alone", [3]int{12, 9, 0}, placement.Request{}, "neighbour"},
-		{"crossing when admitted there", [3]int{8, 8, 2}, placement.Request{Cross: true}, "far"},
-		{"not when the other region has filled up", [3]int{9, 8, 8}, placement.Request{Cross: true}, "neighbour"},
-		{"what was tried is not asked again", [3]int{0, 0, 0}, placement.Request{Tried: []core.UpstreamID{"near"}}, "neighbour"},
+		{"no other region without admission there", [3]int{12, 9, 0}, placement.Request{}, "neighbour"},
+		{"another region if admitted there", [3]int{8, 8, 2}, placement.Request{Cross: true}, "far"},
+		{"not another region that has filled up", [3]int{9, 8, 8}, placement.Request{Cross: true}, "neighbour"},
+		{"not an upstream that was tried already", [3]int{0, 0, 0}, placement.Request{Tried: []core.UpstreamID{"near"}}, "neighbour"},
 	}
 	for _, sc := range scenarios {
 		t.Run(sc.testName, func(t *testing.T) {
 			pk := placement.New("a", "muc", placement.CrossingBudget(1<<40))
-			got := picks(pk, sc.rq, []core.Upstream{
+			got := countPicks(pk, sc.rq, []core.Upstream{
 				upstream("near", "a", "muc", sc.loads[0]), upstream("neighbour", "b", "muc", sc.loads[1]), upstream("far", "c", "nue", sc.loads[2]),
 			})
 			assert.Equal(t, got[sc.want], 1000)
@@ -85,10 +85,10 @@
 	}
 }
 
-// A region is full for an hour and everything goes to the other one. The paid
-// link would be full as well: the bill grows, and the store's traffic waits
-// behind answers, so that no configuration gets through.
-func TestCrossingKeepsItsBudget(t *testing.T) {
+// A region stays full and its requests go to another one. Without a budget, the paid
+// link would fill up as well: the cost grows, and the store's traffic waits behind
+// responses, so that configuration updates are delayed.
+func TestCrossRegionBudget(t *testing.T) {
 	const rate = 100 << 10
 	pk := placement.New("a", "muc", placement.CrossingBudget(rate))
 	cands := []core.Upstream{upstream("far", "c", "nue", 0)}
@@ -103,35 +103,35 @@
 			}
 		}
 	}
-	assert.Assert(t, sent <= 62*rate, "%d bytes in a minute", sent)
-	assert.Assert(t, sent >= 50*rate, "%d bytes in a minute", sent)
+	assert.Assert(t, sent <= 62*rate, "%d bytes crossed regions in a minute", sent)
+	assert.Assert(t, sent >= 50*rate, "%d bytes crossed regions in a minute", sent)
 	_, ok := placement.New("a", "muc", placement.CrossingBudget(0)).Pick(time.Unix(1, 0), placement.Request{}, cands, rnd.IntN)
-	assert.Assert(t, !ok, "without a budget nothing crosses")
+	assert.Assert(t, !ok, "an attempt crossed regions without a budget")
 }
 
-// All callers of a workspace share a prompt's beginning. Kept together without
-// a bound, they would all queue at one upstream beside idle ones.
+// All callers of a workspace share a prompt prefix. With unbounded affinity, they would
+// all queue at one upstream while others are idle.
 func TestAffinityIsBounded(t *testing.T) {
 	var cands []core.Upstream
 	for ix := range 8 {
 		cands = append(cands, upstream(fmt.Sprint(ix), "a", "muc", 1))
 	}
 	rq := placement.Request{Prefix: 42}
-	got := picks(placement.New("a", "muc"), rq, cands)
-	assert.Equal(t, len(got), 1, "an idle pool keeps a prefix together")
+	got := countPicks(placement.New("a", "muc"), rq, cands)
+	assert.Equal(t, len(got), 1, "an idle pool must send all attempts with one prefix to one upstream")
 	for ix := range cands {
 		if got[cands[ix].Host.ID] > 0 {
 			cands[ix].Own = 7
 		}
 	}
-	for id := range picks(placement.New("a", "muc"), rq, cands) {
-		assert.Assert(t, got[id] == 0, "the full upstream is left alone")
+	for id := range countPicks(placement.New("a", "muc"), rq, cands) {
+		assert.Assert(t, got[id] == 0, "an attempt went to the full upstream")
 	}
 }
 
-// An upstream becomes slow and later recovers. It must get hardly anything
-// while it is slow, and its part again afterwards, or the pool has lost it.
-func TestSlowUpstreamIsProbedAndComesBack(t *testing.T) {
+// An upstream becomes slow and later recovers. It must get only probes while it is
+// slow, and its share of the attempts afterwards; otherwise the pool would lose it.
+func TestSlowUpstreamIsProbedAndRecovers(t *testing.T) {
 	pk := placement.New("a", "muc")
 	var cands []core.Upstream
 	for ix := range 8 {
@@ -139,7 +139,7 @@
 	}
 	rnd := rand.New(rand.NewPCG(1, 1))
 	now := time.Unix(1, 0)
-	run := func(pace time.Duration) (atSlow int) {
+	run := func(pace time.Duration) (toSlow int) {
 		for range 4000 {
 			ch, _ := pk.Pick(now, placement.Request{}, cands, rnd.IntN)
 			pk.Sent(now, ch.ID)
@@ -147,20 +147,20 @@
 			took := 10 * time.Millisecond
 			if ch.ID == "0" {
 				took = pace
-				atSlow++
+				toSlow++
 			}
 			pk.Paced(placement.Pool{}, ch.ID, took, 1)
 			now = now.Add(20 * time.Millisecond)
 		}
-		return atSlow
+		return toSlow
 	}
 	assert.Assert(t, run(10*time.Millisecond) > 300)
 	assert.Assert(t, run(100*time.Millisecond) < 30)
 	assert.Assert(t, run(10*time.Millisecond) > 100)
 }
 
-// A version has thousands of upstreams. Each entry works with its own few, and
-// a host that comes or goes must not change all of them: caches would go cold.
+// A version has a thousand hosts. Each entry uses its own subset, and removing one host
+// must change at most one place in it; otherwise the prefix caches would be lost.
 func TestSubset(t *testing.T) {
 	var hosts []core.Host
 	for ix := range 1000 {
@@ -200,9 +200,9 @@
 	assert.Assert(t, common >= placement.MaxSubset-1)
 }
 
-// Two entries share a region. One that comes to a pool which the other has
-// filled must still get its part; one that is alone gets all of it.
-func TestRoomIsShared(t *testing.T) {
+// Two entries share a region. An entry gets all free slots, and at least its even share
+// even if the other entry has filled the pool.
+func TestRoomIsSharedAmongEntries(t *testing.T) {
 	pk := placement.New("a", "muc")
 	cands := []core.Upstream{upstream("1", "a", "muc", 0), upstream("2", "a", "muc", 0)}
 	assert.Equal(t, pk.Room(cands, 2), placement.Room{Places: 16, Slots: 16})
--- a/core/placement/slow.go
+++ b/core/placement/slow.go
@@ -6,205 +6,207 @@
 	"skylarkstand/core"
 )
 
-// pool is what is known of a pool.
-type pool struct {
-	usual   mean // seconds to the first piece
-	pace    mean // seconds a piece, once an answer has begun
-	picks   int
-	size    int // candidates at the last decision
-	marked  int // upstreams that are marked slow
-	probed  int
-	probeAt time.Time
+// poolStats holds the observations of a pool.
+type poolStats struct {
+	firstPieceSeconds movingMean // time to the first piece
+	secondsPerPiece   movingMean // time per piece after the first
+	picks             int
+	size              int // number of available candidates at the last decision
+	slowCount         int // number of upstreams marked slow
+	lastProbePick     int
+	lastProbe         time.Time
 }
 
-// peer is what was seen of one upstream.
-type peer struct {
-	// ratio is its pace as a multiple of the pool's, so that streamed and
-	// whole answers count together.
-	ratio   float64
-	marked  bool
-	waiting int
-	// since is when a first piece last came, or when the oldest attempt began
-	// to wait for one.
+// upstreamStats holds the observations of one upstream.
+type upstreamStats struct {
+	// paceRatio is the moving average of its time per piece as a multiple of the
+	// pool's, so that streamed and whole responses can be averaged together.
+	paceRatio  float64
+	markedSlow bool
+	pending    int
+	// since is the time of the last first piece or failure, or the time at which
+	// the first of the pending attempts was sent.
 	since time.Time
 }
 
 const (
-	// slowAt is the multiple of the usual pace above which an upstream is
-	// avoided, and soundAt the one below which it is used again. The pace of
-	// an engine changes with the size of its batch, by less than twofold as a
-	// rule; the gap keeps an upstream from changing sides with each answer.
-	slowAt  = 3.0
-	soundAt = 1.5
-	// oddest bounds what one answer can say, so that a single one that was
-	// held up does not mark an upstream; two in a row do.
-	oddest = 8.0
-	// steady bounds what one answer can say of the pool's pace. In a pool of
-	// four, a slow upstream would otherwise lift the mean to a third of its
-	// own pace before it is marked, and so never be.
-	steady = 2.0
-	// smoothUp and smoothDown weigh the newest answer. A marked upstream gets
-	// few attempts, so that each has to count more.
-	smoothUp   = 0.25
-	smoothDown = 0.5
-	smoothPool = 1.0 / 32
-	// slowPart bounds the upstreams of a pool that are avoided as slow.
-	slowPart = 5
-	// silentAt is the multiple of the usual time to the first piece that an
-	// upstream may leave all its attempts without one. It holds attempts back
-	// from a slow or hanging one before its first answer has ended.
-	silentAt = 6
-	// A slow upstream gets one attempt in probePart, or one in probePause when
-	// there are few, to see whether it has recovered. A probe may cost its
-	// caller the slow time, so probes stay well below one in a hundred.
-	probePart  = 400
-	probePause = 30 * time.Second
-	// PacePieces is how many pieces after the first the pace of an answer is
-	// taken over: few, so that a slow upstream is known before its answers
-	// end, and enough that a single late packet is no matter.
+	// slowRatio is the paceRatio above which an upstream is avoided, recoveredRatio
+	// the one below which it is used again. An engine's time per piece varies with
+	// its batch size, normally by less than twofold; the gap provides hysteresis, so
+	// that an upstream does not change state with each response.
+	slowRatio      = 3.0
+	recoveredRatio = 1.5
+	// maxAnswerRatio bounds the ratio observed for one response, so that a single
+	// delayed response does not mark an upstream as slow; two in a row do.
+	maxAnswerRatio = 8.0
+	// maxPoolRatio bounds the effect of one response on the pool's time per piece.
+	// In a pool of four, a slow upstream would otherwise raise the mean to a third of
+	// its own time per piece before it is marked, and so never be marked.
+	maxPoolRatio = 2.0
+	// smoothing is the weight of the newest response in paceRatio. If it lowers the
+	// ratio of an upstream marked slow, recoverySmoothing is used instead: such an
+	// upstream gets few attempts, so each must count more.
+	smoothing         = 0.25
+	recoverySmoothing = 0.5
+	poolSmoothing     = 1.0 / 32
+	// maxSlowDivisor: if more than one in this many upstreams of a pool, and more than
+	// one, are marked slow, none is avoided.
+	maxSlowDivisor = 5
+	// silenceFactor is the multiple of the mean time to the first piece for which an
+	// upstream may return no first piece to any of its attempts. It detects a slow or
+	// hanging upstream before its first response has ended.
+	silenceFactor = 6
+	// A pool sends one attempt in probePicks, or one per probeInterval if there are
+	// few, to a slow upstream, to detect its recovery. A probe may be slow for its
+	// caller, so the probes stay well below one attempt in a hundred.
+	probePicks    = 400
+	probeInterval = 30 * time.Second
+	// PacePieces is the number of pieces after the first over which the time per
+	// piece of a response is measured: few enough to detect a slow upstream before
+	// its responses end, and enough that a single late packet has little effect.
 	PacePieces = 8
-	// PaceTokens is the shortest answer in one piece that the pace is taken
-	// from. The time before its first token counts in it as well, so a short
-	// one would make its upstream look slow.
+	// PaceTokens is the length, in tokens, of the shortest whole response whose time
+	// per token is measured. It includes the time to first token, so a short response
+	// would make its upstream look slow.
 	PaceTokens = 64
 )
 
-func (pk *Picker) pool(po Pool) *pool {
+func (pk *Picker) pool(po Pool) *poolStats {
 	pl := pk.pools[po]
 	if pl == nil {
-		pl = new(pool)
+		pl = new(poolStats)
 		pk.pools[po] = pl
 	}
 	return pl
 }
 
-func (pk *Picker) peer(id core.UpstreamID) *peer {
-	pe := pk.peers[id]
+func (pk *Picker) upstream(id core.UpstreamID) *upstreamStats {
+	pe := pk.upstreams[id]
 	if pe == nil {
-		pk.forget()
-		pe = &peer{ratio: 1}
-		pk.peers[id] = pe
+		pk.evictIdle()
+		pe = &upstreamStats{paceRatio: 1}
+		pk.upstreams[id] = pe
 	}
 	return pe
 }
 
-// maxPeers bounds what is remembered. Hosts are replaced at any time, and each
-// comes back under a new id; without a bound the table would grow for as long
-// as the process lives.
-const maxPeers = 4096
+// maxUpstreams bounds the number of upstreamStats. Replaced hosts get new ids, so
+// without a bound the table would grow for the lifetime of the process.
+const maxUpstreams = 4096
 
-// forget makes room by dropping upstreams of which nothing is awaited and
-// nothing bad is known. What it knew of one in use is soon learned again.
-func (pk *Picker) forget() {
-	if len(pk.peers) < maxPeers {
+// evictIdle deletes the upstreams with no pending attempt that are not marked slow,
+// once the table is full. Those still in use are soon observed again.
+func (pk *Picker) evictIdle() {
+	if len(pk.upstreams) < maxUpstreams {
 		return
 	}
-	for id, pe := range pk.peers {
-		if pe.waiting == 0 && !pe.marked {
-			delete(pk.peers, id)
+	for id, pe := range pk.upstreams {
+		if pe.pending == 0 && !pe.markedSlow {
+			delete(pk.upstreams, id)
 		}
 	}
 }
 
-// Sent notes that an attempt was handed to an upstream.
+// Sent records that an attempt was sent to an upstream.
 func (pk *Picker) Sent(now time.Time, id core.UpstreamID) {
-	pe := pk.peer(id)
-	if pe.waiting == 0 {
+	pe := pk.upstream(id)
+	if pe.pending == 0 {
 		pe.since = now
 	}
-	pe.waiting++
+	pe.pending++
 }
 
-// Heard notes the first piece of an answer to an attempt that was sent.
+// Heard records the first piece of the response to an attempt sent at a given time.
 func (pk *Picker) Heard(now time.Time, po Pool, id core.UpstreamID, sent time.Time) {
-	pl, pe := pk.pool(po), pk.peer(id)
-	pe.waiting = max(pe.waiting-1, 0)
+	pl, pe := pk.pool(po), pk.upstream(id)
+	pe.pending = max(pe.pending-1, 0)
 	pe.since = now
-	pl.usual.follow(now.Sub(sent).Seconds(), oddest)
+	pl.firstPieceSeconds.observe(now.Sub(sent).Seconds(), maxAnswerRatio)
 }
 
-// mean follows a value; 0 is unknown.
-type mean struct {
+// movingMean is a moving average; it is unknown while count is 0.
+type movingMean struct {
 	val   float64
 	count int
 }
 
-// follow takes the newest value in. The first ones count alike: were the very
-// first to count for long, a pool that met its slow upstream first would take
-// that for the usual. A value counts for at most so many times the usual.
-func (me *mean) follow(val, most float64) {
+// observe adds a value, bounded to maxRatio times the mean. The first values have
+// equal weights: if the very first one dominated, a pool that uses its slow upstream
+// first would take that for normal.
+func (me *movingMean) observe(val, maxRatio float64) {
 	if me.count == 0 {
 		me.val = val
 	}
 	me.count++
-	me.val += max(smoothPool, 1/float64(me.count)) * (min(val, most*me.val) - me.val)
+	me.val += max(poolSmoothing, 1/float64(me.count)) * (min(val, maxRatio*me.val) - me.val)
 }
 
-// Paced notes how long pieces of an answer took, once it had begun. The time
-// to the first piece would tell more about an upstream's queue than about its
-// speed: in a full pool every upstream would be slow.
+// Paced records the time that a number of pieces of a response took after the first.
+// The time to the first piece depends more on an upstream's queue than on its speed:
+// in a full pool, every upstream would look slow.
 func (pk *Picker) Paced(po Pool, id core.UpstreamID, took time.Duration, pieces int) {
-	pl, pe := pk.pool(po), pk.peer(id)
+	pl, pe := pk.pool(po), pk.upstream(id)
 	pace := max(took.Seconds(), 1e-6) / float64(max(pieces, 1))
 	ratio := 1.0
-	if pl.pace.count > 0 {
-		ratio = min(pace/pl.pace.val, oddest)
+	if pl.secondsPerPiece.count > 0 {
+		ratio = min(pace/pl.secondsPerPiece.val, maxAnswerRatio)
 	}
-	weight := smoothUp
-	if pe.marked && ratio < pe.ratio {
-		weight = smoothDown
+	weight := smoothing
+	if pe.markedSlow && ratio < pe.paceRatio {
+		weight = recoverySmoothing
 	}
-	pe.ratio += weight * (ratio - pe.ratio)
-	// A slow upstream does not change what is usual; otherwise a pool with one
-	// would soon find it usual.
-	if !pe.marked {
-		pl.pace.follow(pace, steady)
+	pe.paceRatio += weight * (ratio - pe.paceRatio)
+	// An upstream marked slow does not affect the pool's mean; otherwise its speed
+	// would soon count as normal.
+	if !pe.markedSlow {
+		pl.secondsPerPiece.observe(pace, maxPoolRatio)
 	}
-	pl.mark(pe)
+	pl.updateSlow(pe)
 }
 
-func (pl *pool) mark(pe *peer) {
+func (pl *poolStats) updateSlow(pe *upstreamStats) {
 	switch {
-	case pe.ratio > slowAt && !pe.marked:
-		pe.marked = true
-		pl.marked++
-	case pe.ratio < soundAt && pe.marked:
-		pe.marked = false
-		pl.marked--
+	case pe.paceRatio > slowRatio && !pe.markedSlow:
+		pe.markedSlow = true
+		pl.slowCount++
+	case pe.paceRatio < recoveredRatio && pe.markedSlow:
+		pe.markedSlow = false
+		pl.slowCount--
 	}
 }
 
-// Failed notes that an attempt that was sent brought no answer. It says
-// nothing about speed: refusals come fast.
+// Failed records that an attempt that was sent got no response. It does not affect
+// the measured speed, since refusals arrive fast.
 func (pk *Picker) Failed(now time.Time, id core.UpstreamID) {
-	pe := pk.peer(id)
-	pe.waiting = max(pe.waiting-1, 0)
+	pe := pk.upstream(id)
+	pe.pending = max(pe.pending-1, 0)
 	pe.since = now
 }
 
-// slow reports whether an upstream is to be avoided.
+// isSlow reports whether an upstream is to be avoided.
 //
-// One slow upstream looks idle to its load report as soon as it is avoided,
-// and before that holds each attempt many times as long as the others do. Its
-// callers notice, the report does not; so it is judged by the answers.
+// A slow upstream takes many times as long for each attempt as the others, but once
+// it is avoided, its load report looks idle. Slowness is therefore detected by the
+// responses, not by the load reports.
 //
-// When many are slow, it is the load and not the upstreams: avoiding them
-// would put all of it on the rest, which would then be slow as well.
-func (pe *peer) slow(now time.Time, pl *pool) bool {
-	if pl.marked > max(pl.size/slowPart, 1) {
+// If many upstreams are slow, the cause is the load: avoiding them would move all of
+// it to the rest, which would then become slow too.
+func (pe *upstreamStats) isSlow(now time.Time, pl *poolStats) bool {
+	if pl.slowCount > max(pl.size/maxSlowDivisor, 1) {
 		return false
 	}
-	if pe.marked {
+	if pe.markedSlow {
 		return true
 	}
-	return pe.waiting > 0 && pl.usual.count > 0 && now.Sub(pe.since).Seconds() > silentAt*pl.usual.val
+	return pe.pending > 0 && pl.firstPieceSeconds.count > 0 && now.Sub(pe.since).Seconds() > silenceFactor*pl.firstPieceSeconds.val
 }
 
-// mayProbe takes the pool's turn to probe, if it is due.
-func (pe *peer) mayProbe(now time.Time, pl *pool) bool {
-	if pe.waiting > 0 || pl.picks-pl.probed < probePart && now.Sub(pl.probeAt) < probePause {
+// tryProbe reports whether the attempt is to probe a slow upstream. If so, it
+// schedules the pool's next probe.
+func (pe *upstreamStats) tryProbe(now time.Time, pl *poolStats) bool {
+	if pe.pending > 0 || pl.picks-pl.lastProbePick < probePicks && now.Sub(pl.lastProbe) < probeInterval {
 		return false
 	}
-	pl.probed, pl.probeAt = pl.picks, now
+	pl.lastProbePick, pl.lastProbe = pl.picks, now
 	return true
 }
--- a/core/placement/subset.go
+++ b/core/placement/subset.go
@@ -11,28 +11,29 @@
 )
 
 const (
-	// farPart of a subset is for other regions: enough to draw two from.
-	farPart = MaxSubset / 8
-	// zonePart is what the own availability zone may fill at most, so that
-	// losing it leaves the entry the rest of the region.
-	zonePart = (MaxSubset - farPart) * 3 / 4
+	// remoteHosts is the number of hosts of other regions in a subset: enough to draw
+	// two from.
+	remoteHosts = MaxSubset / 8
+	// maxZoneHosts bounds the hosts of the local availability zone in a subset if the
+	// region has others, so that the entry can use those when the zone is lost.
+	maxZoneHosts = (MaxSubset - remoteHosts) * 3 / 4
 )
 
-// Subset returns the hosts that an entry works with, of those that serve one
-// version: by rendezvous hashing, the own availability zone first, then the
-// region, then a few of the others. Hosts that come and go change only their
-// own places in it.
+// Subset returns the hosts that an entry uses, of those that serve one version. It
+// selects them by rendezvous hashing: most from the local availability zone, then
+// from the region, then a few from other regions. A host that is added or removed
+// changes only its own place in the subset.
 //
-// It is made for a version with thousands of upstreams. An entry that spread
-// its attempts over all of them would know of each only what it was minutes
-// ago, and would warm no cache; different entries get different subsets, so
-// that all upstreams are used. A pool of up to [MaxSubset] is taken whole.
+// It is designed for versions with thousands of upstreams. An entry that spread its
+// attempts over all of them would see the state of each one minutes late, and would
+// get no prefix cache hits. Different entries get different subsets, so that all
+// upstreams are used. A pool of up to [MaxSubset] hosts is used whole.
 func Subset(self core.ProcessID, zo core.Zone, re core.Region, hosts []core.Host) []core.Host {
 	if len(hosts) <= MaxSubset {
 		return hosts
 	}
 	seed := xxhash.Sum64String(string(self))
-	var zone, region, far []core.Host
+	var zone, region, remote []core.Host
 	for _, ho := range hosts {
 		switch {
 		case ho.Zone == zo && ho.Region == re:
@@ -40,59 +41,62 @@
 		case ho.Region == re:
 			region = append(region, ho)
 		default:
-			far = append(far, ho)
+			remote = append(remote, ho)
 		}
 	}
-	for _, tier := range [][]core.Host{zone, region, far} {
+	for _, tier := range [][]core.Host{zone, region, remote} {
 		slices.SortFunc(tier, func(aa, bb core.Host) int {
 			return cmp.Compare(mix(seed^Hash(bb.ID)), mix(seed^Hash(aa.ID)))
 		})
 	}
-	fars := min(len(far), max(farPart, MaxSubset-len(zone)-len(region)))
-	regions := min(len(region), max(MaxSubset-fars-zonePart, MaxSubset-fars-len(zone)))
-	zones := min(len(zone), MaxSubset-fars-regions)
-	return slices.Concat(zone[:zones], region[:regions], far[:fars])
+	remoteCount := min(len(remote), max(remoteHosts, MaxSubset-len(zone)-len(region)))
+	regionCount := min(len(region), max(MaxSubset-remoteCount-maxZoneHosts, MaxSubset-remoteCount-len(zone)))
+	zoneCount := min(len(zone), MaxSubset-remoteCount-regionCount)
+	return slices.Concat(zone[:zoneCount], region[:regionCount], remote[:remoteCount])
 }
 
-// Room is what a pool takes.
+// Room is the capacity of a pool.
 type Room struct {
-	// Places is how many attempts of this entry it takes at once, Slots how
-	// many of all entries.
+	// Places is the number of attempts of this entry that the pool can run
+	// concurrently, Slots the number of attempts of all entries.
 	Places, Slots int
 }
 
-// Room returns what the region's candidates take. This entry's places are the
-// slots that other entries leave free, and at least an even part of all.
+// Room returns the capacity of the local region's candidates, shared by a number of
+// entries. This entry's places are the slots that other entries leave free, but at
+// least an even share of all slots.
 //
-// All slots for each entry would let several of them send a full pool's worth.
-// The free ones alone would starve an entry that comes to a pool the others
-// have filled. With the even part as a floor its work waits a little in the
-// agents' queues, the others see that in the reports, and the parts even out.
+// If each entry got all slots, several of them together would overload the pool. If
+// it got the free slots only, an entry would starve in a pool that the others have
+// filled. With the even share as a lower bound, its attempts wait a little in the
+// agents' queues, the other entries see that in the load reports, and the shares
+// converge.
 //
-// A region without any upstream lives on those of the others.
+// A region without any available upstream uses those of the other regions.
 func (pk *Picker) Room(cands []core.Upstream, entries int) Room {
-	free, slots := pk.free(cands, true)
+	free, slots := pk.freeSlots(cands, true)
 	if slots == 0 {
-		free, slots = pk.free(cands, false)
+		free, slots = pk.freeSlots(cands, false)
 	}
-	even := (slots + max(entries, 1) - 1) / max(entries, 1)
-	return Room{Places: max(free, even, 1), Slots: max(slots, 1)}
+	evenShare := (slots + max(entries, 1) - 1) / max(entries, 1)
+	return Room{Places: max(free, evenShare, 1), Slots: max(slots, 1)}
 }
 
-// FarRoom returns what the other regions' candidates take. A quarter of their
-// slots is left to their own region, whose burst may be on its way.
+// FarRoom returns the capacity of the other regions' candidates for this entry. It
+// leaves a quarter of their slots as a reserve for bursts in their own regions. It is
+// zero without link budget.
 func (pk *Picker) FarRoom(now time.Time, cands []core.Upstream) Room {
 	if !pk.MayCross(now, 0) {
 		return Room{}
 	}
-	free, slots := pk.free(cands, false)
-	return Room{Places: max(free-int(float64(slots)*(1-farFree)), 0), Slots: slots}
+	free, slots := pk.freeSlots(cands, false)
+	return Room{Places: max(free-int(float64(slots)*(1-remoteMaxLoad)), 0), Slots: slots}
 }
 
-func (pk *Picker) free(cands []core.Upstream, near bool) (free, slots int) {
+func (pk *Picker) freeSlots(cands []core.Upstream, local bool) (free, slots int) {
 	for ix := range cands {
 		up := &cands[ix]
-		if !up.Up || up.Leaving || near != (up.Host.Region == pk.region) {
+		if !up.Up || up.Leaving || local != (up.Host.Region == pk.region) {
 			continue
 		}
 		all := max(up.Load.Slots, 1)
