--- a/core/cascade/debt.go
+++ b/core/cascade/debt.go
@@ -6,63 +6,67 @@
 )
 
 const (
-	// inertia is the debt, in answers, at which a good answer is worth the
-	// costliest stage's price. A smaller one follows the target more closely
-	// but lets the chance of single ratings move the worth by more than a
-	// tenth; a larger one takes thousands of requests to settle.
-	inertia = 30
-	// firstDebt is where a mix begins: well above the worth at which the
-	// costliest stage pays, so that the first requests err on the good side.
-	firstDebt = 2.5 * inertia
-	// maxDebt bounds what a good answer may come to be worth. A target that no
-	// stage can meet would let the debt grow without end, and after the target
-	// was lowered the cascade would stay at its costliest for hours.
-	maxDebt = 20 * inertia
-	// firstLate is taken for the latency of the late answers until there are
-	// some, and lateStep is how far one answer moves it.
-	firstLate = 2 * time.Second
-	lateStep  = 0.01
+	// deficitScale is the deficit, in good answers, at which the value of a good
+	// answer equals the price of the costliest stage. With a smaller one, the value
+	// follows the target more closely, but the random variation of single ratings
+	// moves it by more than a tenth; with a larger one, it takes thousands of
+	// requests to settle.
+	deficitScale = 30
+	// initialDeficit is well above the deficit at which the costliest stage pays
+	// off, so that the first requests err on the side of quality.
+	initialDeficit = 2.5 * deficitScale
+	// maxDeficit bounds the value of a good answer. With a target that no stage can
+	// meet, the deficit would grow without bound, and after the target is lowered,
+	// the cascade would keep running its costliest stage for hours.
+	maxDeficit = 20 * deficitScale
+	// initialTailLatency is the tail latency assumed before the first answer, and
+	// tailLatencyStep the step size by which one answer moves its logarithm.
+	initialTailLatency = 2 * time.Second
+	tailLatencyStep    = 0.01
 )
 
-// debt is by how many good answers the mix of a workspace at one cascade is
-// below its target, above a base at which it is in balance.
+// deficit is the number of good answers that the mix of a workspace at one cascade
+// is short of its target, offset by the equilibrium value.
 //
-// It is the multiplier of the quality target in the problem of least cost: a
-// mix short of its target raises it with each answer, a mix above lowers it.
-type debt struct {
+// It is the Lagrange multiplier of the quality target in the minimisation of cost: a
+// mix below its target raises it with each answer, a mix above lowers it.
+type deficit struct {
 	answers float64
-	// scale is the price of the costliest stage over all classes.
-	scale estimate
-	// late is the latency, in seconds, that tailShare of the answers exceed.
-	late float64
+	// costliestPrice is the mean price of the costliest stage over all classes.
+	costliestPrice estimate
+	// tailLatency is the latency, in seconds, that a fraction tailShare of the
+	// answers exceeds.
+	tailLatency float64
 }
 
-func newDebt() *debt { return &debt{answers: firstDebt, late: firstLate.Seconds()} }
+func newDeficit() *deficit {
+	return &deficit{answers: initialDeficit, tailLatency: initialTailLatency.Seconds()}
+}
 
-func (de *debt) add(short float64, took time.Duration) {
-	de.answers = min(max(de.answers+short, 0), maxDebt)
+func (de *deficit) add(shortfall float64, took time.Duration) {
+	de.answers = min(max(de.answers+shortfall, 0), maxDeficit)
 	over := -tailShare
-	if took.Seconds() > de.late {
+	if took.Seconds() > de.tailLatency {
 		over++
 	}
-	de.late *= math.Exp(lateStep * over)
+	de.tailLatency *= math.Exp(tailLatencyStep * over)
 }
 
-// correct takes in that an answer whose expected quality was added was rated
-// after all. Only a share of such answers is rated, so that each rating stands
-// for the others too: a wrong expectation would else miss the target for good,
-// by as much as it is wrong.
-func (de *debt) correct(expected, rating, share float64) {
-	de.answers = min(max(de.answers+(expected-rating)/share, 0), maxDebt)
+// correct adjusts the deficit for an answer that was added with its expected quality
+// and rated afterwards. Only a fraction, share, of such answers is rated, so each
+// rating is weighted by 1/share. Without this, the mix would permanently miss its
+// target by the error of the expectation.
+func (de *deficit) correct(expected, rating, share float64) {
+	de.answers = min(max(de.answers+(expected-rating)/share, 0), maxDeficit)
 }
 
-// worth returns the worth of a good answer. The price is the costliest
-// stage's for the request at hand; its mean over the classes sets the scale,
-// since what a good answer is worth must be one figure for all classes, or
-// quality would be bought where it is dear.
-func (de *debt) worth(now time.Time, price float64) float64 {
-	if now.After(de.scale.at) || de.scale.weight == 0 {
-		de.scale.add(now, price)
+// answerValue returns the value of a good answer. Price is the price of the costliest
+// stage for the current request. The value is scaled by the mean of that price over
+// all classes, since it must be the same for all classes; otherwise quality would be
+// bought in the classes where it is expensive.
+func (de *deficit) answerValue(now time.Time, price float64) float64 {
+	if now.After(de.costliestPrice.at) || de.costliestPrice.weight == 0 {
+		de.costliestPrice.add(now, price)
 	}
-	return de.answers / inertia * de.scale.value(price, 1)
+	return de.answers / deficitScale * de.costliestPrice.value(price, 1)
 }
--- a/core/cascade/doc.go
+++ b/core/cascade/doc.go
@@ -1,19 +1,18 @@
-// Package cascade decides with which stage of a cascade a request begins and
-// whether it goes on after a stage was rated.
+// Package cascade decides at which stage of a model cascade a request starts, and
+// whether it escalates to a later stage once a response was rated.
 //
-// It is made for a mix of requests of which a cheap model answers most well
-// enough, and for workspaces that weigh waiting differently. The harm that it
-// prevents is twofold: paying the costly model for what the cheap one can do,
-// and running the cheap one in vain before the costly one, which costs money
-// and makes the caller wait for both.
+// It is designed for a mix of requests of which a small model answers most well
+// enough, and for workspaces that price latency differently. It avoids two costs:
+// paying for the large model where the small one suffices, and running the small
+// one in vain before the large one, which costs money and the latency of both.
 //
-// The [Learner] keeps, for each workspace, cascade and request class, how
-// often a stage passes, what it costs and how long it takes. The quality
-// target is met over the mix of a workspace's requests. How far the mix is
-// below it is a debt; the debt sets what a good answer is worth in money, and
-// a stage is run when its expected quality at that worth exceeds its expected
-// cost and the price of its latency. A mix above its target so gets cheaper
-// until it is at its target, and one below it gets better.
+// The [Learner] estimates the pass rate, cost and latency of each stage, per
+// workspace, cascade and request class. The quality target applies to the mix of
+// all requests of a workspace to a cascade. The shortfall of the mix accumulates as
+// a deficit, which sets the monetary value of a good answer. A stage is run if its
+// expected quality at that value exceeds its expected cost plus the price of its
+// latency. A mix above its target thus becomes cheaper until it meets the target,
+// and a mix below it becomes better.
 //
 // # Usage
 //
@@ -25,5 +24,5 @@
 //	de, more := le.Next(now, qu, de.Stage, rating, waited)
 //	le.Done(qu, rating, waited)
 //
-// Where no rating can be had, [Question.Fallback] names the stage to run.
+// If no rating is available, [Question.Fallback] returns the stage to run.
 package cascade
--- a/core/cascade/estimate.go
+++ b/core/cascade/estimate.go
@@ -6,28 +6,28 @@
 )
 
 const (
-	// halfLife is how fast old observations lose their weight. A version's
-	// quality changes with what callers ask and with faults in service; what
-	// was seen an hour ago says little about now.
+	// halfLife is the time in which the weight of observations halves. A version's
+	// quality changes with the requests and with faults in operation, so that
+	// observations of an hour ago are of little use.
 	halfLife = 30 * time.Minute
-	// window bounds the weight of all observations. Under heavy load many come
-	// within a half-life, and a change would be outvoted by them for minutes.
-	window = 400
-	// trusted is the weight of observations from which on a prior counts for
-	// nothing. A prior that never goes leaves a small error in every estimate,
-	// and over a long mix the target would be missed by as much.
-	trusted = 100
+	// maxWeight bounds the total weight of the observations. Under heavy load many
+	// fall within a half-life, and would outweigh a change for minutes.
+	maxWeight = 400
+	// priorFadeWeight is the weight of observations at which the prior no longer
+	// counts. A prior that always counted would bias every estimate a little, and the
+	// mix would miss its target by that much.
+	priorFadeWeight = 100
 )
 
-// estimate is a mean whose observations fade.
+// estimate is a mean with exponentially decaying weights.
 type estimate struct {
 	sum, weight float64
 	at          time.Time
 }
 
-func (es *estimate) fade(now time.Time) {
-	if passed := now.Sub(es.at); !es.at.IsZero() && passed > 0 {
-		keep := math.Exp2(-float64(passed) / float64(halfLife))
+func (es *estimate) decay(now time.Time) {
+	if elapsed := now.Sub(es.at); !es.at.IsZero() && elapsed > 0 {
+		keep := math.Exp2(-float64(elapsed) / float64(halfLife))
 		es.sum *= keep
 		es.weight *= keep
 	}
@@ -37,37 +37,37 @@
 }
 
 func (es *estimate) add(now time.Time, val float64) {
-	es.fade(now)
+	es.decay(now)
 	es.sum += val
 	es.weight++
-	if es.weight > window {
-		es.sum *= window / es.weight
-		es.weight = window
+	if es.weight > maxWeight {
+		es.sum *= maxWeight / es.weight
+		es.weight = maxWeight
 	}
 }
 
-// value returns the mean, in which a prior counts as so many observations
-// until there are enough of them.
-func (es *estimate) value(prior, strength float64) float64 {
-	strength *= max(1-es.weight/trusted, 0)
-	if es.weight+strength == 0 {
+// value returns the mean. The prior counts as priorWeight observations at first, and
+// linearly less until the observations reach priorFadeWeight.
+func (es *estimate) value(prior, priorWeight float64) float64 {
+	priorWeight *= max(1-es.weight/priorFadeWeight, 0)
+	if es.weight+priorWeight == 0 {
 		return prior
 	}
-	return (es.sum + prior*strength) / (es.weight + strength)
+	return (es.sum + prior*priorWeight) / (es.weight + priorWeight)
 }
 
-// recent holds the last observations, whose spread matters.
-type recent struct {
-	vals [recentLen]float64
+// recentValues is a ring buffer of the last observations, for their distribution.
+type recentValues struct {
+	vals [maxRecent]float64
 	n    int
 }
 
-// recentLen is enough to see a tail of a tenth and cheap to add up.
-const recentLen = 64
+// maxRecent is enough to represent the slowest tenth, and cheap to sum up.
+const maxRecent = 64
 
-func (rc *recent) add(val float64) {
-	rc.vals[rc.n%recentLen] = val
+func (rc *recentValues) add(val float64) {
+	rc.vals[rc.n%maxRecent] = val
 	rc.n++
 }
 
-func (rc *recent) all() []float64 { return rc.vals[:min(rc.n, recentLen)] }
+func (rc *recentValues) values() []float64 { return rc.vals[:min(rc.n, maxRecent)] }
--- a/core/cascade/figures_test.go
+++ b/core/cascade/figures_test.go
@@ -12,46 +12,46 @@
 )
 
 const (
-	figureAsks = 20_000
-	// figureTarget is the quality that both users ask for in the figures.
+	figureRequests = 20_000
+	// figureTarget is the quality target of both users in the figures.
 	figureTarget = 0.9
-	// landesamtPrice and associationPrice are what a second of waiting is
-	// worth to the two users, in millicents.
+	// landesamtPrice and associationPrice are the two users' prices of a second of
+	// latency, in millicents.
 	landesamtPrice   core.Millicents = 5
 	associationPrice core.Millicents = 3000
 )
 
-// always runs one stage for all requests.
-func always(asks []ask, stage int) *result {
+// alwaysStage runs one stage for all requests.
+func alwaysStage(requests []request, stage int) *result {
 	re := &result{}
-	for _, as := range asks {
-		re.add(as.cost[stage], as.good[stage], as.took[stage])
+	for _, as := range requests {
+		re.add(as.cost[stage], as.good[stage], as.latency[stage])
 	}
 	return re
 }
 
-// fixed runs the cheap stage and, when its answer is rated badly, the other.
-func fixed(asks []ask) *result {
+// fixedCascade runs the cheap stage and, if its answer is rated badly, the costly one.
+func fixedCascade(requests []request) *result {
 	re := &result{}
-	for _, as := range asks {
+	for _, as := range requests {
 		if as.good[0] {
-			re.add(as.cost[0], true, as.took[0]+as.rate)
+			re.add(as.cost[0], true, as.latency[0]+as.ratingDelay)
 		} else {
-			re.add(as.cost[0]+as.cost[1], as.good[1], as.took[0]+as.rate+as.took[1])
+			re.add(as.cost[0]+as.cost[1], as.good[1], as.latency[0]+as.ratingDelay+as.latency[1])
 		}
 	}
 	return re
 }
 
-// hindsight is the cost of the best rule a class that could have been chosen
-// had all outcomes been known: cheap alone, cheap and then costly, or costly
-// alone, in the shares that just meet the target.
-func hindsight(asks []ask, target float64) float64 {
+// bestInHindsight returns the cost of the best rule per class, chosen with all outcomes
+// known: cheap alone, cheap and then costly, or costly alone, in the proportions that
+// just meet the target.
+func bestInHindsight(requests []request, target float64) float64 {
 	const rules = 3
-	var cost, good [len(shape)][rules]float64
-	for _, as := range asks {
+	var cost, good [len(classes)][rules]float64
+	for _, as := range requests {
 		cl := as.class
-		per := [rules]*result{always([]ask{as}, 0), fixed([]ask{as}), always([]ask{as}, 1)}
+		per := [rules]*result{alwaysStage([]request{as}, 0), fixedCascade([]request{as}), alwaysStage([]request{as}, 1)}
 		for ru, re := range per {
 			cost[cl][ru] += re.cost
 			good[cl][ru] += re.quality
@@ -70,16 +70,16 @@
 		}
 		return total, quality
 	}
-	need := target * float64(len(asks))
+	need := target * float64(len(requests))
 	low, high := 0.0, 1e6
 	for range 100 {
-		if mid := (low + high) / 2; second(pick(mid)) >= need {
+		if mid := (low + high) / 2; qualityOf(pick(mid)) >= need {
 			high = mid
 		} else {
 			low = mid
 		}
 	}
-	// Between the two sides of the step, a share of each meets the target.
+	// Interpolates between the two rules at the step, so as to meet the target exactly.
 	lc, lq := pick(low)
 	hc, hq := pick(high)
 	if hq <= lq {
@@ -88,50 +88,51 @@
 	return lc + (hc-lc)*max(need-lq, 0)/(hq-lq)
 }
 
-func second(_, quality float64) float64 { return quality }
+func qualityOf(_, quality float64) float64 { return quality }
 
-// clairvoyant is the cost had each answer's rating been known before it was
-// asked for: the cheap stage for all, but for the requests that only the
-// costly one answers well, the least costly first, until the target is met.
-func clairvoyant(asks []ask, target float64) float64 {
-	re := always(asks, 0)
+// clairvoyant returns the cost if each answer's rating were known before the request:
+// the cheap stage runs for all requests, except those that only the costly one answers
+// well, in order of their extra cost, until the target is met.
+func clairvoyant(requests []request, target float64) float64 {
+	re := alwaysStage(requests, 0)
 	var extra []float64
-	for _, as := range asks {
+	for _, as := range requests {
 		if !as.good[0] && as.good[1] {
 			extra = append(extra, float64(as.cost[1]-as.cost[0]))
 		}
 	}
 	slices.SortFunc(extra, cmp.Compare[float64])
-	need := int(target*float64(len(asks)) - re.quality)
+	need := int(target*float64(len(requests)) - re.quality)
 	for _, more := range extra[:min(max(need, 0), len(extra))] {
 		re.cost += more
 	}
 	return re.cost
 }
 
-// withDrafts is a mix with more drafts than the late answers that count: their
-// own length sets the tail, whatever is decided.
-var withDrafts = [...]kind{withShare(shape[0], 0.6), withShare(shape[1], 0.3), withShare(shape[2], 0.1)}
+// withDrafts is a mix in which drafts are a larger fraction than the latency tail:
+// their own length determines the tail, whatever is decided.
+var withDrafts = [...]requestClass{withShare(classes[0], 0.6), withShare(classes[1], 0.3), withShare(classes[2], 0.1)}
 
-func withShare(ki kind, share float64) kind {
+func withShare(ki requestClass, share float64) requestClass {
 	ki.share = share
 	return ki
 }
 
-// outcome is a mix under the two users' weights.
+// outcome is the results of one mix with the two users' latency prices.
 type outcome struct{ calm, hasty *result }
 
-func both(asks []ask, high core.Millicents, seed uint64) outcome {
-	return outcome{learn(asks, figureTarget, landesamtPrice, seed), learn(asks, figureTarget, high, seed)}
+func simulateBoth(requests []request, high core.Millicents, seed uint64) outcome {
+	return outcome{simulate(requests, figureTarget, landesamtPrice, seed), simulate(requests, figureTarget, high, seed)}
 }
 
 func (ou outcome) tailRatio() float64 { return ou.hasty.p95().Seconds() / ou.calm.p95().Seconds() }
 
-// runs returns the outcomes of five seeds, by their ratio of tails.
-func runs() []outcome {
+// outcomesBySeed returns the outcomes of five seeds, sorted by their ratio of tail
+// latencies.
+func outcomesBySeed() []outcome {
 	var ous []outcome
 	for seed := range uint64(5) {
-		ous = append(ous, both(draw(figureAsks, seed+1, shape[:]), associationPrice, seed+1))
+		ous = append(ous, simulateBoth(generate(figureRequests, seed+1, classes[:]), associationPrice, seed+1))
 	}
 	slices.SortFunc(ous, func(le, ri outcome) int { return cmp.Compare(le.tailRatio(), ri.tailRatio()) })
 	return ous
@@ -139,24 +140,24 @@
 
 func TestFiguresQualityCascade(t *testing.T) {
 	if os.Getenv("SKYLARKSTAND_MEASURE") != "1" {
-		t.Skip("figures are measured by make measure")
+		t.Skip("set SKYLARKSTAND_MEASURE=1 or run make measure to print the figures")
 	}
-	asks := draw(figureAsks, 1, shape[:])
-	ou := both(asks, associationPrice, 1)
-	calm, hasty, five := ou.calm, ou.hasty, runs()
-	best := hindsight(asks, figureTarget)
-	costliest := always(asks, 1)
+	requests := generate(figureRequests, 1, classes[:])
+	ou := simulateBoth(requests, associationPrice, 1)
+	calm, hasty, five := ou.calm, ou.hasty, outcomesBySeed()
+	best := bestInHindsight(requests, figureTarget)
+	costliest := alwaysStage(requests, 1)
 
 	figure.AtLeast("cascade-quality-landesamt", calm.mean(), "share", figureTarget-0.005)
 	figure.AtLeast("cascade-quality-association", hasty.mean(), "share", figureTarget-0.005)
 	figure.AtMost("cascade-cost-over-best-in-hindsight", calm.cost/best, "ratio", 1.15)
-	figure.AtMost("cascade-cost-over-clairvoyant", calm.cost/clairvoyant(asks, figureTarget), "ratio", 1.15)
+	figure.AtMost("cascade-cost-over-clairvoyant", calm.cost/clairvoyant(requests, figureTarget), "ratio", 1.15)
 	figure.AtLeast("cascade-cost-below-always-costliest", 1-calm.cost/costliest.cost, "share", 0.4)
 	figure.AtMost("cascade-p95-association-over-landesamt", five[2].tailRatio(), "ratio", 0.8)
 	figure.Plain("cascade-p95-association-over-landesamt-worst-of-five-seeds", five[4].tailRatio(), "ratio")
-	figure.Plain("cascade-p95-ratio-at-a-third-of-the-weight", both(asks, associationPrice/3, 1).tailRatio(), "ratio")
-	figure.Plain("cascade-p95-ratio-at-a-weight-of-80", both(asks, 80, 1).tailRatio(), "ratio")
-	figure.Plain("cascade-p95-ratio-with-one-draft-in-ten", both(draw(figureAsks, 1, withDrafts[:]), associationPrice, 1).tailRatio(), "ratio")
+	figure.Plain("cascade-p95-ratio-at-a-third-of-the-weight", simulateBoth(requests, associationPrice/3, 1).tailRatio(), "ratio")
+	figure.Plain("cascade-p95-ratio-at-a-weight-of-80", simulateBoth(requests, 80, 1).tailRatio(), "ratio")
+	figure.Plain("cascade-p95-ratio-with-one-draft-in-ten", simulateBoth(generate(figureRequests, 1, withDrafts[:]), associationPrice, 1).tailRatio(), "ratio")
 	worst := 1.0
 	for _, ou := range five {
 		worst = min(worst, ou.calm.mean(), ou.hasty.mean())
@@ -165,7 +166,7 @@
 	for _, row := range []struct {
 		name string
 		re   *result
-	}{{"landesamt", calm}, {"association", hasty}, {"always-cheapest", always(asks, 0)}, {"always-costliest", costliest}, {"fixed-cascade", fixed(asks)}} {
+	}{{"landesamt", calm}, {"association", hasty}, {"always-cheapest", alwaysStage(requests, 0)}, {"always-costliest", costliest}, {"fixed-cascade", fixedCascade(requests)}} {
 		figure.Plain("cascade-"+row.name+"-cost-over-best", row.re.cost/best, "ratio")
 		figure.Plain("cascade-"+row.name+"-quality", row.re.mean(), "share")
 		figure.Plain("cascade-"+row.name+"-p95", float64(row.re.p95())/float64(time.Millisecond), "ms")
--- a/core/cascade/health.go
+++ b/core/cascade/health.go
@@ -6,52 +6,51 @@
 )
 
 const (
-	// missLimit is how many ratings in a row must be missed before the rating
-	// service counts as away: one late rating is no outage, and each miss
-	// costs a caller the whole wait.
-	missLimit = 3
-	// probePause is the time between two requests that try the service again.
-	probePause = time.Second
+	// maxMisses is the number of consecutive late ratings after which the rating
+	// service counts as down. One late rating is no outage, but each one costs a
+	// caller the whole timeout.
+	maxMisses = 3
+	// probeInterval is the time between two requests that probe the service while it
+	// is down.
+	probeInterval = time.Second
 )
 
-// Health tells whether it makes sense to wait for a rating. It is safe for
-// concurrent use.
+// Health is a circuit breaker for the rating service. It is safe for concurrent use.
 //
-// When the rating service is away, each request that waited for it would be
-// late by the whole limit. Callers would notice answers that are all slower by
-// the same time; so only one request in probePause waits.
+// While the rating service is down, each request that waits for a rating is delayed
+// by the whole timeout. So only one request per probeInterval waits.
 type Health struct {
-	mu     sync.Mutex
-	missed int
-	probe  time.Time
+	mu        sync.Mutex
+	missed    int
+	nextProbe time.Time
 }
 
 // Ask reports whether a request may wait for a rating now.
 func (he *Health) Ask(now time.Time) bool {
 	he.mu.Lock()
 	defer he.mu.Unlock()
-	if he.missed < missLimit {
+	if he.missed < maxMisses {
 		return true
 	}
-	if now.Before(he.probe) {
+	if now.Before(he.nextProbe) {
 		return false
 	}
-	he.probe = now.Add(probePause)
+	he.nextProbe = now.Add(probeInterval)
 	return true
 }
 
-// Note takes in whether a rating came in time, and reports whether the service
-// is away by it and was not before.
-func (he *Health) Note(now time.Time, came bool) bool {
+// Note records whether a rating arrived in time, and reports whether the service
+// counts as down from this rating on.
+func (he *Health) Note(now time.Time, onTime bool) bool {
 	he.mu.Lock()
 	defer he.mu.Unlock()
-	if came {
+	if onTime {
 		he.missed = 0
 		return false
 	}
 	he.missed++
-	if he.missed == missLimit {
-		he.probe = now.Add(probePause)
+	if he.missed == maxMisses {
+		he.nextProbe = now.Add(probeInterval)
 	}
-	return he.missed == missLimit
+	return he.missed == maxMisses
 }
--- a/core/cascade/learner.go
+++ b/core/cascade/learner.go
@@ -7,91 +7,91 @@
 	"skylarkstand/core"
 )
 
-// Place says whether a stage was the first of its request. A stage that runs
-// after another failed gets harder requests and passes less often.
+// Place is the position of a stage in a request's run. A stage that runs after
+// another one failed gets harder requests and passes less often.
 type Place int
 
-// The two places of a stage.
+// The positions of a stage: the first of its request, or after another one.
 const (
 	First Place = iota
 	After
 )
 
-// assumedWaits is in place of the waits of a stage that was never run.
-var assumedWaits = []float64{assumedLatency.Seconds()}
+// assumedLatencies is used for a stage without observed latencies.
+var assumedLatencies = []float64{assumedLatency.Seconds()}
 
 const (
-	// firstStrength and afterStrength are the ratings that the declared
-	// quality counts for. After a failure it says less, since it was declared
-	// for all requests.
-	firstStrength = 20
-	afterStrength = 5
-	// priceStrength is the same for declared prices and the assumed latency.
-	priceStrength = 1
-	// assumedLatency stands in for a stage that was never run. It is the same
-	// for all stages, so that it favours none.
+	// firstPriorWeight and afterPriorWeight are the numbers of ratings that the
+	// declared quality counts as. After another stage has failed it is less
+	// predictive, since it was declared for all requests.
+	firstPriorWeight = 20
+	afterPriorWeight = 5
+	// costPriorWeight is the same for the declared cost and the assumed latency.
+	costPriorWeight = 1
+	// assumedLatency is the latency assumed for a stage that was never run. It is
+	// the same for all stages, so that it favours none.
 	assumedLatency = time.Second
-	// exploreShare bounds the requests that begin with a stage which is not
-	// the best by what is known, so that a cheap stage that got better is
-	// found again. They still go on when the answer is rated badly: what they
-	// put at risk is the price and the wait of one cheap stage.
+	// exploreShare is the greatest fraction of requests that start at a cheaper stage
+	// than the best one by the estimates, to detect a cheap stage that has improved.
+	// They still escalate if the answer is rated badly, so an exploration risks the
+	// cost and latency of one cheap stage.
 	exploreShare = 0.02
-	// exploreBelow is the weight of ratings below which a stage is explored.
-	exploreBelow = 30
-	// maxCells bounds the memory. The configuration bounds the workspaces and
-	// cascades; versions come and go, and a process may run for months.
-	maxCells = 1 << 14
+	// exploreMaxWeight is the weight of ratings below which a stage is explored.
+	exploreMaxWeight = 30
+	// maxStages bounds the number of stageStats. The configuration bounds the
+	// workspaces and cascades, but versions change, and a process may run for months.
+	maxStages = 1 << 14
 )
 
-// Decision is what to do with a request.
+// Decision is the next step of a request.
 type Decision struct {
 	// Stage is the index of the stage to run.
 	Stage int
-	// Final says that nothing would be run after it, whatever its rating: the
-	// answer can be streamed to the caller at once.
+	// Final is set if no stage would be run after it, whatever its rating: its
+	// answer can be streamed to the caller.
 	Final bool
 }
 
-// Learner decides for the cascades of all workspaces by what it has seen. It
-// is safe for concurrent use.
+// Learner makes the decisions for the cascades of all workspaces, based on the runs
+// and ratings recorded with it. It is safe for concurrent use.
 type Learner struct {
-	mu    sync.Mutex
-	cells map[cellKey]*cell
-	debts map[debtKey]*debt
+	mu       sync.Mutex
+	stages   map[stageKey]*stageStats
+	deficits map[deficitKey]*deficit
 }
 
-type cellKey struct {
+type stageKey struct {
 	workspace core.WorkspaceID
 	cascade   core.CascadeID
 	class     Class
 	target    core.ModelVersion
 }
 
-type debtKey struct {
+type deficitKey struct {
 	workspace core.WorkspaceID
 	cascade   core.CascadeID
 }
 
-// cell is what is known of one stage for one class of requests.
-type cell struct {
-	passes  [2]estimate
-	cost    estimate
-	latency estimate
-	waits   recent
-	used    time.Time
+// stageStats holds the estimates of one stage for one class of requests.
+type stageStats struct {
+	passRates [2]estimate
+	cost      estimate
+	latency   estimate
+	latencies recentValues
+	lastUsed  time.Time
 }
 
-// NewLearner returns a learner that has seen nothing.
+// NewLearner returns a learner without observations.
 func NewLearner() *Learner {
-	return &Learner{cells: map[cellKey]*cell{}, debts: map[debtKey]*debt{}}
+	return &Learner{stages: map[stageKey]*stageStats{}, deficits: map[deficitKey]*deficit{}}
 }
 
-// Start decides with which stage a request begins. The draw, from 0 to 1, says
-// whether it explores.
+// Start decides at which stage a request starts. Draw is a random number from 0 to 1
+// that decides whether the request explores.
 func (le *Learner) Start(now time.Time, qu *Question, draw float64) Decision {
 	le.mu.Lock()
 	defer le.mu.Unlock()
-	ods, pr := le.outlook(now, qu)
+	ods, pr := le.expectations(now, qu)
 	start := pr.start(ods)
 	if draw < exploreShare {
 		start = le.explore(now, qu, start)
@@ -99,139 +99,142 @@
 	return Decision{Stage: start, Final: pr.final(ods, start, 0)}
 }
 
-// explore returns a cheaper stage that is little known, if there is one.
+// explore returns the cheapest stage before start that has few recent ratings, or
+// start if there is none.
 func (le *Learner) explore(now time.Time, qu *Question, start int) int {
 	for i := range start {
-		es := &le.cell(now, qu, i).passes[First]
-		es.fade(now)
-		if es.weight < exploreBelow {
+		es := &le.stage(now, qu, i).passRates[First]
+		es.decay(now)
+		if es.weight < exploreMaxWeight {
 			return i
 		}
 	}
 	return start
 }
 
-// Next decides whether a request that has waited for some time goes on after a
-// stage whose answer was rated, and with which stage.
+// Next decides whether a request escalates after the answer of a stage was rated,
+// and to which stage. Waited is the latency of the request so far.
 func (le *Learner) Next(now time.Time, qu *Question, stage int, rating core.Quality, waited time.Duration) (Decision, bool) {
 	le.mu.Lock()
 	defer le.mu.Unlock()
-	ods, pr := le.outlook(now, qu)
+	ods, pr := le.expectations(now, qu)
 	next, gain := pr.next(ods, stage, waited.Seconds())
-	if next == none || gain <= pr.worth*float64(rating) {
+	if next == noStage || gain <= pr.answerValue*float64(rating) {
 		return Decision{}, false
 	}
 	return Decision{Stage: next, Final: pr.final(ods, next, waited.Seconds())}, true
 }
 
-// Expected returns the quality that is expected of a stage's answer.
+// Expected returns the expected quality of a stage's answer.
 func (le *Learner) Expected(now time.Time, qu *Question, stage int, pl Place) core.Quality {
 	le.mu.Lock()
 	defer le.mu.Unlock()
-	return core.Quality(le.pass(now, qu, stage, pl))
+	return core.Quality(le.passRate(now, qu, stage, pl))
 }
 
-// Rated notes a rating of a stage's answer, which may come late.
+// Rated records a rating of a stage's answer, which may arrive after the request has
+// ended.
 func (le *Learner) Rated(now time.Time, qu *Question, stage int, pl Place, rating core.Quality) {
 	le.mu.Lock()
 	defer le.mu.Unlock()
-	le.cell(now, qu, stage).passes[pl].add(now, float64(rating))
+	le.stage(now, qu, stage).passRates[pl].add(now, float64(rating))
 }
 
-// Ran notes what a stage's answer has cost and how long it took.
+// Ran records the cost and the latency of a stage's answer.
 func (le *Learner) Ran(now time.Time, qu *Question, stage int, cost core.Millicents, took time.Duration) {
 	le.mu.Lock()
 	defer le.mu.Unlock()
-	ce := le.cell(now, qu, stage)
+	ce := le.stage(now, qu, stage)
 	ce.cost.add(now, float64(cost))
 	ce.latency.add(now, took.Seconds())
-	ce.waits.add(took.Seconds())
+	ce.latencies.add(took.Seconds())
 }
 
-// Done notes the quality of the answer that the caller got, which is its
-// rating or what was expected of it, and how long the caller waited.
+// Done records the quality of the answer that the caller got, either its rating or
+// its expected quality, and the latency of the request.
 func (le *Learner) Done(qu *Question, quality core.Quality, waited time.Duration) {
 	le.mu.Lock()
 	defer le.mu.Unlock()
-	le.debt(qu).add(float64(qu.Target-quality), waited)
+	le.deficit(qu).add(float64(qu.Target-quality), waited)
 }
 
-// Sampled notes a rating of an answer whose expected quality was given to Done.
-// The share is of such answers that are rated.
+// Sampled records a rating of an answer whose expected quality was passed to Done.
+// Share is the fraction of such answers that is rated.
 func (le *Learner) Sampled(qu *Question, expected, rating core.Quality, share float64) {
 	le.mu.Lock()
 	defer le.mu.Unlock()
-	le.debt(qu).correct(float64(expected), float64(rating), share)
+	le.deficit(qu).correct(float64(expected), float64(rating), share)
 }
 
-// outlook gathers what is known for a request.
-func (le *Learner) outlook(now time.Time, qu *Question) ([]odds, pricing) {
-	ods := make([]odds, len(qu.Stages))
+// expectations returns what is expected of each stage for a request, and the current
+// prices.
+func (le *Learner) expectations(now time.Time, qu *Question) ([]expectation, pricing) {
+	ods := make([]expectation, len(qu.Stages))
 	for i, st := range qu.Stages {
-		ce := le.cell(now, qu, i)
-		od := odds{
-			first: le.pass(now, qu, i, First), after: le.pass(now, qu, i, After),
-			cost:  ce.cost.value(float64(st.Cost), priceStrength),
-			mean:  ce.latency.value(assumedLatency.Seconds(), priceStrength),
-			waits: ce.waits.all(),
+		ce := le.stage(now, qu, i)
+		od := expectation{
+			passFirst: le.passRate(now, qu, i, First), passAfter: le.passRate(now, qu, i, After),
+			cost:        ce.cost.value(float64(st.Cost), costPriorWeight),
+			meanLatency: ce.latency.value(assumedLatency.Seconds(), costPriorWeight),
+			latencies:   ce.latencies.values(),
 		}
-		if len(od.waits) == 0 {
-			od.waits = assumedWaits
+		if len(od.latencies) == 0 {
+			od.latencies = assumedLatencies
 		}
 		ods[i] = od
 	}
-	de, last := le.debt(qu), &ods[len(ods)-1]
-	pr := pricing{second: float64(qu.LatencyPrice), late: de.late}
-	pr.worth = de.worth(now, last.cost+pr.waiting(last, 0))
+	de, last := le.deficit(qu), &ods[len(ods)-1]
+	pr := pricing{secondPrice: float64(qu.LatencyPrice), tailLatency: de.tailLatency}
+	pr.answerValue = de.answerValue(now, last.cost+pr.latencyPrice(last, 0))
 	return ods, pr
 }
 
-func (le *Learner) pass(now time.Time, qu *Question, stage int, pl Place) float64 {
-	es := &le.cell(now, qu, stage).passes[pl]
-	es.fade(now)
-	strength := float64(firstStrength)
+func (le *Learner) passRate(now time.Time, qu *Question, stage int, pl Place) float64 {
+	es := &le.stage(now, qu, stage).passRates[pl]
+	es.decay(now)
+	priorWeight := float64(firstPriorWeight)
 	if pl == After {
-		strength = afterStrength
+		priorWeight = afterPriorWeight
 	}
-	return es.value(float64(qu.Stages[stage].Declared), strength)
+	return es.value(float64(qu.Stages[stage].Declared), priorWeight)
 }
 
-func (le *Learner) debt(qu *Question) *debt {
-	key := debtKey{qu.Workspace, qu.Cascade}
-	de := le.debts[key]
+func (le *Learner) deficit(qu *Question) *deficit {
+	key := deficitKey{qu.Workspace, qu.Cascade}
+	de := le.deficits[key]
 	if de == nil {
-		de = newDebt()
-		le.debts[key] = de
+		de = newDeficit()
+		le.deficits[key] = de
 	}
 	return de
 }
 
-func (le *Learner) cell(now time.Time, qu *Question, stage int) *cell {
-	key := cellKey{qu.Workspace, qu.Cascade, qu.Class, qu.Stages[stage].Target}
-	ce := le.cells[key]
+func (le *Learner) stage(now time.Time, qu *Question, stage int) *stageStats {
+	key := stageKey{qu.Workspace, qu.Cascade, qu.Class, qu.Stages[stage].Target}
+	ce := le.stages[key]
 	if ce == nil {
-		if len(le.cells) >= maxCells {
+		if len(le.stages) >= maxStages {
 			le.evict(now)
 		}
-		ce = &cell{}
-		le.cells[key] = ce
+		ce = &stageStats{}
+		le.stages[key] = ce
 	}
-	ce.used = now
+	ce.lastUsed = now
 	return ce
 }
 
-// evict forgets what has faded, and if nothing has, any one cell: a cell that
-// was forgotten begins again with what is declared.
+// evict deletes the stages that were not used for 8 half-lives, and if that is not
+// enough, arbitrary ones. A deleted stage starts again from its declared values.
 func (le *Learner) evict(now time.Time) {
-	for key, ce := range le.cells {
-		if now.Sub(ce.used) > 8*halfLife {
-			delete(le.cells, key)
+	for key, ce := range le.stages {
+		if now.Sub(ce.lastUsed) > 8*halfLife {
+			delete(le.stages, key)
 		}
 	}
-	for key := range le.cells {
-		if len(le.cells) < maxCells {
+	for key := range le.stages {
+		if len(le.stages) < maxStages {
 			return
 		}
-		delete(le.cells, key)
+		delete(le.stages, key)
 	}
 }
--- a/core/cascade/plan.go
+++ b/core/cascade/plan.go
@@ -1,88 +1,89 @@
 package cascade
 
-// tailShare is the share of answers that counts as late. The users measure the
-// latency that one in twenty exceeds.
+// tailShare is the fraction of answers in the latency tail. The users measure the
+// latency that one answer in twenty exceeds (p95).
 const tailShare = 0.05
 
-// odds is what is expected of one stage: how often it passes when it is the
-// first and when an earlier stage failed, what it costs, and how long its
-// last runs took, in seconds.
-type odds struct {
-	first, after float64
-	cost         float64
-	waits        []float64
-	mean         float64
+// expectation is what is expected of one stage: its pass rate when it is the first
+// one and after an earlier stage failed, its cost, its latest latencies and its mean
+// latency, in seconds.
+type expectation struct {
+	passFirst, passAfter float64
+	cost                 float64
+	latencies            []float64
+	meanLatency          float64
 }
 
-// pricing is what quality and waiting are worth to the workspace now.
+// pricing holds the current prices of quality and latency for a workspace.
 type pricing struct {
-	// worth is of a good answer, second of a second of waiting.
-	worth, second float64
-	// late is the time beyond which an answer is among the late ones.
-	late float64
+	// answerValue is the value of a good answer, secondPrice the price of a second of
+	// latency.
+	answerValue, secondPrice float64
+	// tailLatency is the latency, in seconds, above which an answer is in the tail.
+	tailLatency float64
 }
 
-// waiting returns the price of a stage's wait for a request that has waited
-// for some time already.
+// latencyPrice returns the price of a stage's latency for a request that has already
+// taken elapsed seconds.
 //
-// A second counts at its price once for each answer, and once more for the
-// late ones alone: a second that a late answer waits beyond the others is
-// priced as if all callers had waited it. With a plain mean, the way through
-// both stages looks as good as the costly one alone, since few requests go on;
-// those few are the ones whose callers notice.
-func (pr pricing) waiting(od *odds, elapsed float64) float64 {
-	over := 0.0
-	for _, wait := range od.waits {
-		over += max(elapsed+wait-pr.late, 0) - max(elapsed-pr.late, 0)
+// Each second costs its price once. A second beyond tailLatency costs 1/tailShare
+// times its price in addition, as if all callers had waited for it. With a plain mean,
+// running both stages would look as good as running the costly one alone, since few
+// requests escalate; but those few have the latencies that callers notice.
+func (pr pricing) latencyPrice(od *expectation, elapsed float64) float64 {
+	excess := 0.0
+	for _, latency := range od.latencies {
+		excess += max(elapsed+latency-pr.tailLatency, 0) - max(elapsed-pr.tailLatency, 0)
 	}
-	return pr.second * (od.mean + over/float64(len(od.waits))/tailShare)
+	return pr.secondPrice * (od.meanLatency + excess/float64(len(od.latencies))/tailShare)
 }
 
-// gain returns what running stage i is expected to gain: its chance to pass
-// times the worth, less its price, and on its failure the gain of the best
-// stage after it.
-func (pr pricing) gain(ods []odds, i int, pl Place, elapsed float64) float64 {
+// gain returns the expected gain of running stage i: its pass rate times the value of
+// a good answer, minus its cost and the price of its latency, plus, if it fails, the
+// gain of the best stage after it.
+func (pr pricing) gain(ods []expectation, i int, pl Place, elapsed float64) float64 {
 	od := &ods[i]
-	pass := od.first
+	pass := od.passFirst
 	if pl == After {
-		pass = od.after
+		pass = od.passAfter
 	}
-	_, more := pr.next(ods, i, elapsed+od.mean)
-	return pr.worth*pass - od.cost - pr.waiting(od, elapsed) + (1-pass)*more
+	_, nextGain := pr.next(ods, i, elapsed+od.meanLatency)
+	return pr.answerValue*pass - od.cost - pr.latencyPrice(od, elapsed) + (1-pass)*nextGain
 }
 
-// none is in place of a stage when nothing is worth running.
-const none = -1
+// noStage is returned instead of a stage if no further one is worth running.
+const noStage = -1
 
-// next returns the best stage to run after stage i failed, and its gain. It
-// passes over stages that are not worth it.
+// next returns the best stage to run after stage i failed, and its gain, or noStage if
+// none has a positive gain. It may skip stages.
 //
-// The work doubles with each stage; cascades have two or three, and with eight
-// a decision still takes microseconds.
-func (pr pricing) next(ods []odds, i int, elapsed float64) (int, float64) {
-	best, most := none, 0.0
+// The work doubles with each stage. Cascades have two or three, and with eight a
+// decision still takes microseconds.
+func (pr pricing) next(ods []expectation, i int, elapsed float64) (int, float64) {
+	best, bestGain := noStage, 0.0
 	for j := i + 1; j < len(ods); j++ {
-		if gain := pr.gain(ods, j, After, elapsed); gain > most {
-			best, most = j, gain
+		if gain := pr.gain(ods, j, After, elapsed); gain > bestGain {
+			best, bestGain = j, gain
 		}
 	}
-	return best, most
+	return best, bestGain
 }
 
-// start returns the best stage to begin with. One must be run.
-func (pr pricing) start(ods []odds) int {
-	best, most := 0, pr.gain(ods, 0, First, 0)
+// start returns the best first stage, even if its gain is negative, since one must be
+// run.
+func (pr pricing) start(ods []expectation) int {
+	best, bestGain := 0, pr.gain(ods, 0, First, 0)
 	for i := 1; i < len(ods); i++ {
-		if gain := pr.gain(ods, i, First, 0); gain > most {
-			best, most = i, gain
+		if gain := pr.gain(ods, i, First, 0); gain > bestGain {
+			best, bestGain = i, gain
 		}
 	}
 	return best
 }
 
-// final reports whether nothing would be run after stage i, however badly its
-// answer were rated.
-func (pr pricing) final(ods []odds, i int, elapsed float64) bool {
-	next, _ := pr.next(ods, i, elapsed+ods[i].mean)
-	return next == none
+// final reports whether no stage would be run after stage i, even with the lowest
+// rating of its answer.
+func (pr pricing) final(ods []expectation, i int, elapsed float64) bool {
+	next, _ := pr.next(ods, i, elapsed+ods[i].meanLatency)
+	return next == noStage
 }
--- a/core/cascade/question.go
+++ b/core/cascade/question.go
@@ -2,16 +2,16 @@
 
 import "skylarkstand/core"
 
-// Class groups requests that are alike in how hard, costly and slow they are.
+// Class groups requests of similar difficulty, cost and latency.
 type Class int
 
-// classBounds are the lengths of prompts, in bytes, at which the next class
-// begins: a question, a paragraph, a page, a document. Each class learns by
-// itself, so more classes would learn more slowly: with four, a workspace of
-// one request a second has enough ratings of each within minutes.
+// classBounds are the prompt lengths, in bytes, at which the next class begins: a
+// question, a paragraph, a page, a document. Each class has its own estimates, so more
+// classes would learn more slowly: with four, a workspace with one request per second
+// gets enough ratings of each class within minutes.
 var classBounds = [...]int{256, 2 << 10, 16 << 10}
 
-// ClassOf returns the class of a prompt of so many bytes.
+// ClassOf returns the class of a prompt with the given length in bytes.
 func ClassOf(length int) Class {
 	for i, bound := range classBounds {
 		if length < bound {
@@ -21,34 +21,35 @@
 	return Class(len(classBounds))
 }
 
-// Stage is one stage of a cascade as the configuration declares it.
+// Stage is one stage of a cascade, as declared in the configuration.
 type Stage struct {
 	Target core.ModelVersion
-	// Declared is the quality that counts until ratings say otherwise.
+	// Declared is the declared quality, used until there are enough ratings.
 	Declared core.Quality
-	// Cost is what the stage is expected to cost before it was ever run.
+	// Cost is the expected cost of the stage, used until it was run.
 	Cost core.Millicents
 }
 
-// Question is one request at a cascade.
+// Question is a request to a cascade.
 type Question struct {
 	Workspace core.WorkspaceID
 	Cascade   core.CascadeID
 	Class     Class
-	// Target is the quality that the workspace's mix shall have.
+	// Target is the target quality of the workspace's mix.
 	Target core.Quality
-	// LatencyPrice is what a second of waiting is worth.
+	// LatencyPrice is the price of a second of latency.
 	LatencyPrice core.Millicents
-	// Stages run from cheap to costly. There is at least one.
+	// Stages are ordered from cheap to costly. There is at least one.
 	Stages []Stage
 }
 
-// Fallback returns the stage to run where no rating can be had: the first, and
-// so the cheapest, whose declared quality meets the target, or the best one.
+// Fallback returns the stage to run if no rating is available: the first, and so the
+// cheapest, whose declared quality meets the target, or else the one with the highest
+// declared quality.
 //
-// The rating service may be away or late. A cascade that went on waiting for
-// it would add its limit to every answer, and one that took unrated cheap
-// answers for good would miss the target unnoticed until the service is back.
+// The rating service may be down or slow. A cascade that kept waiting for it would add
+// its timeout to every answer, and one that accepted unrated cheap answers would miss
+// the target unnoticed until the service is back.
 func (qu *Question) Fallback() int {
 	best := 0
 	for i, st := range qu.Stages {
--- a/core/cascade/sim_test.go
+++ b/core/cascade/sim_test.go
@@ -11,77 +11,78 @@
 	"skylarkstand/test/eventqueue"
 )
 
-// kind is the truth about one class of requests: how often each stage's answer
-// is good, what it costs and how long it takes at the median.
-type kind struct {
-	share  float64
-	length int
-	passes [2]float64
-	cost   [2]core.Millicents
-	took   [2]time.Duration
+// requestClass holds the true properties of one class of requests: its fraction, prompt
+// length, and for each stage the pass rate, the cost and the median latency.
+type requestClass struct {
+	share     float64
+	length    int
+	passRates [2]float64
+	cost      [2]core.Millicents
+	latency   [2]time.Duration
 }
 
-// shape is a mix of questions, replies and a few drafts such as the users
-// describe: a cheap model does for most questions and for few drafts. Its
-// prices and the mean quality of its stages are near the demonstration's. The
-// cheap stage has the smaller pool, and is not twice as fast.
-var shape = [...]kind{
+// classes is the users' mix of questions, replies and a few drafts: a cheap model
+// suffices for most questions and for few drafts. The prices and the mean quality of the
+// stages are close to the demonstration's. The cheap stage has the smaller pool, and is
+// less than twice as fast.
+var classes = [...]requestClass{
 	{0.70, 120, [2]float64{0.78, 0.97}, [2]core.Millicents{7, 100}, [2]time.Duration{600 * time.Millisecond, 1000 * time.Millisecond}},
 	{0.25, 1200, [2]float64{0.63, 0.96}, [2]core.Millicents{12, 180}, [2]time.Duration{700 * time.Millisecond, 1250 * time.Millisecond}},
 	{0.05, 9000, [2]float64{0.45, 0.93}, [2]core.Millicents{30, 450}, [2]time.Duration{900 * time.Millisecond, 1600 * time.Millisecond}},
 }
 
-// ask is one request with what each stage would make of it.
-type ask struct {
-	class int
-	good  [2]bool
-	cost  [2]core.Millicents
-	took  [2]time.Duration
-	rate  time.Duration
+// request is one request with the result that each stage would produce.
+type request struct {
+	class       int
+	good        [2]bool
+	cost        [2]core.Millicents
+	latency     [2]time.Duration
+	ratingDelay time.Duration
 }
 
-// draw makes requests. A hard one is hard for both stages: half of the chance
-// is the request's own, half the stage's.
-func draw(n int, seed uint64, shape []kind) []ask {
+// generate returns random requests. The difficulty of a request correlates between the
+// stages: each stage uses a shared random number with probability one half, and otherwise
+// its own.
+func generate(n int, seed uint64, classes []requestClass) []request {
 	rnd := rand.New(rand.NewPCG(seed, 5))
-	asks := make([]ask, n)
-	for i := range asks {
-		as := ask{class: 2}
+	requests := make([]request, n)
+	for i := range requests {
+		as := request{class: 2}
 		switch u := rnd.Float64(); {
-		case u < shape[0].share:
+		case u < classes[0].share:
 			as.class = 0
-		case u < shape[0].share+shape[1].share:
+		case u < classes[0].share+classes[1].share:
 			as.class = 1
 		}
-		ki, own := shape[as.class], rnd.Float64()
+		ki, own := classes[as.class], rnd.Float64()
 		for st := range 2 {
 			hard := own
 			if rnd.Float64() < 0.5 {
 				hard = rnd.Float64()
 			}
 			size := math.Exp(0.2 * rnd.NormFloat64())
-			as.good[st] = hard < ki.passes[st]
+			as.good[st] = hard < ki.passRates[st]
 			as.cost[st] = core.Millicents(float64(ki.cost[st]) * size)
-			as.took[st] = time.Duration(float64(ki.took[st]) * size)
+			as.latency[st] = time.Duration(float64(ki.latency[st]) * size)
 		}
-		as.rate = time.Duration(30+rnd.IntN(60)) * time.Millisecond
-		asks[i] = as
+		as.ratingDelay = time.Duration(30+rnd.IntN(60)) * time.Millisecond
+		requests[i] = as
 	}
-	return asks
+	return requests
 }
 
-// result is what callers got from a policy.
+// result is the outcome of a policy for the callers.
 type result struct {
 	cost, quality float64
 	latencies     []time.Duration
 }
 
-func (re *result) add(cost core.Millicents, good bool, took time.Duration) {
+func (re *result) add(cost core.Millicents, good bool, latency time.Duration) {
 	re.cost += float64(cost)
 	if good {
 		re.quality++
 	}
-	re.latencies = append(re.latencies, took)
+	re.latencies = append(re.latencies, latency)
 }
 
 func (re *result) mean() float64 { return re.quality / float64(len(re.latencies)) }
@@ -96,22 +97,22 @@
 		return cascade.Stage{Target: core.ModelVersion{Model: mo, Version: "v1"}, Declared: qu, Cost: cost}
 	}
 	return &cascade.Question{
-		Workspace: "ws", Cascade: "quick", Class: cascade.ClassOf(shape[class].length), Target: target, LatencyPrice: price,
+		Workspace: "ws", Cascade: "quick", Class: cascade.ClassOf(classes[class].length), Target: target, LatencyPrice: price,
 		Stages: []cascade.Stage{st("desk", 0.8, 20), st("drafter", 0.95, 250)},
 	}
 }
 
-// learn runs requests, 20 a second, through a learner: the decisions of later
+// simulate runs requests at 20 per second through a learner, so that decisions for later
 // requests are made before earlier ones have ended.
-func learn(asks []ask, target core.Quality, price core.Millicents, seed uint64) *result {
+func simulate(requests []request, target core.Quality, price core.Millicents, seed uint64) *result {
 	le, lo, re := cascade.NewLearner(), &eventqueue.Queue{}, &result{}
 	rnd := rand.New(rand.NewPCG(seed, 6))
 	now := time.Unix(1_000_000, 0)
-	for _, as := range asks {
+	for _, as := range requests {
 		now = now.Add(time.Duration(rnd.ExpFloat64() * float64(50*time.Millisecond)))
 		began := now
 		lo.At(began, func(at time.Time) {
-			wk := &walk{le: le, lo: lo, re: re, as: as, qu: question(as.class, target, price), began: began, rnd: rnd}
+			wk := &execution{le: le, lo: lo, re: re, as: as, qu: question(as.class, target, price), began: began, rnd: rnd}
 			wk.stage(at, le.Start(at, wk.qu, rnd.Float64()), cascade.First)
 		})
 	}
@@ -119,49 +120,49 @@
 	return re
 }
 
-// walk is one request on its way through the cascade.
-type walk struct {
+// execution is one request in progress through the cascade.
+type execution struct {
 	le    *cascade.Learner
 	lo    *eventqueue.Queue
 	re    *result
-	as    ask
+	as    request
 	qu    *cascade.Question
 	began time.Time
-	paid  core.Millicents
+	cost  core.Millicents
 	rnd   *rand.Rand
 }
 
-func (wk *walk) stage(at time.Time, de cascade.Decision, pl cascade.Place) {
-	wk.lo.At(at.Add(wk.as.took[de.Stage]), func(at time.Time) {
-		wk.paid += wk.as.cost[de.Stage]
-		wk.le.Ran(at, wk.qu, de.Stage, wk.as.cost[de.Stage], wk.as.took[de.Stage])
+func (wk *execution) stage(at time.Time, de cascade.Decision, pl cascade.Place) {
+	wk.lo.At(at.Add(wk.as.latency[de.Stage]), func(at time.Time) {
+		wk.cost += wk.as.cost[de.Stage]
+		wk.le.Ran(at, wk.qu, de.Stage, wk.as.cost[de.Stage], wk.as.latency[de.Stage])
 		if !de.Final {
-			wk.lo.At(at.Add(wk.as.rate), func(at time.Time) { wk.rated(at, de, pl) })
+			wk.lo.At(at.Add(wk.as.ratingDelay), func(at time.Time) { wk.rated(at, de, pl) })
 			return
 		}
-		wk.end(at, de.Stage)
+		wk.finish(at, de.Stage)
 		expected := wk.le.Expected(at, wk.qu, de.Stage, pl)
 		wk.le.Done(wk.qu, expected, at.Sub(wk.began))
-		if wk.rnd.Float64() < sampled {
-			wk.lo.At(at.Add(wk.as.rate), func(at time.Time) {
+		if wk.rnd.Float64() < sampleShare {
+			wk.lo.At(at.Add(wk.as.ratingDelay), func(at time.Time) {
 				wk.le.Rated(at, wk.qu, de.Stage, pl, wk.rating(de.Stage))
-				wk.le.Sampled(wk.qu, expected, wk.rating(de.Stage), sampled)
+				wk.le.Sampled(wk.qu, expected, wk.rating(de.Stage), sampleShare)
 			})
 		}
 	})
 }
 
-// sampled is the share of the answers nothing depends on that are rated.
-const sampled = 0.3
+// sampleShare is the fraction of final answers that is rated.
+const sampleShare = 0.3
 
-func (wk *walk) rating(stage int) core.Quality {
+func (wk *execution) rating(stage int) core.Quality {
 	if wk.as.good[stage] {
 		return 1
 	}
 	return 0
 }
 
-func (wk *walk) rated(at time.Time, de cascade.Decision, pl cascade.Place) {
+func (wk *execution) rated(at time.Time, de cascade.Decision, pl cascade.Place) {
 	got := wk.rating(de.Stage)
 	wk.le.Rated(at, wk.qu, de.Stage, pl, got)
 	if next, more := wk.le.Next(at, wk.qu, de.Stage, got, at.Sub(wk.began)); more {
@@ -169,9 +170,9 @@
 		return
 	}
 	wk.le.Done(wk.qu, got, at.Sub(wk.began))
-	wk.end(at, de.Stage)
+	wk.finish(at, de.Stage)
 }
 
-func (wk *walk) end(at time.Time, stage int) {
-	wk.re.add(wk.paid, wk.as.good[stage], at.Sub(wk.began))
+func (wk *execution) finish(at time.Time, stage int) {
+	wk.re.add(wk.cost, wk.as.good[stage], at.Sub(wk.began))
 }
