--- a/core/suspect/suspect.go
+++ b/core/suspect/suspect.go
@@ -1,19 +1,20 @@
-// Package suspect keeps the rare request that crashes every upstream it runs
-// on from taking one upstream after the other, as its caller sends it again.
+// Package suspect quarantines poisonous requests: rare requests that crash every
+// upstream they run on, and would crash one upstream after the other as their
+// callers retry them.
 //
 // The requests in flight on an upstream when it crashes become suspects. A
 // suspect may run once more, alone on an upstream: if that one crashes too,
-// nothing else can be the cause, and the request is quarantined. If it ends
-// well, it is cleared. The loss of a whole host is no crash: an agent that is
-// still there must report that its upstream went, so innocent work of a lost
-// host is never suspected.
+// nothing else can be the cause, and the request is quarantined. If it succeeds,
+// it is cleared. The loss of a whole host does not count as a crash: only an
+// agent that is still running can report that its upstream crashed, so innocent
+// requests on a lost host never become suspects.
 //
 // # Usage
 //
 //	reg := suspect.New()
 //	switch ve := reg.Verdict(fp, now); ve.State { … }
-//	reg.Crashed(fp, solo, now)   // the upstream went with it in flight
-//	reg.Cleared(fp)              // it ended well
+//	reg.Crashed(fp, solo, now)   // the upstream crashed with it in flight
+//	reg.Cleared(fp)              // it succeeded
 package suspect
 
 import (
@@ -27,10 +28,11 @@
 	"skylarkstand/core"
 )
 
-// Fingerprint stands for requests of the same workspace, model and body.
+// Fingerprint is a hash that identifies requests of the same workspace, model (or
+// service and operation) and body.
 type Fingerprint uint64
 
-// Of returns the fingerprint of an attempt. The version does not count: a body
+// Of returns the fingerprint of an attempt. It excludes the version, since a body
 // that crashes one version mostly crashes the next.
 func Of(at *core.Attempt) Fingerprint {
 	var dig xxhash.Digest
@@ -43,20 +45,20 @@
 	return Fingerprint(dig.Sum64())
 }
 
-// State is what is thought of a request.
+// State is the state of a request in the registry.
 type State int
 
-// The states, in the order in which a record may only grow.
+// The states. A record's state only ever increases until it expires or is cleared.
 const (
-	// Free: nothing is known against it.
+	// Free: the request is not suspected.
 	Free State = iota
-	// Suspected: it was in flight at one crash, and runs alone.
+	// Suspected: the request was in flight at a crash, and may only run alone.
 	Suspected
-	// Quarantined: an upstream crashed while it ran alone. It does not run.
+	// Quarantined: an upstream crashed while the request ran alone. It is refused.
 	Quarantined
 )
 
-// Record is what entries tell each other. Until is when it is forgotten.
+// Record is a request's state, as exchanged between entries. It expires at Until.
 type Record struct {
 	Fingerprint Fingerprint
 	State       State
@@ -64,40 +66,42 @@
 }
 
 const (
-	// suspectedFor is how long a suspect runs alone. A caller that sends a
-	// request again does so within minutes.
-	suspectedFor = 10 * time.Minute
-	// quarantinedFor bounds the harm to a caller whose body would run after a
-	// repair of the engine; it is what the caller is told to wait.
-	quarantinedFor = time.Hour
-	// maxRecords bounds memory. An upstream's crash makes as many suspects as
-	// it had slots, and a few crashes a minute are the most that a fleet sees;
-	// at 40 bytes each this is less than a megabyte. When it is full the
-	// suspects that end first go; quarantines stay.
+	// suspectTTL is how long a request stays a suspect. Callers that retry do so
+	// within minutes.
+	suspectTTL = 10 * time.Minute
+	// quarantineTTL is how long a request stays quarantined. It bounds the harm to a
+	// caller whose request would succeed again after the engine was fixed, and is the
+	// source of the caller's Retry-After.
+	quarantineTTL = time.Hour
+	// maxRecords bounds memory. A crash creates as many suspects as the upstream had
+	// slots, and a fleet has a few crashes per minute at most; at 40 bytes each this
+	// is less than a megabyte. When the registry is full, expired records and then
+	// suspects are evicted; quarantined requests stay.
 	maxRecords = 16_384
 )
 
-// Registry is what one entry knows. It is safe for concurrent use.
+// Registry holds the records of one entry. It is safe for concurrent use.
 type Registry struct {
 	mu      sync.Mutex
 	records map[Fingerprint]Record
-	// running are the suspects that run alone now.
-	running map[Fingerprint]bool
+	// runningAlone is the set of suspects that are running.
+	runningAlone map[Fingerprint]bool
 }
 
 // New returns an empty registry.
 func New() *Registry {
-	return &Registry{records: map[Fingerprint]Record{}, running: map[Fingerprint]bool{}}
+	return &Registry{records: map[Fingerprint]Record{}, runningAlone: map[Fingerprint]bool{}}
 }
 
-// Verdict returns what is known of a request at a time.
+// Verdict returns the record of a request at a time. Its state is Free if there is
+// none.
 func (reg *Registry) Verdict(fp Fingerprint, now time.Time) Record {
 	reg.mu.Lock()
 	defer reg.mu.Unlock()
-	return reg.verdict(fp, now)
+	return reg.lookup(fp, now)
 }
 
-func (reg *Registry) verdict(fp Fingerprint, now time.Time) Record {
+func (reg *Registry) lookup(fp Fingerprint, now time.Time) Record {
 	re, ok := reg.records[fp]
 	if !ok || !now.Before(re.Until) {
 		return Record{Fingerprint: fp}
@@ -105,7 +109,7 @@
 	return re
 }
 
-// List returns the records that hold at a time.
+// List returns the records that are valid at a time.
 func (reg *Registry) List(now time.Time) []Record {
 	reg.mu.Lock()
 	defer reg.mu.Unlock()
@@ -119,43 +123,45 @@
 	return out
 }
 
-// Begin asks to run a request now. It returns the record, and false when the
-// request is a suspect that already runs alone somewhere: two copies of a
-// poisonous request at once would cost two upstreams in place of one.
+// Begin starts the run of a request. It returns the request's record, and false if
+// the request is a suspect that this entry is already running: two concurrent copies
+// of a poisonous request would crash two upstreams instead of one. A suspect's run
+// must be ended with End.
 func (reg *Registry) Begin(fp Fingerprint, now time.Time) (Record, bool) {
 	reg.mu.Lock()
 	defer reg.mu.Unlock()
-	re := reg.verdict(fp, now)
+	re := reg.lookup(fp, now)
 	if re.State != Suspected {
 		return re, true
 	}
-	if reg.running[fp] {
+	if reg.runningAlone[fp] {
 		return re, false
 	}
-	reg.running[fp] = true
+	reg.runningAlone[fp] = true
 	return re, true
 }
 
-// End tells that a suspect's run, granted by Begin, is over.
+// End ends a suspect's run that Begin started.
 func (reg *Registry) End(fp Fingerprint) {
 	reg.mu.Lock()
 	defer reg.mu.Unlock()
-	delete(reg.running, fp)
+	delete(reg.runningAlone, fp)
 }
 
-// Crashed notes that an upstream crashed with the request in flight, alone or
-// with others, and returns the record that the other entries should hear of.
+// Crashed records that an upstream crashed with the request in flight, alone or with
+// others, and returns the record to announce to the other entries.
 func (reg *Registry) Crashed(fp Fingerprint, alone bool, now time.Time) Record {
-	re := Record{Fingerprint: fp, State: Suspected, Until: now.Add(suspectedFor)}
+	re := Record{Fingerprint: fp, State: Suspected, Until: now.Add(suspectTTL)}
 	if alone {
-		re.State, re.Until = Quarantined, now.Add(quarantinedFor)
+		re.State, re.Until = Quarantined, now.Add(quarantineTTL)
 	}
 	reg.Learn(re, now)
 	return re
 }
 
-// Cleared notes that the request ran to a good end, and forgets a suspicion.
-// A quarantine stays: another copy of it crashed an upstream alone.
+// Cleared records that the request succeeded, and deletes its record if it is a
+// suspect. A quarantine stays, since another copy of the request crashed an upstream
+// alone.
 func (reg *Registry) Cleared(fp Fingerprint) {
 	reg.mu.Lock()
 	defer reg.mu.Unlock()
@@ -164,15 +170,16 @@
 	}
 }
 
-// Learn takes a record, own or another entry's, and reports whether it was
-// news. A record only grows, so that late and doubled messages do no harm.
+// Learn merges a record, of this or another entry, and reports whether it changed the
+// registry. A record's state only increases, so late and duplicate messages have no
+// effect.
 func (reg *Registry) Learn(re Record, now time.Time) bool {
 	reg.mu.Lock()
 	defer reg.mu.Unlock()
 	if !now.Before(re.Until) {
 		return false
 	}
-	if old := reg.verdict(re.Fingerprint, now); old.State >= re.State {
+	if old := reg.lookup(re.Fingerprint, now); old.State >= re.State {
 		return false
 	}
 	if len(reg.records) >= maxRecords {
@@ -182,7 +189,7 @@
 	return true
 }
 
-// evict drops what has ended, or else the suspects.
+// evict deletes the expired records, and if that is not enough, all suspects.
 func (reg *Registry) evict(now time.Time) {
 	for fp, re := range reg.records {
 		if !now.Before(re.Until) {
--- a/core/suspect/suspect_test.go
+++ b/core/suspect/suspect_test.go
@@ -16,8 +16,8 @@
 	"skylarkstand/test/figure"
 )
 
-// pool is a fake of the entry's upstreams. A body "poison" crashes the
-// upstream that runs it, and everything in flight there fails with it.
+// pool is a fake of the entry's upstreams. The body "poison" crashes the upstream that
+// runs it.
 type pool struct {
 	core.Upstreams
 	crashes  int
@@ -32,22 +32,22 @@
 	case po.hostLost:
 		return nil, core.Lost("the link was lost")
 	}
-	return whole{}, nil
+	return emptyAnswer{}, nil
 }
 
-type whole struct{}
+type emptyAnswer struct{}
 
-func (whole) Next() ([]byte, error) { return nil, io.EOF }
-func (whole) Usage() core.Usage     { return core.Usage{} }
-func (whole) Status() int           { return 200 }
-func (whole) ContentType() string   { return "" }
-func (whole) Close()                {}
+func (emptyAnswer) Next() ([]byte, error) { return nil, io.EOF }
+func (emptyAnswer) Usage() core.Usage     { return core.Usage{} }
+func (emptyAnswer) Status() int           { return 200 }
+func (emptyAnswer) ContentType() string   { return "" }
+func (emptyAnswer) Close()                {}
 
-func (whole) ReplayOf() core.AttemptID { return "a1" }
+func (emptyAnswer) ReplayOf() core.AttemptID { return "a1" }
 
-// A caller asks again for a booking that ran, and gets the stored answer. If
-// the watch on the answer hid that it is stored, the caller would pay twice.
-func TestReplayShowsThroughTheWatch(t *testing.T) {
+// A caller retries a booking that ran, and gets the stored answer. If the wrapper around
+// the answer hid its ReplayOf, the caller would pay twice.
+func TestGuardKeepsReplayOf(t *testing.T) {
 	ups := suspect.NewUpstreams(core.NewDeps(), new(pool), suspect.New(), func(suspect.Record) {})
 	ans, err := ups.Dispatch(t.Context(), "orders-1", attempt("booking"))
 	assert.NilError(t, err)
@@ -78,18 +78,18 @@
 	return ""
 }
 
-// poison sends one poisonous request fifty times over two entries that tell
-// each other, and returns how many upstreams it took.
-func poison(t *testing.T) int {
+// sendPoison sends one poisonous request fifty times through two entries that exchange
+// records, and returns the number of upstreams it crashed.
+func sendPoison(t *testing.T) int {
 	po := new(pool)
 	regs := []*suspect.Registry{suspect.New(), suspect.New()}
-	tell := func(re suspect.Record) {
+	announce := func(re suspect.Record) {
 		for _, reg := range regs {
 			reg.Learn(re, time.Now())
 		}
 	}
 	for i := range 50 {
-		ups := suspect.NewUpstreams(core.NewDeps(), po, regs[i%2], tell)
+		ups := suspect.NewUpstreams(core.NewDeps(), po, regs[i%2], announce)
 		err := send(ups, "poison")
 		assert.Assert(t, err != nil)
 		if i >= 2 {
@@ -99,22 +99,22 @@
 	return po.crashes
 }
 
-// A caller whose request crashes every engine sends it again and again,
-// through whichever entry the balancer picks. Without a memory of it the whole
-// pool would go down, one engine a try.
-func TestPoisonousRequestTakesTwoUpstreams(t *testing.T) {
-	assert.Equal(t, poison(t), 2)
+// A caller keeps retrying a request that crashes every engine, through whichever entry
+// the load balancer picks. Without shared records, each attempt would crash another
+// engine until the whole pool is down.
+func TestPoisonousRequestCrashesTwoUpstreams(t *testing.T) {
+	assert.Equal(t, sendPoison(t), 2)
 }
 
-// innocents loses a host with requests in flight a number of times and
-// returns how many of them were quarantined or suspected.
-func innocents(t *testing.T, losses int) int {
+// loseHosts loses a host with a request in flight a number of times, retries the request
+// each time, and returns how many retries were refused.
+func loseHosts(t *testing.T, losses int) int {
 	po, reg := new(pool), suspect.New()
-	ups := suspect.NewUpstreams(core.NewDeps(), po, reg, func(suspect.Record) { t.Error("told of a crash") })
+	ups := suspect.NewUpstreams(core.NewDeps(), po, reg, func(suspect.Record) { t.Error("a host loss was announced as a crash") })
 	refused := 0
 	for i := range losses {
 		po.hostLost = true
-		body := fmt.Sprintf("innocent %d", i%5) // The same bodies come again, as retries do.
+		body := fmt.Sprintf("innocent %d", i%5) // The same bodies recur, as with retries.
 		_ = send(ups, body)
 		po.hostLost = false
 		if send(ups, body) != nil {
@@ -124,17 +124,17 @@
 	return refused
 }
 
-// Hosts fail 160 times a day with work in flight. Were the loss of a host
-// taken for a crash by request, callers of innocent work would be refused for
-// an hour after two bad hosts.
-func TestLostHostSuspectsNobody(t *testing.T) {
-	assert.Equal(t, innocents(t, 100), 0)
+// Hosts fail 160 times a day with requests in flight. If a host loss counted as a crash
+// caused by its requests, innocent requests would be refused for an hour after two host
+// losses.
+func TestHostLossSuspectsNoRequest(t *testing.T) {
+	assert.Equal(t, loseHosts(t, 100), 0)
 }
 
-// An engine crashes with a poisonous request and an innocent one in flight.
-// The innocent one runs again alone, ends well, and is free of suspicion; a
-// second crash elsewhere must not then quarantine it.
-func TestInnocentIsCleared(t *testing.T) {
+// An engine crashes with a poisonous and an innocent request in flight. The innocent one
+// is retried alone, succeeds, and is cleared. A later crash makes it a suspect again, but
+// must not quarantine it.
+func TestInnocentRequestIsCleared(t *testing.T) {
 	reg, now := suspect.New(), time.Now()
 	fp := suspect.Of(attempt("innocent"))
 	reg.Crashed(fp, false, now)
@@ -146,8 +146,8 @@
 	assert.Equal(t, reg.Verdict(fp, now).State, suspect.Suspected)
 }
 
-// Two copies of a suspect arrive at once. Run side by side, each alone on an
-// upstream, they would cost two upstreams where one tells enough.
+// Two copies of a suspect arrive at once. If both ran, each alone on an upstream, they
+// would crash two upstreams where one is enough to quarantine the request.
 func TestOneCopyRunsAtATime(t *testing.T) {
 	reg, now := suspect.New(), time.Now()
 	fp := suspect.Of(attempt("x"))
@@ -161,8 +161,8 @@
 	assert.Assert(t, third)
 }
 
-// Records end, and late word of an ended one does not revive it.
-func TestRecordsEnd(t *testing.T) {
+// Records expire, and a late message with an expired record does not revive it.
+func TestRecordsExpire(t *testing.T) {
 	reg, now := suspect.New(), time.Now()
 	re := reg.Crashed(1, true, now)
 	assert.Equal(t, reg.Verdict(1, now).State, suspect.Quarantined)
@@ -172,8 +172,8 @@
 
 func TestFiguresSuspects(t *testing.T) {
 	if os.Getenv("SKYLARKSTAND_MEASURE") == "" {
-		t.Skip("only when measuring")
+		t.Skip("set SKYLARKSTAND_MEASURE=1 or run make measure to print the figures")
 	}
-	figure.AtMost("upstreams-lost-to-one-poisonous-request-of-50", float64(poison(t)), "upstreams", 2)
-	figure.AtMost("innocents-quarantined-in-100-host-losses", float64(innocents(t, 100)), "requests", 0)
+	figure.AtMost("upstreams-lost-to-one-poisonous-request-of-50", float64(sendPoison(t)), "upstreams", 2)
+	figure.AtMost("innocents-quarantined-in-100-host-losses", float64(loseHosts(t, 100)), "requests", 0)
 }
--- a/core/suspect/upstreams.go
+++ b/core/suspect/upstreams.go
@@ -11,23 +11,24 @@
 	"skylarkstand/core/event"
 )
 
-// Upstreams puts a registry before an entry's upstreams. It implements
+// Upstreams guards an entry's upstreams with a registry. It implements
 // [core.Upstreams].
 type Upstreams struct {
 	core.Upstreams
-	deps core.Deps
-	reg  *Registry
-	tell func(Record)
+	deps     core.Deps
+	reg      *Registry
+	announce func(Record)
 }
 
-// NewUpstreams returns ups guarded by a registry. Tell is called with each
-// record that other entries should hear of; it must not block.
-func NewUpstreams(deps core.Deps, ups core.Upstreams, reg *Registry, tell func(Record)) *Upstreams {
-	return &Upstreams{Upstreams: ups, deps: deps, reg: reg, tell: tell}
+// NewUpstreams returns ups guarded by a registry. It calls announce with each record
+// to send to the other entries; announce must not block.
+func NewUpstreams(deps core.Deps, ups core.Upstreams, reg *Registry, announce func(Record)) *Upstreams {
+	return &Upstreams{Upstreams: ups, deps: deps, reg: reg, announce: announce}
 }
 
-// retryAlone is when a copy that runs alone has most likely ended.
-const retryAlone = 2 * time.Second
+// copyRetryAfter is the Retry-After of a suspect while a copy of it runs alone. By then
+// that copy has most likely ended.
+const copyRetryAfter = 2 * time.Second
 
 // Dispatch implements [core.Upstreams].
 func (ups *Upstreams) Dispatch(ctx context.Context, id core.UpstreamID, at *core.Attempt) (core.Answer, error) {
@@ -37,20 +38,20 @@
 	case re.State == Quarantined:
 		return nil, core.Refuse(core.CodeQuarantined, re.Until.Sub(now), "this request crashed an upstream while it ran alone there")
 	case !ok:
-		return nil, core.Refuse(core.CodeSuspected, retryAlone, "an upstream crashed with this request in flight; a copy of it runs alone now")
+		return nil, core.Refuse(core.CodeSuspected, copyRetryAfter, "an upstream crashed with this request in flight; a copy of it runs alone now")
 	}
 	ru := &run{ups: ups, fp: fp, alone: re.State == Suspected, upstream: id}
 	solo := *at
 	solo.Solo = ru.alone
 	ans, err := ups.Upstreams.Dispatch(ctx, id, &solo)
 	if err != nil {
-		ru.failed(err)
+		ru.handleError(err)
 		return nil, err
 	}
 	return &answer{Answer: ans, run: ru}, nil
 }
 
-// run is one attempt that is watched.
+// run is one guarded attempt.
 type run struct {
 	ups      *Upstreams
 	fp       Fingerprint
@@ -59,10 +60,10 @@
 	once     sync.Once
 }
 
-func (ru *run) end(note func()) {
+func (ru *run) end(record func()) {
 	ru.once.Do(func() {
-		if note != nil {
-			note()
+		if record != nil {
+			record()
 		}
 		if ru.alone {
 			ru.ups.reg.End(ru.fp)
@@ -70,7 +71,7 @@
 	})
 }
 
-func (ru *run) failed(err error) {
+func (ru *run) handleError(err error) {
 	var fl *core.Failure
 	if !errors.As(err, &fl) || fl.Code != core.CodeCrashed {
 		ru.end(nil)
@@ -79,11 +80,11 @@
 	ru.end(func() {
 		re := ru.ups.reg.Crashed(ru.fp, ru.alone, time.Now())
 		event.Log(ru.ups.deps.Log, event.UpstreamCrashed, "upstream", ru.upstream, "fingerprint", uint64(ru.fp), "alone", ru.alone)
-		ru.ups.tell(re)
+		ru.ups.announce(re)
 	})
 }
 
-// answer watches how an answer ends.
+// answer wraps an answer to record how it ends.
 type answer struct {
 	core.Answer
 	run *run
@@ -96,7 +97,7 @@
 	case errors.Is(err, io.EOF):
 		an.run.end(func() { an.run.ups.reg.Cleared(an.run.fp) })
 	case err != nil:
-		an.run.failed(err)
+		an.run.handleError(err)
 	}
 	return data, err
 }
