--- a/core/admission/shapes_test.go
+++ b/core/admission/shapes_test.go
@@ -61,7 +61,7 @@
 		slots += st.upstreams * sit.slots
 	}
 	te := sit.tenants[0]
-	return float64(slots) / (float64(te.prompt)*secondsPerPrompt + te.output*secondsPerToken)
+	return float64(slots) / (float64(te.prompt)*secondsPerPromptToken + te.output*secondsPerToken)
 }
 
 // atLoad returns the scenario with the offered load at a multiple of the capacity,
--- a/core/admission/sim_job_test.go
+++ b/core/admission/sim_job_test.go
@@ -31,7 +31,7 @@
 func (jo *job) pickUpstream() (placement.Choice, bool) {
 	si, en := jo.si, jo.en
 	if si.pol.balancing == "" {
-		rq := placement.Request{Pool: pool, Body: 4 * jo.rq.tenant.prompt, Cross: jo.con == en.far, Tried: jo.tried}
+		rq := placement.Request{Pool: pool, Body: 4 * jo.rq.tenant.prompt, Cross: jo.con == en.remote, Tried: jo.tried}
 		return en.pk.Pick(si.clock(), rq, en.views, si.rnd.IntN)
 	}
 	var available []int
@@ -58,9 +58,9 @@
 
 func (jo *job) delay() time.Duration {
 	if jo.up.host.Region != jo.en.site.region {
-		return farDelay
+		return crossRegionDelay
 	}
-	return nearDelay
+	return localDelay
 }
 
 // arriveAtAgent simulates the attempt's arrival at the agent.
@@ -68,7 +68,7 @@
 	if jo.done {
 		return
 	}
-	if up.dead {
+	if up.down {
 		jo.fail(core.Refuse(core.CodeNoUpstream, time.Second, "the link is lost"))
 		return
 	}
@@ -96,7 +96,7 @@
 		factor = si.sit.slow
 	}
 	whole := seconds(rq.service().Seconds() * factor)
-	first := seconds((float64(rq.tenant.prompt)*secondsPerPrompt + secondsPerToken) * factor)
+	first := seconds((float64(rq.tenant.prompt)*secondsPerPromptToken + secondsPerToken) * factor)
 	sent := jo.sent
 	valid := func() bool { return !jo.done && jo.up == up && jo.sent == sent }
 	if si.rnd.Float64() < si.sit.failing {
@@ -183,7 +183,7 @@
 		return
 	}
 	next := up.bo.Exit(jo.si.clock(), jo.pl)
-	if next == nil || up.dead {
+	if next == nil || up.down {
 		return
 	}
 	for other := range up.jobs {
--- a/core/admission/sim_test.go
+++ b/core/admission/sim_test.go
@@ -56,12 +56,12 @@
 }
 
 const (
-	secondsPerPrompt = 0.0002
-	secondsPerToken  = 0.01
-	nearDelay        = time.Millisecond
-	farDelay         = 20 * time.Millisecond
-	bytesPerToken    = 150 // of a response, as a stream event
-	unboundedQueue   = 1 << 30
+	secondsPerPromptToken = 0.0002
+	secondsPerToken       = 0.01
+	localDelay            = time.Millisecond
+	crossRegionDelay      = 20 * time.Millisecond
+	bytesPerToken         = 150 // of a response, as a stream event
+	unboundedQueue        = 1 << 30
 )
 
 type requestState int
@@ -125,14 +125,14 @@
 type upstream struct {
 	host core.Host
 	bo   *execute.Bound
-	dead bool
+	down bool
 	jobs map[*job]bool
 }
 
 type entry struct {
 	site      site
 	con       *admission.Controller
-	far       *admission.Controller // admits to the upstreams of other regions
+	remote    *admission.Controller // admits to the upstreams of other regions
 	pk        *placement.Picker
 	budget    *retry.Budget
 	views     []core.Upstream
@@ -186,7 +186,7 @@
 	}
 	for _, st := range sit.sites {
 		en := &entry{
-			site: st, con: admission.New(admission.Room{}), far: admission.New(admission.Room{}), pk: placement.New(st.zone, st.region), budget: retry.NewBudget(),
+			site: st, con: admission.New(admission.Room{}), remote: admission.New(admission.Room{}), pk: placement.New(st.zone, st.region), budget: retry.NewBudget(),
 			views: make([]core.Upstream, len(si.ups)), waiting: map[*request]*admission.Ticket{},
 		}
 		si.entries = append(si.entries, en)
@@ -217,7 +217,7 @@
 
 func (en *entry) updateView(now time.Time, ix int, up *upstream) {
 	vi := &en.views[ix]
-	vi.Host, vi.Up, vi.Load = up.host, !up.dead, up.bo.Load()
+	vi.Host, vi.Up, vi.Load = up.host, !up.down, up.bo.Load()
 	vi.Reported, vi.OwnThen = now, vi.Own
 }
 
@@ -234,7 +234,7 @@
 }
 
 func (si *sim) kill(up *upstream) {
-	up.dead = true
+	up.down = true
 	lost := make([]*job, 0, len(up.jobs))
 	for jo := range up.jobs {
 		lost = append(lost, jo)
@@ -274,7 +274,7 @@
 }
 
 func (rq *request) service() time.Duration {
-	return seconds(float64(rq.tenant.prompt)*secondsPerPrompt + rq.output*secondsPerToken)
+	return seconds(float64(rq.tenant.prompt)*secondsPerPromptToken + rq.output*secondsPerToken)
 }
 
 func (si *sim) setState(rq *request, en requestState) {
@@ -302,12 +302,12 @@
 	ti, start, fl := en.con.Offer(si.clock(), wo)
 	if fl != nil || !start && en.con.WorthCrossing(ti, body) {
 		wo.NoWait = true
-		en.far.Resize(admission.Room(en.pk.FarRoom(si.clock(), en.views)))
-		if far, ok, _ := en.far.Offer(si.clock(), wo); ok {
+		en.remote.Resize(admission.Room(en.pk.FarRoom(si.clock(), en.views)))
+		if remote, ok, _ := en.remote.Offer(si.clock(), wo); ok {
 			if fl == nil {
 				en.con.Cancel(ti)
 			}
-			ti, start, fl, jo.con = far, true, nil, en.far
+			ti, start, fl, jo.con = remote, true, nil, en.remote
 		}
 	}
 	if fl != nil {
