--- a/core/mirror/change_log.go
+++ b/core/mirror/change_log.go
@@ -7,29 +7,29 @@
 )
 
 const (
-	// maxLogged and maxLoggedBytes bound what is kept of past changes. Who lags by
-	// more reads the store itself.
-	maxLogged      = 1024
-	maxLoggedBytes = 256 << 10
+	// maxLoggedChanges and maxLoggedBytes bound the log of past changes. An entry that
+	// lags behind by more reads the store itself.
+	maxLoggedChanges = 1024
+	maxLoggedBytes   = 256 << 10
 )
 
-// changeLog keeps the newest changes in the order of their revisions.
+// changeLog holds the most recent changes, ordered by revision.
 type changeLog struct {
-	// base is the revision after which no change is missing.
+	// base is the revision after which the log is complete.
 	base    core.Revision
 	changes []core.Change
 	bytes   int
 }
 
-func (cl *changeLog) restart(base core.Revision) { *cl = changeLog{base: base} }
+func (cl *changeLog) reset(base core.Revision) { *cl = changeLog{base: base} }
 
 func (cl *changeLog) add(ch core.Change) {
 	cl.changes = append(cl.changes, ch)
 	cl.bytes += len(ch.Value)
 	drop := 0
-	for len(cl.changes)-drop > maxLogged || cl.bytes > maxLoggedBytes {
+	for len(cl.changes)-drop > maxLoggedChanges || cl.bytes > maxLoggedBytes {
 		cl.base = cl.changes[drop].Revision
-		// Changes of one write share its revision and are of use only together.
+		// Changes of one write share a revision and are dropped together.
 		for drop < len(cl.changes) && cl.changes[drop].Revision == cl.base {
 			cl.bytes -= len(cl.changes[drop].Value)
 			drop++
--- a/core/mirror/follow.go
+++ b/core/mirror/follow.go
@@ -11,97 +11,101 @@
 	"skylarkstand/core/meter"
 )
 
-// News is another entry's copy, as far as it is newer.
+// News is the difference between a revision and another entry's replica.
 type News struct {
+	// Newer reports whether the other entry's replica is newer than the revision.
 	Newer bool
-	// Items replace the copy that was asked about where Whole is set. Otherwise
-	// Changes lead from it to Revision.
+	// Items is the other entry's full copy if Whole is set. Otherwise Changes lead from
+	// the requested revision to Revision.
 	Whole    bool
 	Items    []core.Item
 	Changes  []core.Change
 	Revision core.Revision
-	// Age is how long ago the copy was known to be the newest.
+	// Age is the time since the other entry's replica was last confirmed up to date.
 	Age time.Duration
-	// Doubtful says that removals among the news may be the store's own trouble.
+	// Doubtful reports whether removals may be leases that expired during a store outage.
 	Doubtful bool
 }
 
-// Siblings are the other entries.
+// Siblings fetches updates from the other entries.
 type Siblings interface {
-	// Ask returns the best news that another entry has over a revision.
+	// Ask returns the most recent update since a revision that another entry has.
 	Ask(ctx context.Context, after core.Revision) (News, error)
-	// AskAt returns the changes that the entry at an address has; it fails where some
-	// of them are not kept there.
+	// AskAt returns the changes since a revision from the entry at an address. It fails
+	// if that entry has dropped some of them from its log.
 	AskAt(ctx context.Context, addr string, after core.Revision) (News, error)
 }
 
-// Follower is the duty that keeps a mirror. It implements suture's Service.
+// Follower is the service that keeps a replica up to date. It implements suture.Service.
 //
-// With many entries only a few, the readers, watch the store. The others hear
-// from them which revision is the newest, fetch what they lack, and watch the
-// store themselves whenever they have not heard of a reader in touch with it for
-// [readerTimeout]. Who reads is a hint: with no reader alive everybody reads.
+// With many entries only a few of them, the readers, watch the store. The others receive
+// the newest revision in the readers' digests, fetch the changes they lack, and watch the
+// store themselves if no digest has shown a reader in contact with the store for
+// [readerTimeout]. The choice of readers is only a hint: with no reader alive, every entry
+// watches the store.
 type Follower struct {
-	deps  core.Deps
-	mi    *Mirror
-	feed  core.Feed
-	sibs  Siblings
-	reads func() bool
+	deps core.Deps
+	mi   *Mirror
+	feed core.Feed
+	sibs Siblings
+	// isReader reports whether this entry is one of the readers.
+	isReader func() bool
 
 	mu sync.Mutex
-	// since is when the store began not to answer; zero while it answers.
-	since time.Time
-	// doubt is until when a removal may be a lapsed lease.
-	doubt time.Time
-	// answeredAt is when the store last answered this entry, and contact when it last
-	// answered another one, by what that told.
-	answeredAt, contact time.Time
-	// newest is the digest of the highest revision that another entry told.
+	// downSince is when the store stopped answering; zero while it answers.
+	downSince time.Time
+	// doubtUntil is the time until which a removal may be an expired lease.
+	doubtUntil time.Time
+	// answeredAt is when the store last answered this entry, and siblingAnsweredAt when it
+	// last answered another one, according to that entry's digest.
+	answeredAt, siblingAnsweredAt time.Time
+	// newest is the digest with the highest revision received from another entry.
 	newest Digest
-	// trouble wakes the one who asks siblings, told the one who fetches what
-	// another entry has, and direct the one who watches the store.
-	trouble, told, direct chan struct{}
+	// downSignal wakes pollSiblings, newerSignal wakes fetchNewer, and watchSignal ends
+	// waitForReaders so that the entry watches the store itself.
+	downSignal, newerSignal, watchSignal chan struct{}
 }
 
-// Option changes a Follower at construction.
+// Option configures a Follower.
 type Option func(*Follower)
 
-// Reads sets whether the entry watches the store at all times.
-func Reads(fn func() bool) Option { return func(fo *Follower) { fo.reads = fn } }
+// Reads sets the function that reports whether the entry is a reader, which watches the
+// store at all times. By default every entry is one.
+func Reads(fn func() bool) Option { return func(fo *Follower) { fo.isReader = fn } }
 
 const (
-	// waitTime is how long a watch waits. Where its answer is lost on the way, the
-	// change is found when the wait and a little more are over.
-	waitTime = 2500 * time.Millisecond
-	// probeTime is how long a watch waits while the store is in trouble: its
-	// return must not be noticed only when a long watch that was asked in vain
-	// has run out.
-	probeTime = time.Millisecond
-	// gather is the pause after a watch that brought changes. Upstreams change
-	// in groups, as at a roll-out, and each watch that is asked anew costs a
-	// call; half a second is little of the three that a change has, and mostly
-	// none of them, since a quiet store answers at once.
-	gather = 500 * time.Millisecond
-	// pauseFirst and pauseMost bound the pause after a call that failed. A
-	// store that is down is asked by each entry a few times a second, so that
-	// its return is noticed soon; that is far below its rates.
-	pauseFirst = 100 * time.Millisecond
-	pauseMost  = 400 * time.Millisecond
-	// askEvery is the pause between two questions to siblings while the store
-	// does not answer, and askLimit bounds one.
-	askEvery = 400 * time.Millisecond
-	askLimit = 700 * time.Millisecond
-	// doubtFor is how long after the store's trouble a removal may still be a
-	// lapsed lease: upstreams write themselves back within two seconds.
-	doubtFor = 4 * time.Second
+	// watchWait is how long a watch waits for changes. If the reply with a change is lost,
+	// the change is found shortly after this time has elapsed.
+	watchWait = 2500 * time.Millisecond
+	// probeWait is how long a watch waits during a store outage. With a long wait, a watch
+	// sent during the outage would delay the detection of the store's recovery until it
+	// times out.
+	probeWait = time.Millisecond
+	// batchDelay is the pause after a watch that returned changes. Upstreams change in
+	// groups, for example during a roll-out, and each new watch costs a call. Half a second
+	// is a small part of the three seconds in which a change must arrive, and usually
+	// delays nothing, since a watch on an idle store returns a change at once.
+	batchDelay = 500 * time.Millisecond
+	// minBackoff and maxBackoff bound the pause after a failed call. Each entry calls a
+	// store that is down a few times a second to detect its recovery soon; that is far
+	// below the store's rate limits.
+	minBackoff = 100 * time.Millisecond
+	maxBackoff = 400 * time.Millisecond
+	// siblingPollInterval is the pause between two requests to siblings during a store
+	// outage, and siblingPollTimeout bounds one request.
+	siblingPollInterval = 400 * time.Millisecond
+	siblingPollTimeout  = 700 * time.Millisecond
+	// doubtPeriod is how long after a store outage a removal may still be an expired
+	// lease: upstreams register again within two seconds.
+	doubtPeriod = 4 * time.Second
 )
 
-// NewFollower returns the duty that keeps mi up to date from feed, and from the
-// siblings while that does not answer.
+// NewFollower returns the service that keeps mi up to date from feed, and from the
+// siblings while feed does not answer.
 func NewFollower(deps core.Deps, mi *Mirror, feed core.Feed, sibs Siblings, opts ...Option) *Follower {
 	fo := &Follower{
-		deps: deps, mi: mi, feed: feed, sibs: sibs, reads: func() bool { return true },
-		trouble: make(chan struct{}, 1), told: make(chan struct{}, 1), direct: make(chan struct{}, 1),
+		deps: deps, mi: mi, feed: feed, sibs: sibs, isReader: func() bool { return true },
+		downSignal: make(chan struct{}, 1), newerSignal: make(chan struct{}, 1), watchSignal: make(chan struct{}, 1),
 	}
 	for _, opt := range opts {
 		opt(fo)
@@ -109,19 +113,19 @@
 	return fo
 }
 
-// Serve implements suture's Service.
+// Serve implements suture.Service.
 func (fo *Follower) Serve(ctx context.Context) error {
-	go fo.askSiblings(ctx)
-	go fo.fetchTold(ctx)
-	pause, listed := pauseFirst, false
+	go fo.pollSiblings(ctx)
+	go fo.fetchNewer(ctx)
+	pause, listed := minBackoff, false
 	for ctx.Err() == nil {
-		if listed && fo.idle(ctx) {
+		if listed && fo.waitForReaders(ctx) {
 			continue
 		}
-		err := fo.step(ctx, &listed)
+		err := fo.listOrWatch(ctx, &listed)
 		if err == nil {
-			fo.answered()
-			pause = pauseFirst
+			fo.recordSuccess()
+			pause = minBackoff
 			continue
 		}
 		if ctx.Err() != nil {
@@ -131,130 +135,130 @@
 			listed = false
 			continue
 		}
-		fo.failed(err)
+		fo.recordFailure(err)
 		sleep(ctx, pause)
-		pause = min(2*pause, pauseMost)
+		pause = min(2*pause, maxBackoff)
 	}
 	return ctx.Err()
 }
 
-// step makes one call: a listing first, and a watch from then on.
-func (fo *Follower) step(ctx context.Context, listed *bool) error {
-	asked := time.Now()
+// listOrWatch makes one store call: a listing until one has succeeded, then a watch.
+func (fo *Follower) listOrWatch(ctx context.Context, listed *bool) error {
+	requestedAt := time.Now()
 	if !*listed {
 		items, rev, err := fo.feed.Snapshot(ctx)
 		if err != nil {
 			return err
 		}
-		if fo.mi.Replace(items, rev, asked) {
+		if fo.mi.Replace(items, rev, requestedAt) {
 			event.Log(fo.deps.Log, event.MirrorListed, "revision", rev, "keys", len(items))
 		}
 		*listed = true
 		return nil
 	}
-	wait := waitTime
-	if fo.away() {
-		wait = probeTime
+	wait := watchWait
+	if fo.storeDown() {
+		wait = probeWait
 	}
 	changes, rev, err := fo.feed.Changes(ctx, fo.mi.Revision(), wait)
 	if err != nil {
 		return err
 	}
-	fo.mi.Apply(changes, rev, asked)
+	fo.mi.Apply(changes, rev, requestedAt)
 	if len(changes) > 0 {
-		sleep(ctx, gather)
+		sleep(ctx, batchDelay)
 	}
 	return nil
 }
 
-func (fo *Follower) failed(err error) {
+func (fo *Follower) recordFailure(err error) {
 	fo.mu.Lock()
-	first := fo.since.IsZero()
+	first := fo.downSince.IsZero()
 	if first {
-		fo.since = time.Now()
+		fo.downSince = time.Now()
 	}
 	fo.mu.Unlock()
 	if first {
 		event.Log(fo.deps.Log, event.StoreDown, "error", err, "revision", fo.mi.Revision())
 	}
 	meter.StoreWatchFailed.Inc(fo.deps.Metrics)
-	wake(fo.trouble)
+	wake(fo.downSignal)
 }
 
-// away reports whether the store does not answer now.
-func (fo *Follower) away() bool {
+// storeDown reports whether the store currently does not answer.
+func (fo *Follower) storeDown() bool {
 	fo.mu.Lock()
 	defer fo.mu.Unlock()
-	return !fo.since.IsZero()
+	return !fo.downSince.IsZero()
 }
 
-func (fo *Follower) answered() {
+func (fo *Follower) recordSuccess() {
 	now := time.Now()
 	fo.mu.Lock()
-	since := fo.since
-	if !since.IsZero() {
-		fo.since, fo.doubt = time.Time{}, now.Add(doubtFor)
+	downSince := fo.downSince
+	if !downSince.IsZero() {
+		fo.downSince, fo.doubtUntil = time.Time{}, now.Add(doubtPeriod)
 	}
 	fo.answeredAt = now
 	fo.mu.Unlock()
-	if !since.IsZero() {
-		event.Log(fo.deps.Log, event.StoreBack, "away", time.Since(since), "revision", fo.mi.Revision())
+	if !downSince.IsZero() {
+		event.Log(fo.deps.Log, event.StoreBack, "away", time.Since(downSince), "revision", fo.mi.Revision())
 	}
 }
 
-// Doubtful reports whether a removal that is heard of now may be a lease that
-// ran out in the store's own trouble.
+// Doubtful reports whether a removal seen now may be a lease that expired during a store
+// outage.
 func (fo *Follower) Doubtful(now time.Time) bool {
 	fo.mu.Lock()
 	defer fo.mu.Unlock()
-	return !fo.since.IsZero() || now.Before(fo.doubt)
+	return !fo.downSince.IsZero() || now.Before(fo.doubtUntil)
 }
 
-// askSiblings asks the other entries for news while the store does not answer.
+// pollSiblings fetches updates from the other entries while the store does not answer.
 //
-// The store may turn this host away, or be cut off from it, while it serves the
-// others and takes changes from the operators. A key that was taken away would
-// go on working here for as long as that lasts.
-func (fo *Follower) askSiblings(ctx context.Context) {
+// The store may reject this host, or be cut off from it, while it serves the others and
+// accepts changes from operators. Without updates from siblings, a revoked key would
+// remain valid here until the store answers again.
+func (fo *Follower) pollSiblings(ctx context.Context) {
 	for ctx.Err() == nil {
 		select {
 		case <-ctx.Done():
 			return
-		case <-fo.trouble:
+		case <-fo.downSignal:
 		}
-		for fo.away() && ctx.Err() == nil {
-			fo.ask(ctx)
-			sleep(ctx, askEvery)
+		for fo.storeDown() && ctx.Err() == nil {
+			fo.pollSibling(ctx)
+			sleep(ctx, siblingPollInterval)
 		}
 	}
 }
 
-func (fo *Follower) ask(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, askLimit)
+func (fo *Follower) pollSibling(ctx context.Context) {
+	ctx, cancel := context.WithTimeout(ctx, siblingPollTimeout)
 	defer cancel()
-	asked := time.Now()
+	requestedAt := time.Now()
 	ne, err := fo.sibs.Ask(ctx, fo.mi.Revision())
 	if err != nil {
 		meter.SiblingsSilent.Inc(fo.deps.Metrics)
 		return
 	}
-	fo.take(ne, asked)
+	fo.applyNews(ne, requestedAt)
 }
 
-// take takes in the news that another entry had at a moment after asked.
-func (fo *Follower) take(ne News, asked time.Time) {
+// applyNews applies an update that another entry sent after requestedAt.
+func (fo *Follower) applyNews(ne News, requestedAt time.Time) {
 	if ne.Doubtful {
 		fo.mu.Lock()
-		fo.doubt = time.Now().Add(doubtFor)
+		fo.doubtUntil = time.Now().Add(doubtPeriod)
 		fo.mu.Unlock()
 	}
-	heard := asked.Add(-ne.Age)
+	confirmedAt := requestedAt.Add(-ne.Age)
 	switch {
 	case !ne.Newer:
-		fo.mi.Apply(nil, ne.Revision, heard)
+		fo.mi.Apply(nil, ne.Revision, confirmedAt)
 	case !ne.Whole:
-		fo.mi.Apply(ne.Changes, ne.Revision, heard)
-	case fo.mi.Replace(ne.Items, ne.Revision, heard):
+		fo.mi.Apply(ne.Changes, ne.Revision, confirmedAt)
+	case fo.mi.Replace(ne.Items, ne.Revision, confirmedAt):
 		event.Log(fo.deps.Log, event.MirrorBySibling, "revision", ne.Revision, "age", ne.Age, "keys", len(ne.Items))
 	}
 }
--- a/core/mirror/follow_test.go
+++ b/core/mirror/follow_test.go
@@ -14,25 +14,25 @@
 	"skylarkstand/core/mirror"
 )
 
-// configuration is the key that the tests write.
-const configuration = "op/config"
+// configKey is the key that the tests write.
+const configKey = "op/config"
 
-// shop is a store that can go silent, turn away, and drop its history.
-type shop struct {
-	mu      sync.Mutex
-	items   []core.Item
-	rev     core.Revision
-	silent  bool
-	busy    bool
-	compact bool
-	// lose has the next answer with changes lost.
-	lose bool
-	// watches counts the calls that wait for changes.
+// fakeStore is a store that can hang, reject calls, and drop its history.
+type fakeStore struct {
+	mu        sync.Mutex
+	items     []core.Item
+	rev       core.Revision
+	silent    bool
+	rejecting bool
+	compact   bool
+	// loseReply makes the store lose its next reply that contains changes.
+	loseReply bool
+	// watches counts the watch calls.
 	watches int
 }
 
-func (sh *shop) put(val string) {
-	const key = configuration
+func (sh *fakeStore) put(val string) {
+	const key = configKey
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
 	sh.rev++
@@ -45,18 +45,18 @@
 	sh.items = append(sh.items, core.Item{Key: key, Value: []byte(val), Revision: sh.rev})
 }
 
-func (sh *shop) set(fn func()) {
+func (sh *fakeStore) set(fn func()) {
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
 	fn()
 }
 
-// answer waits for as long as the store is silent, at most a little longer than
-// asked for, as a client's own limit does.
-func (sh *shop) answer(ctx context.Context, wait time.Duration) error {
+// respond hangs while the store is silent, for at most a little longer than the requested
+// wait, like a client with its own timeout.
+func (sh *fakeStore) respond(ctx context.Context, wait time.Duration) error {
 	sh.mu.Lock()
 
-	silent, busy := sh.silent, sh.busy
+	silent, rejecting := sh.silent, sh.rejecting
 	sh.mu.Unlock()
 	switch {
 	case silent:
@@ -65,23 +65,23 @@
 		case <-time.After(wait + 700*time.Millisecond):
 		}
 		return core.ErrUnavailable
-	case busy:
+	case rejecting:
 		return core.ErrUnavailable
 	}
 	return ctx.Err()
 }
 
-// loses reports whether the answer at hand is lost, once.
-func (sh *shop) loses() bool {
+// takeLoseReply reports whether the current reply is lost, and resets the flag.
+func (sh *fakeStore) takeLoseReply() bool {
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
-	was := sh.lose
-	sh.lose = false
+	was := sh.loseReply
+	sh.loseReply = false
 	return was
 }
 
-func (sh *shop) Snapshot(ctx context.Context) ([]core.Item, core.Revision, error) {
-	if err := sh.answer(ctx, 0); err != nil {
+func (sh *fakeStore) Snapshot(ctx context.Context) ([]core.Item, core.Revision, error) {
+	if err := sh.respond(ctx, 0); err != nil {
 		return nil, 0, err
 	}
 	sh.mu.Lock()
@@ -90,11 +90,11 @@
 	return append([]core.Item(nil), sh.items...), sh.rev, nil
 }
 
-func (sh *shop) Changes(ctx context.Context, after core.Revision, wait time.Duration) ([]core.Change, core.Revision, error) {
+func (sh *fakeStore) Changes(ctx context.Context, after core.Revision, wait time.Duration) ([]core.Change, core.Revision, error) {
 	until := time.Now().Add(wait)
 	sh.set(func() { sh.watches++ })
 	for {
-		if err := sh.answer(ctx, time.Until(until)); err != nil {
+		if err := sh.respond(ctx, time.Until(until)); err != nil {
 			return nil, 0, err
 		}
 		sh.mu.Lock()
@@ -109,7 +109,7 @@
 		switch {
 		case compact:
 			return nil, 0, core.ErrCompacted
-		case len(out) > 0 && sh.loses():
+		case len(out) > 0 && sh.takeLoseReply():
 			time.Sleep(time.Until(until) + 700*time.Millisecond)
 			return nil, 0, core.ErrUnavailable
 		case len(out) > 0 || !time.Now().Before(until):
@@ -119,23 +119,23 @@
 	}
 }
 
-// sister is another entry with a mirror of its own.
-type sister struct{ mi *mirror.Mirror }
+// fakeSibling is another entry with its own replica.
+type fakeSibling struct{ mi *mirror.Mirror }
 
-func (si sister) Ask(_ context.Context, after core.Revision) (mirror.News, error) {
+func (si fakeSibling) Ask(_ context.Context, after core.Revision) (mirror.News, error) {
 	if si.mi == nil {
-		return mirror.News{}, errors.New("there is none")
+		return mirror.News{}, errors.New("no sibling")
 	}
-	items, rev, heard := si.mi.Copy("")
-	return mirror.News{Newer: rev > after, Whole: true, Items: items, Revision: rev, Age: time.Since(heard)}, nil
+	items, rev, confirmedAt := si.mi.Copy("")
+	return mirror.News{Newer: rev > after, Whole: true, Items: items, Revision: rev, Age: time.Since(confirmedAt)}, nil
 }
 
-func (si sister) AskAt(ctx context.Context, _ string, after core.Revision) (mirror.News, error) {
+func (si fakeSibling) AskAt(ctx context.Context, _ string, after core.Revision) (mirror.News, error) {
 	return si.Ask(ctx, after)
 }
 
-// follow runs a follower in a bubble of its own time.
-func follow(t *testing.T, sh *shop, si mirror.Siblings, play func(mi *mirror.Mirror, fo *mirror.Follower), opts ...mirror.Option) {
+// runFollower runs a follower in a synctest bubble.
+func runFollower(t *testing.T, sh *fakeStore, si mirror.Siblings, test func(mi *mirror.Mirror, fo *mirror.Follower), opts ...mirror.Option) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		mi := mirror.New()
@@ -147,124 +147,122 @@
 			_ = fo.Serve(ctx)
 		}()
 		time.Sleep(time.Second)
-		play(mi, fo)
+		test(mi, fo)
 		cancel()
 		<-done
 		synctest.Wait()
 	})
 }
 
-// holdsTwo checks that the second value has arrived.
-func holdsTwo(t *testing.T, mi *mirror.Mirror) {
+// assertSecondValue checks that the second value has arrived.
+func assertSecondValue(t *testing.T, mi *mirror.Mirror) {
 	t.Helper()
-	it, ok := mi.Get(configuration)
+	it, ok := mi.Get(configKey)
 	assert.Assert(t, ok)
 	assert.Equal(t, string(it.Value), "two")
 }
 
-// hearsOfTwo changes the value while the store does harm, and checks that the
-// change arrives within a time.
-func hearsOfTwo(t *testing.T, harm func(sh *shop), within time.Duration) {
+// assertChangeArrives changes the value after injecting a fault into the store, and checks
+// that the change arrives within the given time.
+func assertChangeArrives(t *testing.T, fault func(sh *fakeStore), within time.Duration) {
 	t.Helper()
-	sh := new(shop)
+	sh := new(fakeStore)
 	sh.put("one")
-	follow(t, sh, sister{}, func(mi *mirror.Mirror, _ *mirror.Follower) {
-		sh.set(func() { harm(sh) })
+	runFollower(t, sh, fakeSibling{}, func(mi *mirror.Mirror, _ *mirror.Follower) {
+		sh.set(func() { fault(sh) })
 		sh.put("two")
 		time.Sleep(within)
-		holdsTwo(t, mi)
+		assertSecondValue(t, mi)
 	})
 }
 
-// The store goes silent for seven seconds: calls to it hang. An operator's
-// change is accepted the moment it is back. A process whose watch was asked just
-// before then must not wait for it to run out; its callers would meet the old
-// configuration for five seconds longer than those of its neighbour.
-func TestChangeAfterASilentStore(t *testing.T) {
+// Guards against a change that is noticed late after store calls hung for some seconds,
+// such as seven: the store accepts an operator's change when it recovers, while a watch
+// sent just before still waits for its timeout. Callers would get the old configuration
+// for five seconds longer than at the next entry.
+func TestChangeArrivesAfterStoreHang(t *testing.T) {
 	for _, silence := range []time.Duration{3 * time.Second, 7 * time.Second, 7300 * time.Millisecond, 9900 * time.Millisecond} {
-		sh := new(shop)
+		sh := new(fakeStore)
 		sh.put("one")
-		follow(t, sh, sister{}, func(mi *mirror.Mirror, _ *mirror.Follower) {
+		runFollower(t, sh, fakeSibling{}, func(mi *mirror.Mirror, _ *mirror.Follower) {
 			sh.set(func() { sh.silent = true })
 			time.Sleep(silence)
 			sh.set(func() { sh.silent = false })
 			sh.put("two")
 			time.Sleep(2500 * time.Millisecond)
-			holdsTwo(t, mi)
+			assertSecondValue(t, mi)
 		})
 	}
 }
 
-// The answer that tells of a change is lost on the way. Its caller cannot know; the
-// change must still be in force within four seconds, or callers meet the old
-// configuration, and a roll-out misses its time.
-func TestAnswerWithTheChangeIsLost(t *testing.T) {
-	hearsOfTwo(t, func(sh *shop) { sh.lose = true }, 4*time.Second)
+// Guards against a change that is missed when the watch reply with it is lost, which the
+// client cannot detect. The change must still arrive within four seconds, or callers get
+// the old configuration and a roll-out misses its deadline.
+func TestLostWatchReply(t *testing.T) {
+	assertChangeArrives(t, func(sh *fakeStore) { sh.loseReply = true }, 4*time.Second)
 }
 
-// The store turns this host away and serves the others. A key is taken away
-// meanwhile; it would go on working here for as long as that lasts, if the
-// process did not ask another entry.
-func TestSiblingHasTheNews(t *testing.T) {
-	sh := new(shop)
+// Guards against a revoked key that stays valid here while the store rejects this host and
+// serves the others: the process must fetch the change from another entry.
+func TestNewerCopyFromSibling(t *testing.T) {
+	sh := new(fakeStore)
 	sh.put("one")
 	other := mirror.New()
-	follow(t, sh, sister{other}, func(mi *mirror.Mirror, fo *mirror.Follower) {
-		sh.set(func() { sh.busy = true })
+	runFollower(t, sh, fakeSibling{other}, func(mi *mirror.Mirror, fo *mirror.Follower) {
+		sh.set(func() { sh.rejecting = true })
 		time.Sleep(4 * time.Second)
-		other.Replace([]core.Item{{Key: configuration, Value: []byte("two"), Revision: 7}}, 7, time.Now())
+		other.Replace([]core.Item{{Key: configKey, Value: []byte("two"), Revision: 7}}, 7, time.Now())
 		time.Sleep(time.Second)
-		holdsTwo(t, mi)
-		assert.Assert(t, fo.Doubtful(time.Now()), "a removal now may be the store's own trouble")
+		assertSecondValue(t, mi)
+		assert.Assert(t, fo.Doubtful(time.Now()), "a removal now may be caused by the store outage")
 	})
 }
 
-// The store drops its history, so that a watch cannot go on. What changed in
-// the gap must be found by reading all anew; a process that watched on from the
-// newest revision would never hear of it.
-func TestHistoryGone(t *testing.T) {
-	hearsOfTwo(t, func(sh *shop) { sh.compact = true }, 3500*time.Millisecond)
+// Guards against changes that are missed when the store drops its history and a watch
+// cannot continue: a process that resumed from the newest revision would never see them,
+// so it must list all keys again.
+func TestDroppedHistory(t *testing.T) {
+	assertChangeArrives(t, func(sh *fakeStore) { sh.compact = true }, 3500*time.Millisecond)
 }
 
-// A sibling that is behind answers, or a listing that was asked for long ago
-// arrives late. A configuration that was in force must not go back to an older
-// one.
-func TestOlderCopyIsPassedOver(t *testing.T) {
+// Guards against a configuration that is replaced by an older one, from a sibling that
+// lags behind or a listing that arrives late.
+func TestOlderCopyIsIgnored(t *testing.T) {
 	mi := mirror.New()
 	now := time.Now()
-	mi.Replace([]core.Item{{Key: configuration, Value: []byte("two"), Revision: 9}}, 9, now)
-	assert.Assert(t, !mi.Replace([]core.Item{{Key: configuration, Value: []byte("one"), Revision: 4}}, 8, now))
-	mi.Apply([]core.Change{{Item: core.Item{Key: configuration, Value: []byte("one"), Revision: 4}}}, 9, now)
-	holdsTwo(t, mi)
+	mi.Replace([]core.Item{{Key: configKey, Value: []byte("two"), Revision: 9}}, 9, now)
+	assert.Assert(t, !mi.Replace([]core.Item{{Key: configKey, Value: []byte("one"), Revision: 4}}, 8, now))
+	mi.Apply([]core.Change{{Item: core.Item{Key: configKey, Value: []byte("one"), Revision: 4}}}, 9, now)
+	assertSecondValue(t, mi)
 }
 
-// A quiet store is watched by calls that wait. Each costs, so there must be few;
-// but what no call has confirmed for seconds counts as stale, and its callers
-// would be refused for keys and routes that are only unknown.
-func TestQuietStoreCostsFewCalls(t *testing.T) {
-	sh := new(shop)
+// Guards against too many watch calls on an idle store, each of which has a cost, and
+// against too few: a replica that no call has confirmed for seconds counts as stale, and
+// callers would be refused because of keys and routes that are merely unknown.
+func TestIdleStoreNeedsFewCalls(t *testing.T) {
+	sh := new(fakeStore)
 	sh.put("one")
-	follow(t, sh, sister{}, func(mi *mirror.Mirror, _ *mirror.Follower) {
+	runFollower(t, sh, fakeSibling{}, func(mi *mirror.Mirror, _ *mirror.Follower) {
 		before := mi.Age(time.Now())
 		assert.Assert(t, before < 3*time.Second)
 		for range 600 {
 			time.Sleep(100 * time.Millisecond)
-			assert.Assert(t, mi.Age(time.Now()) < 6*time.Second, "each answer confirms the copy")
+			assert.Assert(t, mi.Age(time.Now()) < 6*time.Second, "each reply confirms the replica")
 		}
 		sh.set(func() { assert.Assert(t, sh.watches <= 25, "%d calls in a minute", sh.watches) })
 	})
 }
 
-// TestChangesThatWereSkippedAreMarked guards against a decision that takes the
-// changes of a new copy for all that there were.
-func TestChangesThatWereSkippedAreMarked(t *testing.T) {
+// TestSkippedChangesAreMarked guards against a subscriber that takes the changes of a new
+// copy for the complete history.
+func TestSkippedChangesAreMarked(t *testing.T) {
 	mi := mirror.New()
 	var got []core.Change
 	mi.Subscribe(func(changes []core.Change) { got = append(got, changes...) })
 	put := func(key string, re core.Revision) core.Change {
 		return core.Change{Item: core.Item{Key: key, Revision: re}}
 	}
-	// A page that was read later holds a key that is newer than the listing.
+	// A page that is read later contains a key newer than the listing's revision.
 	mi.Replace([]core.Item{put("a", 3).Item, put("b", 8).Item}, 5, time.Now())
 	mi.Apply([]core.Change{put("c", 7)}, 7, time.Now())
 	mi.Apply([]core.Change{put("b", 8), put("d", 9)}, 9, time.Now())
--- a/core/mirror/mirror.go
+++ b/core/mirror/mirror.go
@@ -1,20 +1,20 @@
-// Package mirror keeps a copy of the small part of the store that a process
-// decides by, at one revision, and tells its parts what changed.
+// Package mirror keeps a local replica of the store's keys that a process depends on,
+// at a single revision, and notifies subscribers of changes.
 //
-// The copy comes from the store, by a first listing and then a watch, or from
-// another entry when the store does not answer this one. A copy of a higher
-// revision replaces one of a lower; it is never the other way round, so that
-// nothing that was in force is forgotten again. A store that turns away single
-// hosts, or a cut between a host and the store, then costs that host only the
-// way over a sibling.
+// The replica is filled from the store, by an initial listing followed by watches, or
+// from another entry while the store does not answer this one. A copy with a higher
+// revision replaces one with a lower revision and never the reverse, so that a
+// configuration in force is never rolled back by stale data. If the store rejects
+// single hosts, or a host is cut off from the store, that host only needs the detour
+// through a sibling entry.
 //
 // # Usage
 //
 //	mi := mirror.New()
 //	mi.Subscribe(func(ch []core.Change) { … })
-//	mi.Replace(items, rev)              // after a listing
-//	mi.Apply(events, rev)               // after a watch
-//	age := mi.Age(now)                  // since the copy was known to be newest
+//	mi.Replace(items, rev, time.Now())  // after a listing
+//	mi.Apply(events, rev, time.Now())   // after a watch
+//	age := mi.Age(time.Now())           // since the replica was last confirmed up to date
 package mirror
 
 import (
@@ -27,32 +27,33 @@
 	"skylarkstand/core"
 )
 
-// Mirror is safe for concurrent use. Its subscribers are called one at a time,
-// in the order of the changes.
+// Mirror is a replica of the store's keys. It is safe for concurrent use. Its subscribers
+// are called one at a time, in the order of the changes.
 type Mirror struct {
 	mu    sync.Mutex
 	items map[string]core.Item
 	rev   core.Revision
-	heard time.Time
-	// settled is the revision from which on no change was missed.
-	settled core.Revision
-	log     changeLog
-	// tell keeps subscribers in order without holding up readers.
-	tell sync.Mutex
-	subs []func([]core.Change)
+	// confirmedAt is when the replica was last confirmed up to date.
+	confirmedAt time.Time
+	// completeAfter is the revision after which no change was skipped.
+	completeAfter core.Revision
+	log           changeLog
+	// publishMu serializes notifications without blocking readers of the replica.
+	publishMu sync.Mutex
+	subs      []func([]core.Change)
 }
 
-// New returns an empty mirror.
+// New returns an empty replica.
 func New() *Mirror { return &Mirror{items: map[string]core.Item{}} }
 
-// Subscribe adds what is told of changes. It is called before the first one.
+// Subscribe registers a callback for changes. It must be called before the first change.
 func (mi *Mirror) Subscribe(fn func([]core.Change)) { mi.subs = append(mi.subs, fn) }
 
-// Replace takes over a whole copy, and reports whether it was as new as the
-// one that was held.
-func (mi *Mirror) Replace(items []core.Item, rev core.Revision, heard time.Time) bool {
-	mi.tell.Lock()
-	defer mi.tell.Unlock()
+// Replace installs a full copy that was up to date at confirmedAt. It returns false and
+// keeps the current copy if the new one has a lower revision.
+func (mi *Mirror) Replace(items []core.Item, rev core.Revision, confirmedAt time.Time) bool {
+	mi.publishMu.Lock()
+	defer mi.publishMu.Unlock()
 	mi.mu.Lock()
 	if rev < mi.rev {
 		mi.mu.Unlock()
@@ -60,10 +61,10 @@
 	}
 	fresh := make(map[string]core.Item, len(items))
 	var out []core.Change
-	settled := rev
+	completeAfter := rev
 	for _, it := range items {
 		fresh[it.Key] = it
-		settled = max(settled, it.Revision)
+		completeAfter = max(completeAfter, it.Revision)
 		if old, ok := mi.items[it.Key]; !ok || old.Revision < it.Revision {
 			out = append(out, core.Change{Item: it, Skipped: true})
 		}
@@ -73,25 +74,26 @@
 			out = append(out, core.Change{Item: it, Gone: true, Skipped: true})
 		}
 	}
-	mi.items, mi.rev, mi.settled = fresh, rev, settled
-	mi.log.restart(rev)
-	mi.hear(heard)
+	mi.items, mi.rev, mi.completeAfter = fresh, rev, completeAfter
+	mi.log.reset(rev)
+	mi.confirm(confirmedAt)
 	mi.mu.Unlock()
 	slices.SortFunc(out, func(a, b core.Change) int { return cmp.Compare(a.Revision, b.Revision) })
 	mi.publish(out)
 	return true
 }
 
-// Apply takes in the events of a watch that began at the mirror's revision.
-// Events that are known already are passed over.
-func (mi *Mirror) Apply(events []core.Change, rev core.Revision, heard time.Time) {
-	mi.tell.Lock()
-	defer mi.tell.Unlock()
+// Apply applies the events of a watch that started at the replica's revision. Events
+// that were applied before are skipped.
+func (mi *Mirror) Apply(events []core.Change, rev core.Revision, confirmedAt time.Time) {
+	mi.publishMu.Lock()
+	defer mi.publishMu.Unlock()
 	mi.mu.Lock()
 	var out []core.Change
 	for _, ev := range events {
-		// Also one that is known: a listing holds keys that are newer than its
-		// revision, and who asks for the changes since then may not have them.
+		// Also logs events that were applied before: a listing may contain keys newer
+		// than its revision, and an entry that requests the changes since that revision
+		// may lack them.
 		if ev.Revision > mi.rev {
 			mi.log.add(ev)
 		}
@@ -100,17 +102,17 @@
 			continue
 		}
 		if ev.Gone {
-			// Who is told of a removal needs what was removed.
+			// Subscribers need the removed value.
 			ev.Value = old.Value
 			delete(mi.items, ev.Key)
 		} else {
 			mi.items[ev.Key] = ev.Item
 		}
-		ev.Skipped = ev.Revision <= mi.settled
+		ev.Skipped = ev.Revision <= mi.completeAfter
 		out = append(out, ev)
 	}
 	mi.rev = max(mi.rev, rev)
-	mi.hear(heard)
+	mi.confirm(confirmedAt)
 	mi.mu.Unlock()
 	mi.publish(out)
 }
@@ -124,28 +126,28 @@
 	}
 }
 
-func (mi *Mirror) hear(at time.Time) {
-	if at.After(mi.heard) {
-		mi.heard = at
+func (mi *Mirror) confirm(at time.Time) {
+	if at.After(mi.confirmedAt) {
+		mi.confirmedAt = at
 	}
 }
 
-// Revision returns the revision of the copy; 0 is none yet.
+// Revision returns the revision of the replica, or 0 before the first copy.
 func (mi *Mirror) Revision() core.Revision {
 	mi.mu.Lock()
 	defer mi.mu.Unlock()
 	return mi.rev
 }
 
-// Age returns how long ago the copy was known to be the newest.
+// Age returns the time since the replica was last confirmed up to date.
 func (mi *Mirror) Age(now time.Time) time.Duration {
 	mi.mu.Lock()
 	defer mi.mu.Unlock()
-	return now.Sub(mi.heard)
+	return now.Sub(mi.confirmedAt)
 }
 
-// Since returns the changes after a revision and the revision that they reach,
-// or false when some of them are not kept any more.
+// Since returns the changes after a revision and the revision they lead to, or false if
+// some of them were already dropped from the log.
 func (mi *Mirror) Since(after core.Revision) ([]core.Change, core.Revision, bool) {
 	mi.mu.Lock()
 	defer mi.mu.Unlock()
@@ -153,7 +155,7 @@
 	return changes, mi.rev, ok
 }
 
-// Get returns one key of the copy.
+// Get returns one key of the replica.
 func (mi *Mirror) Get(key string) (core.Item, bool) {
 	mi.mu.Lock()
 	defer mi.mu.Unlock()
@@ -161,8 +163,8 @@
 	return it, ok
 }
 
-// Copy returns the keys with a prefix, in order, the copy's revision, and when
-// it was known to be the newest.
+// Copy returns the keys with a prefix in sorted order, the replica's revision, and the
+// time at which the replica was last confirmed up to date.
 func (mi *Mirror) Copy(prefix string) ([]core.Item, core.Revision, time.Time) {
 	mi.mu.Lock()
 	defer mi.mu.Unlock()
@@ -173,5 +175,5 @@
 		}
 	}
 	slices.SortFunc(out, func(a, b core.Item) int { return strings.Compare(a.Key, b.Key) })
-	return out, mi.rev, mi.heard
+	return out, mi.rev, mi.confirmedAt
 }
--- a/core/mirror/readers.go
+++ b/core/mirror/readers.go
@@ -7,53 +7,54 @@
 	"skylarkstand/core"
 )
 
-// Digest is what an entry tells the others of its copy, several times a second.
+// Digest is the state of an entry's replica, gossiped several times a second.
 type Digest struct {
-	// From is where the entry answers, and Revision that of its copy.
+	// From is the address at which the entry serves its replica, and Revision the
+	// replica's revision.
 	From     string
 	Revision core.Revision
-	// Age is how long ago the copy was known to be the newest.
+	// Age is the time since the replica was last confirmed up to date.
 	Age time.Duration
-	// Contact is how long ago the store last answered the entry, or [NoContact].
+	// Contact is the time since the store last answered the entry, or [NoContact].
 	Contact time.Duration
 }
 
-// NoContact is the contact of an entry that the store does not answer now.
+// NoContact is the Contact of an entry that currently gets no answers from the store.
 const NoContact = -time.Second
 
 const (
-	// readerTimeout is how long after the store last answered any reader an entry still
-	// relies on readers: a watch that brings nothing, and two rounds of telling.
-	readerTimeout = waitTime + 500*time.Millisecond
-	// idleLimit bounds how long a change of readers goes unnoticed.
-	idleLimit = 500 * time.Millisecond
-	// fetchLimit bounds one fetch, after which the store is watched instead.
-	fetchLimit = 500 * time.Millisecond
-	// watchGrace is the time in which an entry that watches the store mostly hears
-	// itself what another one tells it has.
+	// readerTimeout is how long after the store's last answer to any reader an entry still
+	// relies on readers: the wait of a watch without changes plus two gossip rounds.
+	readerTimeout = watchWait + 500*time.Millisecond
+	// readerCheckInterval bounds how long a change of readers goes unnoticed.
+	readerCheckInterval = 500 * time.Millisecond
+	// fetchTimeout bounds one fetch; on failure the entry watches the store instead.
+	fetchTimeout = 500 * time.Millisecond
+	// watchGrace is the time within which an entry that watches the store usually receives
+	// a change itself after another entry has announced it.
 	watchGrace = 150 * time.Millisecond
 )
 
-// Digest returns what this entry tells the others.
+// Digest returns the digest of this entry's replica.
 func (fo *Follower) Digest(now time.Time) Digest {
 	di := Digest{Revision: fo.mi.Revision(), Age: fo.mi.Age(now), Contact: NoContact}
 	fo.mu.Lock()
 	defer fo.mu.Unlock()
-	if !fo.answeredAt.IsZero() && fo.since.IsZero() {
+	if !fo.answeredAt.IsZero() && fo.downSince.IsZero() {
 		di.Contact = now.Sub(fo.answeredAt)
 	}
 	return di
 }
 
-// Told takes in another entry's digest.
+// Told processes a digest received from another entry.
 func (fo *Follower) Told(now time.Time, di Digest) {
 	have := fo.mi.Revision()
 	if have == 0 {
-		return // The first copy is listed.
+		return // The first copy comes from a listing.
 	}
 	fo.mu.Lock()
-	if at := now.Add(-di.Contact); di.Contact >= 0 && at.After(fo.contact) {
-		fo.contact = at
+	if at := now.Add(-di.Contact); di.Contact >= 0 && at.After(fo.siblingAnsweredAt) {
+		fo.siblingAnsweredAt = at
 	}
 	newer := di.Revision > have
 	if newer && di.Revision >= fo.newest.Revision {
@@ -62,48 +63,49 @@
 	fo.mu.Unlock()
 	switch {
 	case newer:
-		wake(fo.told)
+		wake(fo.newerSignal)
 	case di.Revision == have:
 		fo.mi.Apply(nil, have, now.Add(-di.Age))
 	}
 }
 
-// relies reports whether the readers watch the store for this entry now.
-func (fo *Follower) relies(now time.Time) bool {
-	if fo.reads() {
+// reliesOnReaders reports whether readers currently watch the store for this entry.
+func (fo *Follower) reliesOnReaders(now time.Time) bool {
+	if fo.isReader() {
 		return false
 	}
 	fo.mu.Lock()
 	defer fo.mu.Unlock()
-	return fo.since.IsZero() && now.Sub(fo.contact) < readerTimeout
+	return fo.downSince.IsZero() && now.Sub(fo.siblingAnsweredAt) < readerTimeout
 }
 
-// idle waits while the readers watch the store, and reports whether they did.
-func (fo *Follower) idle(ctx context.Context) bool {
-	if !fo.relies(time.Now()) {
+// waitForReaders waits for up to readerCheckInterval while readers watch the store. It
+// returns false if this entry must watch the store itself.
+func (fo *Follower) waitForReaders(ctx context.Context) bool {
+	if !fo.reliesOnReaders(time.Now()) {
 		return false
 	}
-	ti := time.NewTimer(idleLimit)
+	ti := time.NewTimer(readerCheckInterval)
 	defer ti.Stop()
 	select {
 	case <-ctx.Done():
 	case <-ti.C:
-	case <-fo.direct:
+	case <-fo.watchSignal:
 		return false
 	}
 	return true
 }
 
-// fetchTold fetches what other entries tell that they have. Where the one that
-// told does not answer, the store is watched at once.
-func (fo *Follower) fetchTold(ctx context.Context) {
+// fetchNewer fetches changes that other entries announce. If the announcing entry does
+// not answer, this entry watches the store at once.
+func (fo *Follower) fetchNewer(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-fo.told:
+		case <-fo.newerSignal:
 		}
-		if !fo.relies(time.Now()) {
+		if !fo.reliesOnReaders(time.Now()) {
 			sleep(ctx, watchGrace)
 		}
 		fo.mu.Lock()
@@ -113,24 +115,24 @@
 			continue
 		}
 		if !fo.fetch(ctx, di.From) {
-			wake(fo.direct)
+			wake(fo.watchSignal)
 		}
 	}
 }
 
 func (fo *Follower) fetch(ctx context.Context, addr string) bool {
-	ctx, cancel := context.WithTimeout(ctx, fetchLimit)
+	ctx, cancel := context.WithTimeout(ctx, fetchTimeout)
 	defer cancel()
-	asked := time.Now()
+	requestedAt := time.Now()
 	ne, err := fo.sibs.AskAt(ctx, addr, fo.mi.Revision())
 	if err != nil {
 		return false
 	}
-	fo.take(ne, asked)
+	fo.applyNews(ne, requestedAt)
 	return true
 }
 
-// wake has the one that waits on a channel look again.
+// wake signals a channel without blocking.
 func wake(ch chan struct{}) {
 	select {
 	case ch <- struct{}{}:
--- a/core/mirror/readers_test.go
+++ b/core/mirror/readers_test.go
@@ -14,33 +14,33 @@
 	"skylarkstand/core/mirror"
 )
 
-// reader is an entry that watches the store for others.
-type reader struct {
+// fakeReader is an entry that watches the store for others.
+type fakeReader struct {
 	mi *mirror.Mirror
-	// mute has it tell and not answer.
-	mute     bool
-	doubtful bool
-	asked    int
+	// unresponsive makes it announce its revision but fail requests.
+	unresponsive bool
+	doubtful     bool
+	requests     int
 }
 
-func (re *reader) Ask(context.Context, core.Revision) (mirror.News, error) {
-	return mirror.News{}, errors.New("nobody is asked")
+func (re *fakeReader) Ask(context.Context, core.Revision) (mirror.News, error) {
+	return mirror.News{}, errors.New("unexpected request to an arbitrary sibling")
 }
 
-func (re *reader) AskAt(_ context.Context, _ string, after core.Revision) (mirror.News, error) {
-	re.asked++
-	if re.mute {
+func (re *fakeReader) AskAt(_ context.Context, _ string, after core.Revision) (mirror.News, error) {
+	re.requests++
+	if re.unresponsive {
 		return mirror.News{}, errors.New("no answer")
 	}
 	changes, rev, kept := re.mi.Since(after)
 	if !kept {
-		return mirror.News{}, errors.New("the changes are not kept")
+		return mirror.News{}, errors.New("the changes are no longer in the log")
 	}
 	return mirror.News{Newer: rev > after, Changes: changes, Revision: rev, Doubtful: re.doubtful}, nil
 }
 
-// tell has the reader tell of its copy for a time.
-func (re *reader) tell(fo *mirror.Follower, du time.Duration) {
+// announce sends the reader's digest repeatedly for the given time.
+func (re *fakeReader) announce(fo *mirror.Follower, du time.Duration) {
 	const every = 250 * time.Millisecond
 	for ; du > 0; du -= every {
 		fo.Told(time.Now(), mirror.Digest{From: "reader", Revision: re.mi.Revision(), Contact: time.Second, Age: time.Second})
@@ -48,59 +48,59 @@
 	}
 }
 
-// rely plays an entry that relies on a reader.
-func rely(t *testing.T, play func(sh *shop, re *reader, mi *mirror.Mirror, fo *mirror.Follower)) {
+// runWithReader runs an entry that relies on a reader.
+func runWithReader(t *testing.T, test func(sh *fakeStore, re *fakeReader, mi *mirror.Mirror, fo *mirror.Follower)) {
 	t.Helper()
-	sh := new(shop)
+	sh := new(fakeStore)
 	sh.put("one")
-	re := &reader{mi: mirror.New()}
+	re := &fakeReader{mi: mirror.New()}
 	re.mi.Replace(sh.items, sh.rev, time.Now())
-	follow(t, sh, re, func(mi *mirror.Mirror, fo *mirror.Follower) {
-		re.tell(fo, 4*time.Second)
-		play(sh, re, mi, fo)
+	runFollower(t, sh, re, func(mi *mirror.Mirror, fo *mirror.Follower) {
+		re.announce(fo, 4*time.Second)
+		test(sh, re, mi, fo)
 	}, mirror.Reads(func() bool { return false }))
 }
 
-func two(rev core.Revision) []core.Change {
-	return []core.Change{{Item: core.Item{Key: configuration, Value: []byte("two"), Revision: rev}}}
+func secondValue(rev core.Revision) []core.Change {
+	return []core.Change{{Item: core.Item{Key: configKey, Value: []byte("two"), Revision: rev}}}
 }
 
-// Guards against store calls that grow with the entries.
-func TestEntryThatReliesOnReadersMakesNoCalls(t *testing.T) {
-	rely(t, func(sh *shop, re *reader, mi *mirror.Mirror, fo *mirror.Follower) {
+// Guards against store calls that grow with the number of entries.
+func TestEntryRelyingOnReadersMakesNoStoreCalls(t *testing.T) {
+	runWithReader(t, func(sh *fakeStore, re *fakeReader, mi *mirror.Mirror, fo *mirror.Follower) {
 		before := sh.watches
-		re.tell(fo, time.Minute)
+		re.announce(fo, time.Minute)
 		assert.Equal(t, sh.watches, before)
-		assert.Assert(t, mi.Age(time.Now()) < 2*time.Second, "the reader confirms the copy")
+		assert.Assert(t, mi.Age(time.Now()) < 2*time.Second, "the reader confirms the replica")
 	})
 }
 
-// Guards against a change that reaches readers only.
-func TestChangeThatAReaderTells(t *testing.T) {
-	rely(t, func(sh *shop, re *reader, mi *mirror.Mirror, fo *mirror.Follower) {
+// Guards against a change that reaches only the readers.
+func TestChangeAnnouncedByReader(t *testing.T) {
+	runWithReader(t, func(sh *fakeStore, re *fakeReader, mi *mirror.Mirror, fo *mirror.Follower) {
 		before := sh.watches
-		re.mi.Apply(two(2), 2, time.Now())
-		re.tell(fo, 250*time.Millisecond)
-		holdsTwo(t, mi)
+		re.mi.Apply(secondValue(2), 2, time.Now())
+		re.announce(fo, 250*time.Millisecond)
+		assertSecondValue(t, mi)
 		assert.Equal(t, sh.watches, before)
-		assert.Equal(t, re.asked, 1)
+		assert.Equal(t, re.requests, 1)
 	})
 }
 
-// Guards against an entry that waits for readers that are all gone, cut off from
-// the store, or frozen.
+// Guards against an entry that relies on readers which are all gone, cut off from the
+// store, or frozen.
 func TestChangeWithoutReaders(t *testing.T) {
-	rely(t, func(sh *shop, _ *reader, mi *mirror.Mirror, _ *mirror.Follower) {
+	runWithReader(t, func(sh *fakeStore, _ *fakeReader, mi *mirror.Mirror, _ *mirror.Follower) {
 		sh.put("two")
 		time.Sleep(3500 * time.Millisecond)
-		holdsTwo(t, mi)
+		assertSecondValue(t, mi)
 	})
 }
 
-// Guards against a copy that counts as stale, and changes that wait, for as long as
-// no reader is left: callers with a new key are then refused.
-func TestEntryWatchesItselfWhileThereAreNoReaders(t *testing.T) {
-	rely(t, func(sh *shop, _ *reader, mi *mirror.Mirror, _ *mirror.Follower) {
+// Guards against a replica that becomes stale while no reader is left: changes are then
+// delayed and callers with a new key are refused.
+func TestEntryWatchesStoreWithoutReaders(t *testing.T) {
+	runWithReader(t, func(sh *fakeStore, _ *fakeReader, mi *mirror.Mirror, _ *mirror.Follower) {
 		time.Sleep(5 * time.Second)
 		for range 300 {
 			time.Sleep(100 * time.Millisecond)
@@ -108,51 +108,51 @@
 		}
 		sh.put("two")
 		time.Sleep(100 * time.Millisecond)
-		holdsTwo(t, mi)
+		assertSecondValue(t, mi)
 	})
 }
 
-// Guards against a reader that goes on telling although the store does not answer
-// it any more.
-func TestReaderWithoutContact(t *testing.T) {
-	rely(t, func(sh *shop, re *reader, mi *mirror.Mirror, fo *mirror.Follower) {
+// Guards against relying on a reader that still announces its revision although the store
+// no longer answers it.
+func TestReaderCutOffFromStore(t *testing.T) {
+	runWithReader(t, func(sh *fakeStore, re *fakeReader, mi *mirror.Mirror, fo *mirror.Follower) {
 		sh.put("two")
 		for range 14 {
 			fo.Told(time.Now(), mirror.Digest{From: "reader", Revision: re.mi.Revision(), Contact: mirror.NoContact})
 			time.Sleep(250 * time.Millisecond)
 		}
-		holdsTwo(t, mi)
+		assertSecondValue(t, mi)
 	})
 }
 
-// Guards against a change that one reader tells of and cannot hand on.
-func TestReaderThatDoesNotAnswer(t *testing.T) {
-	rely(t, func(sh *shop, re *reader, mi *mirror.Mirror, fo *mirror.Follower) {
-		re.mute = true
+// Guards against a change that is delayed because the reader announcing it fails requests.
+func TestUnresponsiveReader(t *testing.T) {
+	runWithReader(t, func(sh *fakeStore, re *fakeReader, mi *mirror.Mirror, fo *mirror.Follower) {
+		re.unresponsive = true
 		sh.put("two")
-		re.mi.Apply(two(2), 2, time.Now())
-		re.tell(fo, 250*time.Millisecond)
-		holdsTwo(t, mi)
+		re.mi.Apply(secondValue(2), 2, time.Now())
+		re.announce(fo, 250*time.Millisecond)
+		assertSecondValue(t, mi)
 	})
 }
 
-// Guards against upstreams that are dropped for good since only readers know that
-// their leases may have lapsed in the store's own trouble.
-func TestRemovalThatAReaderDoubts(t *testing.T) {
-	rely(t, func(_ *shop, re *reader, _ *mirror.Mirror, fo *mirror.Follower) {
+// Guards against upstreams that are removed permanently because only the readers saw that
+// the leases may have expired during a store outage.
+func TestDoubtfulRemovalFromReader(t *testing.T) {
+	runWithReader(t, func(_ *fakeStore, re *fakeReader, _ *mirror.Mirror, fo *mirror.Follower) {
 		assert.Assert(t, !fo.Doubtful(time.Now()))
 		re.doubtful = true
-		re.mi.Apply([]core.Change{{Item: core.Item{Key: configuration, Revision: 2}, Gone: true}}, 2, time.Now())
-		re.tell(fo, 250*time.Millisecond)
+		re.mi.Apply([]core.Change{{Item: core.Item{Key: configKey, Revision: 2}, Gone: true}}, 2, time.Now())
+		re.announce(fo, 250*time.Millisecond)
 		assert.Assert(t, fo.Doubtful(time.Now()))
 		time.Sleep(5 * time.Second)
 		assert.Assert(t, !fo.Doubtful(time.Now()))
 	})
 }
 
-// Guards against copies that differ from the store's after changes were handed on
-// in pieces, from any revision, with changes that a listing had before its time.
-func TestChangesSinceLeadToTheSameCopy(t *testing.T) {
+// Guards against replicas that differ from the store after changes were passed on in
+// batches, from any revision, including changes that a listing contained early.
+func TestSinceYieldsTheSameReplica(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		all := map[string]core.Item{}
 		one, two := mirror.New(), mirror.New()
@@ -171,7 +171,7 @@
 				all[key] = ch.Item
 			}
 			if rapid.IntRange(0, 99).Draw(rt, "early") == 0 {
-				// A listing whose pages are newer than its revision.
+				// A listing with pages newer than its revision.
 				items, _, _ := one.Copy("")
 				if !ch.Gone {
 					items = append(items, ch.Item)
