--- a/io/sibling/facts.go
+++ b/io/sibling/facts.go
@@ -7,14 +7,16 @@
 	"skylarkstand/core/balance"
 )
 
-// A datagram of facts is a version and the facts: the upstream's hash, its start,
-// how long it rests, in restUnit, and how often nobody was found there.
+// A facts datagram consists of a format byte and the facts, each with the upstream's hash,
+// its start, the cooldown in restUnit, and the number of
+// consecutive attempts at which the upstream was absent.
 const (
 	factsFormat = 0x81
 	factSize    = 8 + 2 + 2 + 1
 	restUnit    = 10 * time.Millisecond
-	// maxFacts keeps a datagram below the usual packet. More upstreams than that are
-	// lost at once only with a zone, and are told of as they are tried again.
+	// maxFacts keeps a datagram below the usual packet size. More upstreams fail at once
+	// only when an availability zone fails, and those left out are reported when they are
+	// tried again.
 	maxFacts = 100
 	maxAway  = 1<<8 - 1
 )
@@ -32,7 +34,7 @@
 	return data
 }
 
-// decodeFacts returns false for a datagram of another kind.
+// decodeFacts decodes a facts datagram. It returns false for any other datagram.
 func decodeFacts(data []byte) ([]balance.Fact, bool) {
 	if len(data) == 0 || data[0] != factsFormat || (len(data)-1)%factSize != 0 {
 		return nil, false
--- a/io/sibling/remote.go
+++ b/io/sibling/remote.go
@@ -9,18 +9,18 @@
 	"skylarkstand/core/balance"
 )
 
-// A datagram of a region's load is a version, the hash of the region, the mean of
-// the upstreams that are left out, and the shares of the others.
+// A region-load datagram consists of a format byte, the hash of the region, the mean share
+// of the upstreams that are left out, and the shares of the others.
 const (
-	regionFormat = 0x83
-	regionHead   = 1 + 8 + shareSize
+	regionFormat   = 0x83
+	regionHeadSize = 1 + 8 + shareSize
 )
 
-// sendRemote tells one entry of each other region, in turn, what this one's
-// entries have at upstreams. Few bytes cross: with as many entries in each region,
-// each of them hears of each other region once in a round.
-func (sh *Sharer) sendRemote(pc net.PacketConn) {
-	sh.round++
+// sendRegionLoad sends the load of the local region's entries to one entry of each other
+// region, in rotation. This keeps cross-region traffic low: if the regions have the same
+// number of entries, each entry receives one datagram per other region and round.
+func (sh *Sharer) sendRegionLoad(pc net.PacketConn) {
+	sh.remoteRound++
 	regions := sh.remote()
 	if len(regions) == 0 {
 		return
@@ -33,11 +33,12 @@
 	first := int(balance.HashOf(sh.self) % (1 << 16)) //nolint:gosec // Below 1<<16.
 	for _, addrs := range regions {
 		slices.Sort(addrs)
-		write(pc, []string{addrs[(first+sh.round)%len(addrs)]}, data)
+		write(pc, []string{addrs[(first+sh.remoteRound)%len(addrs)]}, data)
 	}
 }
 
-// sendRemoteCalls tells the entries of a region at once what went to its upstreams.
+// sendRemoteCalls immediately reports cross-region calls to the entries of the region whose
+// upstreams received them.
 func (sh *Sharer) sendRemoteCalls(pc net.PacketConn) {
 	sent := sh.ld.RemoteCalls()
 	if len(sent) == 0 {
@@ -45,53 +46,53 @@
 	}
 	for region, addrs := range sh.remote() {
 		for _, se := range sent {
-			if se.To == balance.HashOf(region) && sh.limit.AllowN(time.Now(), len(addrs)) {
+			if se.To == balance.HashOf(region) && sh.limiter.AllowN(time.Now(), len(addrs)) {
 				write(pc, addrs, encodeRemoteCalls(se))
 			}
 		}
 	}
 }
 
-// A datagram of work for another region is a version, the hash of the teller's
-// region, and the shares.
+// A remote-calls datagram consists of a format byte, the hash of the sender's region, and
+// the shares sent to upstreams of the receiver's region.
 const (
-	callsFormat = 0x85
-	callsHead   = 1 + 8
+	callsFormat   = 0x85
+	callsHeadSize = 1 + 8
 )
 
 func encodeRemoteCalls(se balance.RemoteCalls) []byte {
 	shares := se.Shares[:min(len(se.Shares), maxShares)]
-	data := make([]byte, 0, callsHead+len(shares)*shareSize)
+	data := make([]byte, 0, callsHeadSize+len(shares)*shareSize)
 	data = append(data, callsFormat)
 	data = binary.BigEndian.AppendUint64(data, se.From)
 	return appendShares(data, shares)
 }
 
-// decodeRemoteCalls returns false for a datagram of another kind.
+// decodeRemoteCalls decodes a remote-calls datagram. It returns false for any other datagram.
 func decodeRemoteCalls(data []byte) (balance.RemoteCalls, bool) {
-	if len(data) < callsHead || data[0] != callsFormat || (len(data)-callsHead)%shareSize != 0 {
+	if len(data) < callsHeadSize || data[0] != callsFormat || (len(data)-callsHeadSize)%shareSize != 0 {
 		return balance.RemoteCalls{}, false
 	}
-	return balance.RemoteCalls{From: binary.BigEndian.Uint64(data[1:]), Shares: decodeShares(data[callsHead:])}, true
+	return balance.RemoteCalls{From: binary.BigEndian.Uint64(data[1:]), Shares: decodeShares(data[callsHeadSize:])}, true
 }
 
 func encodeRegion(lo balance.RegionLoad) []byte {
 	shares := lo.Shares[:min(len(lo.Shares), maxShares)]
-	data := make([]byte, 0, regionHead+len(shares)*shareSize)
+	data := make([]byte, 0, regionHeadSize+len(shares)*shareSize)
 	data = append(data, regionFormat)
 	data = binary.BigEndian.AppendUint64(data, lo.Region)
 	data = appendShares(data, []balance.Share{lo.Rest})
 	return appendShares(data, shares)
 }
 
-// decodeRegion returns false for a datagram of another kind.
+// decodeRegion decodes a region-load datagram. It returns false for any other datagram.
 func decodeRegion(data []byte) (balance.RegionLoad, bool) {
-	if len(data) < regionHead || data[0] != regionFormat || (len(data)-regionHead)%shareSize != 0 {
+	if len(data) < regionHeadSize || data[0] != regionFormat || (len(data)-regionHeadSize)%shareSize != 0 {
 		return balance.RegionLoad{}, false
 	}
 	return balance.RegionLoad{
 		Region: binary.BigEndian.Uint64(data[1:]),
-		Rest:   decodeShares(data[1+8 : regionHead])[0],
-		Shares: decodeShares(data[regionHead:]),
+		Rest:   decodeShares(data[1+8 : regionHeadSize])[0],
+		Shares: decodeShares(data[regionHeadSize:]),
 	}, true
 }
--- a/io/sibling/remote_test.go
+++ b/io/sibling/remote_test.go
@@ -9,8 +9,8 @@
 	"skylarkstand/core/balance"
 )
 
-// TestRegionDatagram guards against a region's load that arrives changed, is taken
-// for another kind of datagram, or outgrows a packet.
+// TestRegionDatagram guards against a region's load that is altered by encoding, is decoded
+// as another kind of datagram, or exceeds the packet size.
 func TestRegionDatagram(t *testing.T) {
 	lo := balance.RegionLoad{
 		Region: 1 << 60, Rest: balance.Share{Own: 1, Pending: 30 * time.Millisecond},
@@ -22,7 +22,7 @@
 	assert.DeepEqual(t, got, lo)
 	for n := range data {
 		_, ok := decodeRegion(data[:n])
-		assert.Assert(t, !ok || n == regionHead, "%d bytes", n)
+		assert.Assert(t, !ok || n == regionHeadSize, "%d bytes", n)
 	}
 	_, _, _, ok = decode(data)
 	assert.Assert(t, !ok)
--- a/io/sibling/sent.go
+++ b/io/sibling/sent.go
@@ -7,32 +7,32 @@
 	"skylarkstand/core/balance"
 )
 
-// A datagram of calls is a version, the hash of its sender's process, and the calls:
-// the upstream's hash, how many, and the time that their prompts need, in
-// pendingUnit.
+// A sent-calls datagram consists of a format byte, the hash of the sender's process, and the
+// calls, each with the upstream's hash, the number of attempts, and the prefill time of
+// their prompts in pendingUnit.
 const (
-	sentFormat = 0x82
-	sentHead   = 1 + 8
-	// sentRate and sentBurst bound the datagrams beside the rounds, a second and at
-	// once: of some 30 bytes each, 5 kB a second however many siblings and calls.
+	sentFormat   = 0x82
+	sentHeadSize = 1 + 8
+	// sentRate (per second) and sentBurst bound the datagrams sent outside gossip rounds:
+	// at about 30 bytes each, 5 kB a second for any number of siblings and calls.
 	sentRate  = 160
 	sentBurst = 160
 )
 
 func encodeSent(self uint64, sent []balance.Share) []byte {
 	sent = sent[:min(len(sent), maxShares)]
-	data := make([]byte, 0, sentHead+len(sent)*shareSize)
+	data := make([]byte, 0, sentHeadSize+len(sent)*shareSize)
 	data = append(data, sentFormat)
 	data = binary.BigEndian.AppendUint64(data, self)
 	return appendShares(data, sent)
 }
 
-// decodeSent returns false for a datagram of another kind.
+// decodeSent decodes a sent-calls datagram. It returns false for any other datagram.
 func decodeSent(data []byte) (from uint64, sent []balance.Share, ok bool) {
-	if len(data) < sentHead || data[0] != sentFormat || (len(data)-sentHead)%shareSize != 0 {
+	if len(data) < sentHeadSize || data[0] != sentFormat || (len(data)-sentHeadSize)%shareSize != 0 {
 		return 0, nil, false
 	}
-	return binary.BigEndian.Uint64(data[1:]), decodeShares(data[sentHead:]), true
+	return binary.BigEndian.Uint64(data[1:]), decodeShares(data[sentHeadSize:]), true
 }
 
 func appendShares(data []byte, shares []balance.Share) []byte {
--- a/io/sibling/share.go
+++ b/io/sibling/share.go
@@ -15,77 +15,79 @@
 	"skylarkstand/core/mirror"
 )
 
-// Loads are what entries have at upstreams.
+// Loads provides this entry's load at upstreams and records the load of other entries.
 type Loads interface {
-	// Load returns what this entry has to tell.
+	// Load returns the load that this entry announces.
 	Load() balance.Load
-	// Told takes in what another one told.
+	// Told records the load announced by another entry.
 	Told(from uint64, lo balance.Load)
-	// Sent wakes whenever SentNow has something to tell at once.
+	// Sent signals that SentNow has calls to announce immediately.
 	Sent() <-chan struct{}
-	// SentNow returns the work that went to upstreams since the last call.
+	// SentNow returns the calls sent to upstreams since the previous call of SentNow.
 	SentNow() []balance.Share
-	// ToldSent takes in what another one has just sent.
+	// ToldSent records calls that another entry has just sent.
 	ToldSent(from uint64, sent []balance.Share)
-	// RegionLoad returns what this entry tells those of other regions, with at
-	// most so many upstreams in full, and ToldRegion takes in what they told.
-	RegionLoad(most int) balance.RegionLoad
+	// RegionLoad returns the load announced to entries of other regions, with at most
+	// the given number of individual upstreams. ToldRegion records such a load.
+	RegionLoad(maxUpstreams int) balance.RegionLoad
 	ToldRegion(lo balance.RegionLoad)
-	// RemoteCalls returns the work that went to other regions since the last call,
-	// and ToldRemoteCalls takes in what one of their entries has just sent here.
+	// RemoteCalls returns the calls sent to other regions since the previous call of
+	// RemoteCalls. ToldRemoteCalls records calls that an entry of another region has just
+	// sent to this region.
 	RemoteCalls() []balance.RemoteCalls
 	ToldRemoteCalls(sent balance.RemoteCalls)
-	// Facts returns what this entry has found out of upstreams since the last call.
+	// Facts returns the facts about upstreams found by this entry since the previous call
+	// of Facts.
 	Facts() []balance.Fact
-	// ToldFacts takes in what another one has found out.
+	// ToldFacts records facts found by another entry.
 	ToldFacts(facts []balance.Fact)
 }
 
-// Digests are what entries tell of their copies of the store.
+// Digests provides this entry's replica digest and processes those of other entries.
 type Digests interface {
-	// Digest returns what this entry has to tell.
+	// Digest returns the digest that this entry announces.
 	Digest(now time.Time) mirror.Digest
-	// Told takes in what another one told.
+	// Told processes a digest received from another entry.
 	Told(now time.Time, di mirror.Digest)
 }
 
-// Sharer is the duty that tells the entries of the own region what this one has
-// at upstreams and of the store, by datagrams: a lost one is made up for by the
-// next, and an entry that is gone holds nobody up. It implements suture's Service.
+// Sharer is the service that gossips this entry's load and replica digest to the other
+// entries of the local region by datagrams. The next round makes up for a lost datagram,
+// and an entry that is gone blocks nobody. It implements suture.Service.
 type Sharer struct {
 	self  core.ProcessID
 	addr  string
 	ld    Loads
 	di    Digests
 	addrs func() []string
-	// remote lists the entries of each other region.
+	// remote returns the addresses of the entries of each other region.
 	remote func() map[core.Region][]string
-	// round counts the times that other regions were told.
-	round int
-	// reads reports whether others rely on this entry's copy.
-	reads   func() bool
-	changed chan struct{}
-	turns   turns
-	// limit bounds the datagrams beside the rounds.
-	limit *rate.Limiter
-	// facts wait to be told.
-	facts []balance.Fact
+	// remoteRound counts the gossip rounds to other regions.
+	remoteRound int
+	// isReader reports whether other entries rely on this entry's replica.
+	isReader        func() bool
+	revisionChanged chan struct{}
+	rotation        rotation
+	// limiter bounds the datagrams sent outside gossip rounds.
+	limiter *rate.Limiter
+	// unsentFacts are found but not yet announced.
+	unsentFacts []balance.Fact
 }
 
-// SharerOption changes a Sharer at construction.
+// SharerOption configures a Sharer.
 type SharerOption func(*Sharer)
 
-// Remote sets what lists the entries of each other region.
+// Remote sets the function that returns the addresses of the entries of each other region.
 func Remote(fn func() map[core.Region][]string) SharerOption {
 	return func(sh *Sharer) { sh.remote = fn }
 }
 
-// NewSharer returns the duty. It listens at addr and sends to those that addrs
-// lists; reads reports whether others rely on this entry's copy of the store.
-func NewSharer(self core.ProcessID, addr string, ld Loads, di Digests, addrs func() []string, reads func() bool, opts ...SharerOption) *Sharer {
+// NewSharer returns a Sharer that listens at addr and sends to the addresses returned by
+// addrs. isReader reports whether other entries rely on this entry's replica.
+func NewSharer(self core.ProcessID, addr string, ld Loads, di Digests, addrs func() []string, isReader func() bool, opts ...SharerOption) *Sharer {
 	sh := &Sharer{
-		self: self, addr: addr, ld: ld, di: di, addrs: addrs, reads: reads, changed: make(chan struct{}, 1), turns: turns{},
-		limit: rate.NewLimiter(sentRate, sentBurst), remote: func() map[core.Region][]string { return nil },
+		self: self, addr: addr, ld: ld, di: di, addrs: addrs, isReader: isReader, revisionChanged: make(chan struct{}, 1), rotation: rotation{},
+		limiter: rate.NewLimiter(sentRate, sentBurst), remote: func() map[core.Region][]string { return nil },
 	}
 	for _, opt := range opts {
 		opt(sh)
@@ -93,46 +95,46 @@
 	return sh
 }
 
-// Changed has all siblings told at once that this entry's copy has changed, if
-// they rely on it.
+// Changed triggers an immediate announcement of this entry's replica digest to all
+// siblings, if they rely on its replica.
 func (sh *Sharer) Changed() {
 	select {
-	case sh.changed <- struct{}{}:
+	case sh.revisionChanged <- struct{}{}:
 	default:
 	}
 }
 
-// A datagram is a version, the hash of its sender's process, the revision of its
-// copy of the store with the copy's age and the time since the store answered, in
-// digestUnit, the numbers of shares and of budgets, and these: the upstream's hash, its
-// attempts, and its pending time in pendingUnit; the service's hash and the repeats
-// that are left. The rest are parts of prompts that engines have read: the upstream's
-// hash and the part's.
+// A load datagram consists of, in this order: a format byte; the hash of the sender's
+// process; the replica's revision, its age and the time since the store last answered, both
+// in digestUnit; the numbers of shares and of budgets; the shares, each with the upstream's
+// hash, the attempts there, and the pending prefill time in pendingUnit; the budgets, each
+// with the service's hash and the retries left; and in the remaining bytes the prefixes
+// cached by engines, each with the upstream's hash and the hash of the prompt part.
 const (
-	format      = 5
-	digestSize  = 8 + 2 + 2
-	headSize    = 1 + 8 + digestSize + 1 + 1
-	budgetSize  = 8 + 2
-	digestUnit  = 10 * time.Millisecond
-	noContact   = maxUnits
-	shareSize   = 8 + 2 + 2
-	keptSize    = 8 + 8
-	pendingUnit = 10 * time.Millisecond
-	// maxShares and maxKept keep a datagram below the usual packet of 1,500
-	// bytes; more upstreams than that have an attempt of one entry only at sizes
-	// where a part will do.
+	loadFormat   = 5
+	digestSize   = 8 + 2 + 2
+	loadHeadSize = 1 + 8 + digestSize + 1 + 1
+	budgetSize   = 8 + 2
+	digestUnit   = 10 * time.Millisecond
+	noContact    = maxUnits
+	shareSize    = 8 + 2 + 2
+	keptSize     = 8 + 8
+	pendingUnit  = 10 * time.Millisecond
+	// maxShares and maxKept keep a datagram below the usual packet size of 1,500 bytes.
+	// An entry has attempts at more upstreams only in installations so large that a
+	// subset suffices.
 	maxShares  = 64
 	maxKept    = 36
 	maxBudgets = 4
 	maxUnits   = 1<<16 - 1
-	// told is how many siblings are told in one round. Four rounds a second with
-	// datagrams of a hundred bytes or two stay below 8 kB a second, however many
-	// entries there are; at 72 in a region each hears of each other every two
-	// seconds.
-	told = 10
+	// siblingsPerRound is the number of siblings addressed in one gossip round. Four
+	// rounds a second with datagrams of one or two hundred bytes stay below 8 kB a second
+	// for any number of entries; with 72 entries in a region, each receives the load of
+	// each other one every two seconds.
+	siblingsPerRound = 10
 )
 
-// Serve implements suture's Service.
+// Serve implements suture.Service.
 func (sh *Sharer) Serve(ctx context.Context) error {
 	pc, err := net.ListenPacket("udp", sh.addr)
 	if err != nil {
@@ -142,72 +144,72 @@
 	go sh.receive(pc)
 	ti := time.NewTicker(balance.ShareEvery)
 	defer ti.Stop()
-	far := time.NewTicker(balance.RemoteEvery)
-	defer far.Stop()
+	remoteTicker := time.NewTicker(balance.RemoteEvery)
+	defer remoteTicker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-ti.C:
 			sh.sendFacts(pc, true)
-			sh.send(pc)
-		case <-far.C:
-			sh.sendRemote(pc)
-		case <-sh.changed:
+			sh.sendLoad(pc)
+		case <-remoteTicker.C:
+			sh.sendRegionLoad(pc)
+		case <-sh.revisionChanged:
 			sh.sendDigest(pc)
 		case <-sh.ld.Sent():
-			sh.sendSent(pc)
+			sh.sendSentCalls(pc)
 			sh.sendRemoteCalls(pc)
-			sh.sendFacts(pc, false) // A call that found nobody is followed by another one.
+			sh.sendFacts(pc, false) // An attempt at an absent upstream is followed by a retry, which triggers this case.
 		}
 	}
 }
 
-// send tells some siblings. An entry on which nobody relies tells nothing when it
-// has no work: the others forget it within seconds.
-func (sh *Sharer) send(pc net.PacketConn) {
+// sendLoad gossips this entry's load to some siblings. An entry that is no reader sends
+// nothing when it has no load: its last load expires at the others within seconds.
+func (sh *Sharer) sendLoad(pc net.PacketConn) {
 	lo := sh.ld.Load()
-	if len(lo.Shares) == 0 && len(lo.Kept) == 0 && !sh.reads() {
+	if len(lo.Shares) == 0 && len(lo.Kept) == 0 && !sh.isReader() {
 		return
 	}
-	sh.turns.add(sh.addrs(), lo.Kept)
-	for _, addr := range sh.turns.next(told) {
-		sh.sendTo(pc, []string{addr}, balance.Load{Shares: lo.Shares, Kept: sh.turns.take(addr), Budgets: lo.Budgets})
+	sh.rotation.beginRound(sh.addrs(), lo.Kept)
+	for _, addr := range sh.rotation.next(siblingsPerRound) {
+		sh.sendTo(pc, []string{addr}, balance.Load{Shares: lo.Shares, Kept: sh.rotation.takePending(addr), Budgets: lo.Budgets})
 	}
 }
 
-// sendSent tells siblings at once what went to upstreams, as far as the bound on
-// datagrams allows; the next round tells the others.
-func (sh *Sharer) sendSent(pc net.PacketConn) {
+// sendSentCalls immediately reports calls sent to upstreams to all siblings, unless the
+// rate limit is reached; the next gossip round then carries them.
+func (sh *Sharer) sendSentCalls(pc net.PacketConn) {
 	sent := sh.ld.SentNow()
 	if len(sent) == 0 {
 		return
 	}
 	addrs := sh.addrs()
-	if !sh.limit.AllowN(time.Now(), len(addrs)) {
+	if !sh.limiter.AllowN(time.Now(), len(addrs)) {
 		return
 	}
 	write(pc, addrs, encodeSent(balance.HashOf(sh.self), sent))
 }
 
-// sendFacts tells all siblings what this entry has found out of upstreams: at once as
-// far as the bound on datagrams allows, and in each round whatever is left.
+// sendFacts sends facts about upstreams to all siblings: immediately if the rate limit
+// allows, otherwise with the next gossip round.
 func (sh *Sharer) sendFacts(pc net.PacketConn, round bool) {
-	sh.facts = append(sh.facts, sh.ld.Facts()...)
-	if len(sh.facts) == 0 {
+	sh.unsentFacts = append(sh.unsentFacts, sh.ld.Facts()...)
+	if len(sh.unsentFacts) == 0 {
 		return
 	}
 	addrs := sh.addrs()
-	if round || sh.limit.AllowN(time.Now(), len(addrs)) {
-		write(pc, addrs, encodeFacts(sh.facts))
-		sh.facts = nil
+	if round || sh.limiter.AllowN(time.Now(), len(addrs)) {
+		write(pc, addrs, encodeFacts(sh.unsentFacts))
+		sh.unsentFacts = nil
 	}
 }
 
-// sendDigest tells all siblings which revision this entry holds, and nothing of its
-// loads.
+// sendDigest sends the replica digest, without the load, to all siblings if they rely on
+// this entry's replica.
 func (sh *Sharer) sendDigest(pc net.PacketConn) {
-	if sh.reads() {
+	if sh.isReader() {
 		write(pc, sh.addrs(), encodeRevision(sh.di.Digest(time.Now())))
 	}
 }
@@ -219,15 +221,15 @@
 func write(pc net.PacketConn, addrs []string, data []byte) {
 	for _, addr := range addrs {
 		if to, err := net.ResolveUDPAddr("udp", addr); err == nil {
-			_, _ = pc.WriteTo(data, to) // A lost datagram is made up for by the next.
+			_, _ = pc.WriteTo(data, to) // The next datagram makes up for a lost one.
 		}
 	}
 }
 
 func encode(self uint64, di mirror.Digest, lo balance.Load) []byte {
 	shares, kept := lo.Shares[:min(len(lo.Shares), maxShares)], lo.Kept[:min(len(lo.Kept), maxKept)]
-	data := make([]byte, 0, headSize+len(shares)*shareSize+len(kept)*keptSize)
-	data = append(data, format)
+	data := make([]byte, 0, loadHeadSize+len(shares)*shareSize+len(kept)*keptSize)
+	data = append(data, loadFormat)
 	data = binary.BigEndian.AppendUint64(data, self)
 	data = appendDigest(data, di)
 	budgets := lo.Budgets[:min(len(lo.Budgets), maxBudgets)]
@@ -247,12 +249,12 @@
 	return binary.BigEndian.AppendUint16(data, contactUnits(di.Contact))
 }
 
-// revisionFormat is the version of a datagram that holds a digest alone.
+// revisionFormat is the format byte of a datagram that contains only a digest.
 const revisionFormat = 0x84
 
 func encodeRevision(di mirror.Digest) []byte { return appendDigest([]byte{revisionFormat}, di) }
 
-// decodeRevision returns false for a datagram of another kind.
+// decodeRevision decodes a digest datagram. It returns false for any other datagram.
 func decodeRevision(data []byte) (mirror.Digest, bool) {
 	if len(data) != 1+digestSize || data[0] != revisionFormat {
 		return mirror.Digest{}, false
@@ -267,14 +269,15 @@
 	return uint16(min(contact/digestUnit, noContact-1))
 }
 
-// decode returns false for a datagram that no sibling of this release sent.
+// decode decodes a load datagram. It returns false for any other datagram, including those
+// of other releases.
 func decode(data []byte) (from uint64, di mirror.Digest, lo balance.Load, ok bool) {
-	if len(data) < headSize || data[0] != format {
+	if len(data) < loadHeadSize || data[0] != loadFormat {
 		return 0, di, lo, false
 	}
 	from = binary.BigEndian.Uint64(data[1:])
 	di = decodeDigest(data[9:])
-	shares, budgets, rest := int(data[headSize-2])*shareSize, int(data[headSize-1])*budgetSize, data[headSize:]
+	shares, budgets, rest := int(data[loadHeadSize-2])*shareSize, int(data[loadHeadSize-1])*budgetSize, data[loadHeadSize:]
 	if len(rest) < shares+budgets || (len(rest)-shares-budgets)%keptSize != 0 {
 		return 0, di, lo, false
 	}
@@ -299,7 +302,7 @@
 }
 
 func (sh *Sharer) receive(pc net.PacketConn) {
-	buf := make([]byte, headSize+maxShares*shareSize+maxBudgets*budgetSize+maxKept*keptSize)
+	buf := make([]byte, loadHeadSize+maxShares*shareSize+maxBudgets*budgetSize+maxKept*keptSize)
 	for {
 		n, addr, err := pc.ReadFrom(buf)
 		if errors.Is(err, net.ErrClosed) {
@@ -308,13 +311,13 @@
 		if err != nil {
 			continue
 		}
-		sh.take(buf[:n], addr.String())
+		sh.handleDatagram(buf[:n], addr.String())
 	}
 }
 
-// take takes in a datagram. Bytes that no sibling of this release sent are passed
-// over.
-func (sh *Sharer) take(data []byte, addr string) {
+// handleDatagram decodes a datagram and passes on its content. Datagrams of unknown
+// formats, including those of other releases, are ignored.
+func (sh *Sharer) handleDatagram(data []byte, addr string) {
 	if lo, ok := decodeRegion(data); ok {
 		sh.ld.ToldRegion(lo)
 		return
@@ -332,18 +335,18 @@
 		return
 	}
 	if di, ok := decodeRevision(data); ok {
-		sh.toldDigest(di, addr)
+		sh.receiveDigest(di, addr)
 		return
 	}
 	if from, di, lo, ok := decode(data); ok {
 		sh.ld.Told(from, lo)
-		sh.toldDigest(di, addr)
+		sh.receiveDigest(di, addr)
 	}
 }
 
-// toldDigest takes in a digest. Its sender answers at the address that it sends
-// from.
-func (sh *Sharer) toldDigest(di mirror.Digest, addr string) {
+// receiveDigest processes a received digest. The sender serves its replica at the address
+// that it sends from.
+func (sh *Sharer) receiveDigest(di mirror.Digest, addr string) {
 	di.From = addr
 	sh.di.Told(time.Now(), di)
 }
--- a/io/sibling/sibling.go
+++ b/io/sibling/sibling.go
@@ -1,12 +1,11 @@
-// Package sibling speaks with the other entries. By datagrams entries tell those
-// of their region what they have at upstreams and which revision of the store
-// they hold. Who holds an older one, or hears nothing from the store, asks for
-// the newest content; while a roll-out goes on, entries ask one another for their
-// evidence.
+// Package sibling implements the communication between entries. The entries of a region
+// gossip their load at upstreams and the revision of their store replica by datagrams. An
+// entry with an older revision, or without contact to the store, fetches the newest content
+// from a sibling by HTTP. During a roll-out, entries also fetch each other's evidence.
 //
-// The answer is the changes since the asker's revision, or the whole copy where
-// some of those are not kept any more, so that it is right whatever the asker
-// missed.
+// The response contains the changes since the client's revision, or the whole replica if
+// some of those changes were dropped from the log, so that it is complete for any client
+// revision.
 //
 // # Usage
 //
@@ -34,20 +33,21 @@
 	"skylarkstand/io/upstream"
 )
 
-// Path is where the copy is asked for. The query's after is the revision that
-// the asker has; with changesOnly the whole copy is not wanted.
+// Path is the URL path of the replica. The query parameter "after" is the client's revision;
+// with changesOnly the server returns an error instead of the whole replica.
 const (
 	Path        = "/mirror"
 	changesOnly = "changes-only"
 )
 
+// message is the JSON response to a request for the replica.
 type message struct {
 	Revision core.Revision `json:"revision"`
-	// AgeMs is how long ago the copy was known to be the newest.
+	// AgeMs is the time in milliseconds since the replica was last confirmed up to date.
 	AgeMs    int64 `json:"age-ms"`
 	Doubtful bool  `json:"doubtful,omitempty"`
 	Newer    bool  `json:"newer"`
-	// Whole says that Items are the whole copy; otherwise Changes lead to it.
+	// Whole reports whether Items is the whole replica; otherwise Changes lead to it.
 	Whole   bool     `json:"whole,omitempty"`
 	Items   []item   `json:"items,omitempty"`
 	Changes []change `json:"changes,omitempty"`
@@ -64,9 +64,9 @@
 	Gone bool `json:"gone,omitempty"`
 }
 
-// Handler serves a mirror to siblings: the changes since their revision, or the
-// whole copy where they lag too far. Doubtful reports whether a removal may be
-// the store's own trouble.
+// Handler serves a replica to siblings: the changes since their revision, or the whole
+// replica if they lag too far behind. doubtful reports whether a removal may have been
+// caused by a store outage.
 func Handler(mi *mirror.Mirror, doubtful func(now time.Time) bool) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, rq *http.Request) {
 		after, err := strconv.ParseUint(rq.FormValue("after"), 10, 64)
@@ -78,22 +78,22 @@
 			http.Error(w, "the changes are not kept any more", http.StatusGone)
 			return
 		}
-		ms := newsSince(mi, core.Revision(after))
+		ms := updateSince(mi, core.Revision(after))
 		if ms.Revision == 0 {
 			http.Error(w, "nothing is known here yet", http.StatusServiceUnavailable)
 			return
 		}
 		ms.Doubtful = doubtful(time.Now())
-		answer(w, ms)
+		writeResponse(w, ms)
 	})
 }
 
-// compressFrom is the size in bytes from which an answer is compressed. Only
-// configurations with hundreds of routes are worth the memory of a compressor.
+// compressFrom is the size in bytes from which a response is compressed. Only
+// configurations with hundreds of routes justify the memory of a compressor.
 const compressFrom = 64 << 10
 
-// answer encodes an answer.
-func answer(w http.ResponseWriter, ms message) {
+// writeResponse encodes a message as JSON, compressed if it is large.
+func writeResponse(w http.ResponseWriter, ms message) {
 	raw, err := json.Marshal(ms)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusInternalServerError)
@@ -101,7 +101,7 @@
 	}
 	w.Header().Set("Content-Type", "application/json")
 	if len(raw) < compressFrom {
-		_, _ = w.Write(raw) // The asker sees that it is cut.
+		_, _ = w.Write(raw) // The client detects a truncated response.
 		return
 	}
 	w.Header().Set("Content-Encoding", "gzip")
@@ -110,8 +110,8 @@
 	_ = zw.Close()
 }
 
-// newsSince is what an entry has over a revision.
-func newsSince(mi *mirror.Mirror, after core.Revision) message {
+// updateSince returns what the replica contains beyond a revision.
+func updateSince(mi *mirror.Mirror, after core.Revision) message {
 	age := mi.Age(time.Now())
 	changes, rev, ok := mi.Since(after)
 	ms := message{Revision: rev, AgeMs: age.Milliseconds(), Newer: rev > after, Whole: !ok}
@@ -122,8 +122,8 @@
 		ms.Changes = append(ms.Changes, change{item(ch.Item), ch.Gone})
 	}
 	if ms.Whole {
-		items, rev, heard := mi.Copy("")
-		ms.Revision, ms.AgeMs = rev, time.Since(heard).Milliseconds()
+		items, rev, confirmedAt := mi.Copy("")
+		ms.Revision, ms.AgeMs = rev, time.Since(confirmedAt).Milliseconds()
 		for _, it := range items {
 			ms.Items = append(ms.Items, item(it))
 		}
@@ -131,10 +131,10 @@
 	return ms
 }
 
-// ReportsPath is where an entry tells its evidence about roll-outs under way.
+// ReportsPath is the URL path of an entry's evidence about roll-outs in progress.
 const ReportsPath = "/roll-outs"
 
-// Reports serves a guard's evidence to siblings.
+// Reports returns a handler that serves a guard's evidence to siblings.
 func Reports(gu *canary.Guard) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "application/json")
@@ -142,58 +142,62 @@
 	})
 }
 
-// Half of the siblings are asked for their evidence in one round, each in its turn,
-// so that in two all have told which sessions they have; but leastReporters, who see
-// enough of any service together, and no more than mostReporters.
+// Each round requests evidence from half of the siblings in rotation, so that two rounds
+// cover the sessions of all of them. The number is at least minReporters, which together see
+// enough of any service, and at most maxReporters.
 const (
-	leastReporters = 12
-	mostReporters  = 24
+	minReporters = 12
+	maxReporters = 24
 )
 
-// Siblings asks other entries. It implements mirror.Siblings.
+// Siblings is the HTTP client for other entries. It implements mirror.Siblings and
+// canary.Entries.
 type Siblings struct {
 	cl    *upstream.Client
 	addrs func() []string
-	draw  func(n int) int
-	// turn is the sibling that is asked for its evidence next.
-	turn atomic.Int64
+	// randIntN returns a random number in [0, n).
+	randIntN func(n int) int
+	// nextReporter is the index of the sibling to request evidence from next.
+	nextReporter atomic.Int64
 }
 
-// New returns the siblings at the addresses that addrs lists.
-func New(cl *upstream.Client, addrs func() []string, draw func(n int) int) *Siblings {
-	return &Siblings{cl: cl, addrs: addrs, draw: draw}
+// New returns a client for the siblings at the addresses returned by addrs. It picks the
+// first sibling of a request with randIntN.
+func New(cl *upstream.Client, addrs func() []string, randIntN func(n int) int) *Siblings {
+	return &Siblings{cl: cl, addrs: addrs, randIntN: randIntN}
 }
 
-// asked is how many siblings are asked in one round. The store turns away a
-// third of the hosts at times; of three, one at least has news nearly always.
-const asked = 3
+// fetchFanout is the number of siblings that receive one request in parallel. The store at
+// times rejects a third of the hosts; of three siblings, nearly always at least one is up
+// to date.
+const fetchFanout = 3
 
-// Ask implements mirror.Siblings: the newest of a few siblings' answers.
+// Ask implements mirror.Siblings. It returns the newest response of a few siblings.
 func (si *Siblings) Ask(ctx context.Context, after core.Revision) (mirror.News, error) {
 	addrs := si.addrs()
 	if len(addrs) == 0 {
-		return mirror.News{}, eris.New("sibling: no other entry is known")
+		return mirror.News{}, eris.New("sibling: no other entry is registered")
 	}
 	type result struct {
 		ne  mirror.News
 		err error
 	}
-	n := min(asked, len(addrs))
+	n := min(fetchFanout, len(addrs))
 	got := make(chan result, n)
-	first := si.draw(len(addrs))
+	first := si.randIntN(len(addrs))
 	for i := range n {
 		addr := addrs[(first+i)%len(addrs)]
 		go func() {
-			ne, err := si.ask(ctx, addr, "?after="+revision(after))
+			ne, err := si.fetch(ctx, addr, "?after="+formatRevision(after))
 			got <- result{ne, err}
 		}()
 	}
 	best, found := mirror.News{}, false
-	var last error
+	var lastErr error
 	for range n {
 		re := <-got
 		if re.err != nil {
-			last = re.err
+			lastErr = re.err
 			continue
 		}
 		if !found || re.ne.Revision > best.Revision || re.ne.Revision == best.Revision && re.ne.Age < best.Age {
@@ -201,21 +205,21 @@
 		}
 	}
 	if !found {
-		return best, last
+		return best, lastErr
 	}
 	return best, nil
 }
 
-// AskAt implements mirror.Siblings. It fails where the sibling does not keep all the
-// changes: whole copies for a region would take more of one entry than watching the
-// store takes of each.
+// AskAt implements mirror.Siblings. It fails if the sibling has dropped some of the changes
+// from its log: serving whole replicas to all entries of a region would cost one entry more
+// than watching the store costs each of them.
 func (si *Siblings) AskAt(ctx context.Context, addr string, after core.Revision) (mirror.News, error) {
-	return si.ask(ctx, addr, "?after="+revision(after)+"&"+changesOnly+"=true")
+	return si.fetch(ctx, addr, "?after="+formatRevision(after)+"&"+changesOnly+"=true")
 }
 
-func revision(rev core.Revision) string { return strconv.FormatUint(uint64(rev), 10) }
+func formatRevision(rev core.Revision) string { return strconv.FormatUint(uint64(rev), 10) }
 
-func (si *Siblings) ask(ctx context.Context, addr, query string) (mirror.News, error) {
+func (si *Siblings) fetch(ctx context.Context, addr, query string) (mirror.News, error) {
 	var ms message
 	if err := si.get(ctx, addr, Path+query, &ms); err != nil {
 		return mirror.News{}, err
@@ -232,19 +236,19 @@
 	return ne, nil
 }
 
-// Reports implements canary.Entries. Those that do not answer are left out.
+// Reports implements canary.Entries. Siblings that do not respond are left out.
 func (si *Siblings) Reports(ctx context.Context) []canary.Report {
 	addrs := si.addrs()
 	slices.Sort(addrs)
-	n := min(max((len(addrs)+1)/2, leastReporters), mostReporters, len(addrs))
-	first := int(si.turn.Add(int64(n))) - n
+	n := min(max((len(addrs)+1)/2, minReporters), maxReporters, len(addrs))
+	first := int(si.nextReporter.Add(int64(n))) - n
 	got := make(chan []canary.Report, n)
 	for i := range n {
 		addr := addrs[(first+i)%len(addrs)]
 		go func() {
 			var res []canary.Report
 			if err := si.get(ctx, addr, ReportsPath, &res); err != nil {
-				res = nil // It has nothing to add; the next round asks again.
+				res = nil // The sibling is left out of this round.
 			}
 			got <- res
 		}()
@@ -267,7 +271,7 @@
 	return io.ReadAll(zr)
 }
 
-// get asks a sibling and decodes its answer.
+// get sends a GET request to a sibling and decodes the JSON response into out.
 func (si *Siblings) get(ctx context.Context, addr, target string, out any) error {
 	rs, err := si.cl.Do(ctx, addr, &upstream.Request{Method: http.MethodGet, Target: target, Host: addr, Header: http.Header{}})
 	if err != nil {
@@ -279,7 +283,7 @@
 		return err
 	}
 	if rs.Status != http.StatusOK {
-		return eris.Errorf("sibling: status %d", rs.Status)
+		return eris.Errorf("sibling: GET %s from %s: status %d", target, addr, rs.Status)
 	}
 	return eris.Wrap(json.Unmarshal(raw, out), "sibling")
 }
--- a/io/sibling/sibling_test.go
+++ b/io/sibling/sibling_test.go
@@ -16,8 +16,8 @@
 	"skylarkstand/io/upstream"
 )
 
-// Guards against changes that arrive as others than were made, and against large
-// configurations that go to every entry in full length.
+// Guards against changes that are altered in transfer, and against large configurations that
+// are sent to every entry uncompressed.
 func TestChangesArriveCompressed(t *testing.T) {
 	var doc strings.Builder
 	for i := range 1000 {
--- a/io/sibling/take_test.go
+++ b/io/sibling/take_test.go
@@ -11,48 +11,50 @@
 	"skylarkstand/core/mirror"
 )
 
-// wire keeps the datagrams that are sent.
-type wire struct {
+// recordingConn records the datagrams that are sent.
+type recordingConn struct {
 	net.PacketConn
 	sent [][]byte
 }
 
-func (wi *wire) WriteTo(data []byte, _ net.Addr) (int, error) {
+func (wi *recordingConn) WriteTo(data []byte, _ net.Addr) (int, error) {
 	wi.sent = append(wi.sent, data)
 	return len(data), nil
 }
 
-// peer is an entry that is told of loads and of revisions.
-type peer struct {
+// fakePeer records the loads and digests that an entry receives.
+type fakePeer struct {
 	Loads
 	loads   []balance.Load
 	digests []mirror.Digest
 }
 
-func (pe *peer) Told(_ uint64, lo balance.Load) { pe.loads = append(pe.loads, lo) }
+func (pe *fakePeer) Told(_ uint64, lo balance.Load) { pe.loads = append(pe.loads, lo) }
 
-// digests are those of an entry's copy.
-type digests struct{ pe *peer }
+// fakeDigests provides an entry's digest and records received ones in a fakePeer.
+type fakeDigests struct{ pe *fakePeer }
 
-func (di digests) Digest(time.Time) mirror.Digest { return mirror.Digest{Revision: 7} }
+func (di fakeDigests) Digest(time.Time) mirror.Digest { return mirror.Digest{Revision: 7} }
 
-func (di digests) Told(_ time.Time, got mirror.Digest) { di.pe.digests = append(di.pe.digests, got) }
+func (di fakeDigests) Told(_ time.Time, got mirror.Digest) {
+	di.pe.digests = append(di.pe.digests, got)
+}
 
-func newPeer() (*Sharer, *peer) {
-	pe := &peer{}
+func newFakePeer() (*Sharer, *fakePeer) {
+	pe := &fakePeer{}
 	addrs := func() []string { return []string{"127.0.0.1:7340"} }
-	return NewSharer("p", "127.0.0.1:7341", pe, digests{pe}, addrs, func() bool { return true }), pe
+	return NewSharer("p", "127.0.0.1:7341", pe, fakeDigests{pe}, addrs, func() bool { return true }), pe
 }
 
-// TestRevisionIsToldWithoutLoads guards against a reader that tells of a new revision
-// and is then thought to have no work at any engine.
-func TestRevisionIsToldWithoutLoads(t *testing.T) {
-	sender, _ := newPeer()
-	receiver, pe := newPeer()
-	wi := &wire{}
+// TestDigestDatagramLeavesLoadUnchanged guards against an entry whose load is reset to zero
+// at its siblings when it announces a new revision.
+func TestDigestDatagramLeavesLoadUnchanged(t *testing.T) {
+	sender, _ := newFakePeer()
+	receiver, pe := newFakePeer()
+	wi := &recordingConn{}
 	sender.sendDigest(wi)
 	assert.Equal(t, len(wi.sent), 1)
-	receiver.take(wi.sent[0], "127.0.0.1:7342")
+	receiver.handleDatagram(wi.sent[0], "127.0.0.1:7342")
 	assert.Equal(t, len(pe.loads), 0)
 	assert.Equal(t, len(pe.digests), 1)
 	assert.Equal(t, pe.digests[0].Revision, mirror.Digest{Revision: 7}.Revision)
--- a/io/sibling/turns.go
+++ b/io/sibling/turns.go
@@ -8,20 +8,21 @@
 	"skylarkstand/core/balance"
 )
 
-// turns are the siblings by address, so that each is told in its turn, of all that
-// was found since its last one. It is made for more siblings than are told in one
-// round: told at random, each would miss what was found in the rounds without it.
-type turns map[string]*turn
+// rotation schedules the siblings, by address, for gossip rounds. Each sibling receives all
+// cached prefixes found since its previous datagram. If there are more siblings than
+// datagrams in one round, random selection would lose for each sibling the prefixes found in
+// rounds that skip it.
+type rotation map[string]*siblingState
 
-type turn struct {
-	// rounds is how long the sibling has waited.
-	rounds int
-	kept   []balance.Kept
+type siblingState struct {
+	// roundsWaited is the number of rounds since the sibling's previous datagram.
+	roundsWaited int
+	// kept are the cached prefixes not yet sent to the sibling.
+	kept []balance.Kept
 }
 
-// add begins a round: siblings that are gone are forgotten, and the others are to
-// be told of what is new.
-func (tu turns) add(addrs []string, kept []balance.Kept) {
+// beginRound removes siblings that are gone and queues new cached prefixes for the others.
+func (tu rotation) beginRound(addrs []string, kept []balance.Kept) {
 	for addr := range tu {
 		if !slices.Contains(addrs, addr) {
 			delete(tu, addr)
@@ -30,29 +31,29 @@
 	for _, addr := range addrs {
 		one := tu[addr]
 		if one == nil {
-			one = new(turn)
+			one = new(siblingState)
 			tu[addr] = one
 		}
-		one.rounds++
+		one.roundsWaited++
 		one.kept = append(one.kept, kept...)
 		one.kept = one.kept[max(len(one.kept)-maxKept, 0):]
 	}
 }
 
-// next returns up to n siblings, those that have waited longest first.
-func (tu turns) next(n int) []string {
+// next returns up to n siblings, those that have waited for the most rounds first.
+func (tu rotation) next(n int) []string {
 	addrs := make([]string, 0, len(tu))
 	for addr := range tu {
 		addrs = append(addrs, addr)
 	}
 	rand.Shuffle(len(addrs), func(i, j int) { addrs[i], addrs[j] = addrs[j], addrs[i] })
-	slices.SortStableFunc(addrs, func(a, b string) int { return cmp.Compare(tu[b].rounds, tu[a].rounds) })
+	slices.SortStableFunc(addrs, func(a, b string) int { return cmp.Compare(tu[b].roundsWaited, tu[a].roundsWaited) })
 	return addrs[:min(n, len(addrs))]
 }
 
-// take returns what a sibling has not been told, and ends its turn.
-func (tu turns) take(addr string) []balance.Kept {
+// takePending returns the cached prefixes not yet sent to a sibling, and resets its wait.
+func (tu rotation) takePending(addr string) []balance.Kept {
 	kept := tu[addr].kept
-	*tu[addr] = turn{}
+	*tu[addr] = siblingState{}
 	return kept
 }
--- a/io/sibling/turns_test.go
+++ b/io/sibling/turns_test.go
@@ -9,26 +9,26 @@
 	"skylarkstand/core/balance"
 )
 
-// Guards against siblings that never hear of a prompt which an engine has read,
-// since they were not among those told in the round after it.
-func TestEverySiblingIsToldOfEverything(t *testing.T) {
+// Guards against siblings that never learn of a cached prefix because they were not selected
+// in the round after its prefill.
+func TestEverySiblingReceivesEveryPrefix(t *testing.T) {
 	var addrs []string
 	for i := range 35 {
 		addrs = append(addrs, fmt.Sprint("10.0.0.", i))
 	}
-	tu, got := turns{}, map[string]int{}
+	tu, got := rotation{}, map[string]int{}
 	const rounds = 40
 	for n := range rounds {
-		tu.add(addrs, []balance.Kept{{Part: uint64(n)}, {Part: uint64(n)}})
-		next := tu.next(told)
-		assert.Equal(t, len(next), told)
+		tu.beginRound(addrs, []balance.Kept{{Part: uint64(n)}, {Part: uint64(n)}})
+		next := tu.next(siblingsPerRound)
+		assert.Equal(t, len(next), siblingsPerRound)
 		for _, addr := range next {
-			got[addr] += len(tu.take(addr))
+			got[addr] += len(tu.takePending(addr))
 		}
 	}
 	for _, addr := range addrs {
-		assert.Assert(t, got[addr] >= 2*(rounds-4), "%s heard of %d", addr, got[addr])
+		assert.Assert(t, got[addr] >= 2*(rounds-4), "%s received %d prefixes", addr, got[addr])
 	}
-	tu.add(addrs[:1], nil)
-	assert.Equal(t, len(tu), 1, "those that are gone are forgotten")
+	tu.beginRound(addrs[:1], nil)
+	assert.Equal(t, len(tu), 1, "siblings that are gone are removed")
 }
