--- a/core/feed/cold_test.go
+++ b/core/feed/cold_test.go
@@ -16,7 +16,7 @@
 	"skylarkstand/core/warmup"
 )
 
-// coldLayout is a platform whose lines of upstreams hold how long they stay cold.
+// coldLayout decodes upstream listings whose value is the remaining warm-up time.
 type coldLayout struct{}
 
 func (coldLayout) Decode(it core.Item) (feed.Entry, error) {
@@ -33,46 +33,47 @@
 	return feed.Entry{Upstream: id, Host: &core.Host{ID: id, Service: "pool", Zone: "z", Region: "r", Warming: left}}, nil
 }
 
-// coldBound allows twelve requests in one second.
+// coldBound allows maxPerSecond requests in one second.
 var coldBound = warmup.Bound{Rate: 5.2, Duration: 3 * time.Second}
 
-const permits = 12
+const maxPerSecond = 12
 
-// coldEntry is one entry with its own copy of the store.
+// coldEntry is one entry with its own replica.
 type coldEntry struct {
 	world
-	next int           // the next change of the log
-	lag  time.Duration // how late it hears of changes
-	// until is when a pause ends.
-	until time.Time
+	next int           // index of the next change in the log
+	lag  time.Duration // delay with which changes arrive
+	// pausedUntil is when a pause of the process ends.
+	pausedUntil time.Time
 }
 
 func newColdEntry(id core.ProcessID, lag time.Duration) *coldEntry {
 	return &coldEntry{world: newWorld(id, coldLayout{}, false), lag: lag}
 }
 
-// logged is a change of the store and when it was made.
-type logged struct {
+// loggedChange is a change of the store and its time.
+type loggedChange struct {
 	change core.Change
 	at     time.Time
 }
 
-// coldWorld is a store, entries that press on one upstream, and what it gets.
+// coldWorld simulates a store, entries that send as many requests as possible to one
+// upstream, and the requests that arrive there.
 type coldWorld struct {
-	rng      *rand.Rand
-	log      []logged
-	entries  []*coldEntry
-	arrivals []time.Time
-	begins   []begin
-	loose    bool
-	// started counts the entries that started meanwhile.
+	rng          *rand.Rand
+	log          []loggedChange
+	entries      []*coldEntry
+	arrivals     []time.Time
+	requests     []inFlight
+	releaseEarly bool
+	// started counts the entries that started during the simulation.
 	started int
-	// end is when the upstream is warm.
+	// end is when the warm-up ends.
 	end time.Time
 }
 
-// begin is a request under way, and when its upstream begins to answer.
-type begin struct {
+// inFlight is a request in flight that holds a permit until its response begins.
+type inFlight struct {
 	at     time.Time
 	permit *warmup.Permit
 }
@@ -80,15 +81,15 @@
 func (wo *coldWorld) write(key string, val any, gone bool) {
 	raw, _ := json.Marshal(val)
 	re := core.Revision(len(wo.log) + 1)
-	wo.log = append(wo.log, logged{core.Change{Item: core.Item{Key: key, Value: raw, Revision: re}, Gone: gone}, time.Now()})
+	wo.log = append(wo.log, loggedChange{core.Change{Item: core.Item{Key: key, Value: raw, Revision: re}, Gone: gone}, time.Now()})
 }
 
 func (wo *coldWorld) join(id string) {
 	wo.write(feed.PrefixEntries+id, feed.Member{Zone: "z"}, false)
 }
 
-// copyOf returns the store's content after so many changes.
-func (wo *coldWorld) copyOf(n int) ([]core.Item, core.Revision) {
+// snapshot returns the store's content after the first n changes.
+func (wo *coldWorld) snapshot(n int) ([]core.Item, core.Revision) {
 	items := map[string]core.Item{}
 	for _, lo := range wo.log[:n] {
 		items[lo.change.Key] = lo.change.Item
@@ -103,9 +104,8 @@
 	return out, core.Revision(n)
 }
 
-// hear has an entry take in the changes that have reached it, at times by a new
-// copy.
-func (wo *coldWorld) hear(en *coldEntry) {
+// deliver applies the changes that have reached an entry, sometimes as a full copy.
+func (wo *coldWorld) deliver(en *coldEntry) {
 	now, first := time.Now(), en.next
 	for en.next < len(wo.log) && !now.Before(wo.log[en.next].at.Add(en.lag)) {
 		en.next++
@@ -113,8 +113,8 @@
 	if en.next == first {
 		return
 	}
-	if wo.rng.IntN(12) == 0 && !wo.loose || en.mi.Revision() == 0 {
-		items, re := wo.copyOf(en.next)
+	if wo.rng.IntN(12) == 0 && !wo.releaseEarly || en.mi.Revision() == 0 {
+		items, re := wo.snapshot(en.next)
 		en.mi.Replace(items, re, now)
 		return
 	}
@@ -125,28 +125,28 @@
 	en.mi.Apply(batch, core.Revision(en.next), now)
 }
 
-// press sends as many requests as an entry may.
-func (wo *coldWorld) press(en *coldEntry) {
+// sendAllowed sends as many requests as an entry has permits for.
+func (wo *coldWorld) sendAllowed(en *coldEntry) {
 	now := time.Now()
 	for _, ho := range en.fl.Serving("pool", now, core.Regions{}) {
-		for range permits {
+		for range maxPerSecond {
 			pe, ok := en.wu.Take(now, &ho, coldBound, false)
 			if !ok {
 				break
 			}
-			arrives := now.Add(time.Duration(wo.rng.IntN(1500)) * time.Millisecond)
-			wo.arrivals = append(wo.arrivals, arrives)
-			if wo.loose {
-				arrives = now // The permit is given back before the request arrives.
+			arrivesAt := now.Add(time.Duration(wo.rng.IntN(1500)) * time.Millisecond)
+			wo.arrivals = append(wo.arrivals, arrivesAt)
+			if wo.releaseEarly {
+				arrivesAt = now // The permit is released before the request arrives.
 			}
-			wo.begins = append(wo.begins, begin{arrives.Add(time.Duration(wo.rng.IntN(400)) * time.Millisecond), pe})
+			wo.requests = append(wo.requests, inFlight{arrivesAt.Add(time.Duration(wo.rng.IntN(400)) * time.Millisecond), pe})
 		}
 	}
 }
 
 func (wo *coldWorld) step() {
 	now := time.Now()
-	wo.begins = slices.DeleteFunc(wo.begins, func(be begin) bool {
+	wo.requests = slices.DeleteFunc(wo.requests, func(be inFlight) bool {
 		if now.Before(be.at) {
 			return false
 		}
@@ -154,21 +154,21 @@
 		return true
 	})
 	for _, en := range wo.entries {
-		if now.Before(en.until) {
+		if now.Before(en.pausedUntil) {
 			continue
 		}
 		if wo.rng.IntN(2000) == 0 {
-			en.until = now.Add(time.Duration(wo.rng.IntN(3000)) * time.Millisecond)
+			en.pausedUntil = now.Add(time.Duration(wo.rng.IntN(3000)) * time.Millisecond)
 		}
-		wo.hear(en)
-		wo.press(en)
+		wo.deliver(en)
+		wo.sendAllowed(en)
 	}
 }
 
-// most returns the most arrivals in any second in which the upstream is cold.
-func (wo *coldWorld) most() int {
+// peakRate returns the highest number of arrivals in any second of the warm-up.
+func (wo *coldWorld) peakRate() int {
 	slices.SortFunc(wo.arrivals, time.Time.Compare)
-	most, first := 0, 0
+	peak, first := 0, 0
 	for i, at := range wo.arrivals {
 		if at.After(wo.end) {
 			break
@@ -176,15 +176,15 @@
 		for at.Sub(wo.arrivals[first]) > time.Second {
 			first++
 		}
-		most = max(most, i-first+1)
+		peak = max(peak, i-first+1)
 	}
-	return most
+	return peak
 }
 
-// playCold plays three seconds of a cold upstream before forty entries, of which
-// some start, leave, pause and hear late.
-func playCold(seed uint64, evacuated, loose bool) *coldWorld {
-	wo := &coldWorld{rng: rand.New(rand.NewPCG(seed, 1)), loose: loose}
+// simulateCold simulates the three seconds of an upstream's warm-up with forty entries, some
+// of which start, leave, pause or receive changes late.
+func simulateCold(seed uint64, evacuated, releaseEarly bool) *coldWorld {
+	wo := &coldWorld{rng: rand.New(rand.NewPCG(seed, 1)), releaseEarly: releaseEarly}
 	for i := range 40 {
 		wo.join(fmt.Sprint("p", i))
 	}
@@ -195,9 +195,9 @@
 	for i := range 40 {
 		en := newColdEntry(core.ProcessID(fmt.Sprint("p", i)), time.Duration(wo.rng.IntN(1500))*time.Millisecond)
 		if wo.rng.IntN(10) == 0 {
-			en.lag = time.Hour // It is cut off from the store and the others.
+			en.lag = time.Hour // The entry is cut off from the store and the other entries.
 		}
-		items, re := wo.copyOf(len(wo.log))
+		items, re := wo.snapshot(len(wo.log))
 		en.mi.Replace(items, re, time.Now())
 		en.next = len(wo.log)
 		wo.entries = append(wo.entries, en)
@@ -230,32 +230,31 @@
 	return wo
 }
 
-// TestColdUpstreamGetsWhatItBears guards against a herd at a cold upstream, by
-// entries that start, leave, pause, are cut off, skip changes and send late.
-func TestColdUpstreamGetsNoMoreThanItCanTake(t *testing.T) {
+// TestColdUpstreamStaysBelowItsLimit guards against a thundering herd at a cold upstream,
+// with entries that start, leave, pause, are cut off, skip changes and send late.
+func TestColdUpstreamStaysBelowItsLimit(t *testing.T) {
 	for _, evacuated := range []bool{false, true} {
 		for seed := range uint64(20) {
 			synctest.Test(t, func(t *testing.T) {
-				wo := playCold(seed, evacuated, false)
-				most := permits
+				wo := simulateCold(seed, evacuated, false)
+				limit := maxPerSecond
 				if evacuated {
-					most += wo.started // They cannot know of the evacuation that is over.
+					limit += wo.started // These entries cannot know that an evacuation has ended.
 				}
-				assert.Assert(t, wo.most() <= most, "seed %d: %d in a second", seed, wo.most())
-				assert.Assert(t, len(wo.arrivals) >= permits/2, "seed %d: it got %d requests in all", seed, len(wo.arrivals))
+				assert.Assert(t, wo.peakRate() <= limit, "seed %d: %d requests in one second", seed, wo.peakRate())
+				assert.Assert(t, len(wo.arrivals) >= maxPerSecond/2, "seed %d: %d requests in total", seed, len(wo.arrivals))
 			})
 		}
 	}
 }
 
-// TestPermitsGivenBackEarlyAreNoticed keeps the test above honest: where permits
-// do not wait for their requests to arrive, it must see more than the upstream
-// can take.
-func TestPermitsGivenBackEarlyAreNoticed(t *testing.T) {
+// TestSimulationDetectsEarlyRelease validates the simulation of the test above: if permits
+// are released before their requests arrive, the limit must be exceeded.
+func TestSimulationDetectsEarlyRelease(t *testing.T) {
 	over := 0
 	for seed := range uint64(20) {
 		synctest.Test(t, func(*testing.T) {
-			if playCold(seed, false, true).most() > permits {
+			if simulateCold(seed, false, true).peakRate() > maxPerSecond {
 				over++
 			}
 		})
@@ -263,8 +262,8 @@
 	assert.Assert(t, over > 0)
 }
 
-// TestUpstreamThatIsColdAgain guards against new work beyond the limit at an
-// upstream that tells that it is cold once more, or has started under its old id.
+// TestUpstreamThatIsColdAgain guards against requests beyond the limit at an upstream that
+// reports that it is cold again, or has restarted under the same id.
 func TestUpstreamThatIsColdAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		wo := &coldWorld{rng: rand.New(rand.NewPCG(1, 1))}
@@ -272,25 +271,25 @@
 		wo.write("up/1", 0, false)
 		en := newColdEntry("p0", 0)
 		en.mi.Replace(nil, 0, time.Now())
-		hear := func() {
+		deliver := func() {
 			for ; en.next < len(wo.log); en.next++ {
 				en.mi.Apply([]core.Change{wo.log[en.next].change}, core.Revision(en.next+1), time.Now())
 			}
 		}
 		cold := func() bool { return en.wu.Cold(time.Now(), "1", coldBound) }
-		hear()
+		deliver()
 		assert.Assert(t, !cold())
 		wo.write("up/1", 2*time.Second, false)
-		hear()
+		deliver()
 		assert.Assert(t, cold())
 		wo.write("up/1", time.Second, false)
-		hear()
+		deliver()
 		time.Sleep(time.Second)
 		assert.Assert(t, !cold())
 		wo.write("out/z", nil, false)
 		wo.write("out/z", nil, true)
-		hear()
-		assert.Assert(t, cold(), "it is back from an evacuation")
+		deliver()
+		assert.Assert(t, cold(), "the evacuation has ended")
 		time.Sleep(coldBound.Duration)
 		assert.Assert(t, !cold())
 	})
--- a/core/feed/evacuation_test.go
+++ b/core/feed/evacuation_test.go
@@ -10,7 +10,7 @@
 	"skylarkstand/core/feed"
 )
 
-// layout is a platform with one upstream in each of two zones.
+// layout decodes the keys of a platform with one upstream in each of two zones.
 type layout struct{}
 
 func (layout) Decode(it core.Item) (feed.Entry, error) {
@@ -34,10 +34,9 @@
 
 func item(key string, re core.Revision) core.Item { return core.Item{Key: key, Revision: re} }
 
-// TestEvacuationStandsUntilItIsEnded guards against an evacuation that ends by
-// a copy that is older, a history that was dropped, or lines of the list that come
-// and go.
-func TestEvacuationStandsUntilItIsEnded(t *testing.T) {
+// TestEvacuationLastsUntilItsKeyIsRemoved guards against an evacuation that ends because of
+// an older copy, a dropped history, or upstream listings that are removed and written again.
+func TestEvacuationLastsUntilItsKeyIsRemoved(t *testing.T) {
 	wo, now := newWorld("self", layout{}, true), time.Now()
 	before := []core.Item{item("up/a", 1), item("up/b", 2)}
 	wo.mi.Replace(before, 2, now)
@@ -49,16 +48,16 @@
 	wo.mi.Apply([]core.Change{{Item: item("out/b", 4), Gone: true}}, 5, now)
 	assert.Equal(t, wo.serving(), "a", "an older removal")
 	wo.mi.Replace(append(before, item("out/b", 5)), 9, now)
-	assert.Equal(t, wo.serving(), "a", "the history was dropped")
+	assert.Equal(t, wo.serving(), "a", "dropped history")
 	wo.mi.Apply([]core.Change{{Item: item("up/b", 10), Gone: true}, {Item: item("up/b", 11)}}, 11, now)
-	assert.Equal(t, wo.serving(), "a", "leases lapsed")
+	assert.Equal(t, wo.serving(), "a", "expired leases")
 	wo.mi.Apply([]core.Change{{Item: item("out/b", 12), Gone: true}}, 12, now)
 	assert.Equal(t, wo.serving(), "ab")
 }
 
-// TestEntryThatStartsKnowsTheEvacuation guards against a first attempt in an
-// evacuated zone by an entry that starts, whatever the order in the copy.
-func TestEntryThatStartsKnowsTheEvacuation(t *testing.T) {
+// TestEvacuationInTheFirstCopy guards against an entry that sends work to an evacuated zone
+// right after its start, for any order of keys in the first copy.
+func TestEvacuationInTheFirstCopy(t *testing.T) {
 	wo := newWorld("self", layout{}, true)
 	wo.mi.Replace([]core.Item{item("up/a", 7), item("up/b", 8), item("out/b", 5)}, 9, time.Now())
 	assert.Equal(t, wo.serving(), "a")
--- a/core/feed/feed.go
+++ b/core/feed/feed.go
@@ -1,9 +1,8 @@
-// Package feed hands the changes of the mirrored store to the parts that
-// decide by them: the configuration, the fleet of upstreams, the roll-outs and
-// the list of entries.
+// Package feed routes the changes of the replicated store to the components that use
+// them: the configuration, the fleet of upstreams, the roll-outs and the list of entries.
 //
-// What the keys mean is the platform's matter, behind [Layout]. The project's
-// own keys, of its entries and the steps of roll-outs, are known here.
+// The platform defines the meaning of its keys, which [Layout] decodes. The project's own
+// keys, for its entries and the steps of roll-outs, are decoded here.
 //
 // # Usage
 //
@@ -27,58 +26,57 @@
 	"skylarkstand/core/warmup"
 )
 
-// Entry is what a key of the platform holds; nothing is set for one that does
-// not concern the project.
+// Entry is the decoded content of a platform key. It is empty for a key that does not
+// concern the project.
 type Entry struct {
 	Configuration *route.Document
 	Order         *canary.Order
 	Status        *canary.Status
-	// Upstream is set for every line of the list, Host only for one that can
-	// be read.
+	// Upstream is set for every upstream listing, Host only for one that can be decoded.
 	Upstream core.UpstreamID
 	Host     *core.Host
-	// Evacuated is the availability zone that is to get no new work for as long
-	// as the key is there.
+	// Evacuated is the availability zone that must receive no new work while the key
+	// exists.
 	Evacuated core.Zone
 }
 
-// Layout knows what the platform's keys mean.
+// Layout decodes the platform's keys.
 type Layout interface {
-	// Decode returns what a key holds. With an error, Entry.Upstream and
-	// Entry.Evacuated are still set where the key alone tells them.
+	// Decode returns the content of a key. With an error, Entry.Upstream and
+	// Entry.Evacuated are still set if the key alone determines them.
 	Decode(it core.Item) (Entry, error)
 }
 
-// Keys of the project's own in the store.
+// Prefixes of the project's own keys in the store.
 const (
 	PrefixEntries = "skylarkstand/entries/"
 	PrefixSteps   = "skylarkstand/roll-outs/"
 )
 
-// Member is an entry process, as it registers itself.
+// Member is the registration of an entry process.
 type Member struct {
 	ID   core.ProcessID `json:"id"`
 	Addr string         `json:"addr"`
 	Zone core.Zone      `json:"zone"`
-	// Revision is that of the registration.
+	// Revision is the revision of the registration.
 	Revision core.Revision `json:"-"`
 }
 
-// Parts are told of changes.
+// Parts are the components that receive changes.
 type Parts struct {
 	InForce *route.InForce
 	Fleet   *fleet.Fleet
 	Canary  *canary.Guard
 	Warmup  *warmup.Tracker
-	// Regions holds the region of each availability zone.
+	// Regions maps each availability zone to its region.
 	Regions map[core.Zone]core.Region
-	// Doubtful reports whether a removal may be the store's own trouble.
+	// Doubtful reports whether a removal may have been caused by a store outage.
 	Doubtful func(now time.Time) bool
-	// Gone is called for an upstream that is not listed any more.
+	// Gone is called for an upstream whose listing was removed.
 	Gone func(core.Host)
 }
 
-// Feed is called by the mirror, one batch of changes at a time.
+// Feed routes changes. The replica calls it with one batch of changes at a time.
 type Feed struct {
 	deps core.Deps
 	la   Layout
@@ -87,17 +85,17 @@
 	mu      sync.Mutex
 	members map[core.ProcessID]Member
 	hosts   map[core.UpstreamID]core.Host
-	// holders are the entries that share the permits of a region's upstreams, kept
-	// until one of the entries changes.
+	// holders caches the entries that share the permits of a region's upstreams. It is
+	// cleared when an entry changes.
 	holders map[core.Region][]core.ProcessID
-	// restored are the upstreams that have not written since the evacuation of
-	// their zone ended.
+	// restored contains the upstreams whose listing has not been written since the
+	// evacuation of their zone ended.
 	restored map[core.UpstreamID]bool
-	// newest is the configuration of the batch at hand.
+	// newest is the latest configuration in the current batch.
 	newest *route.Document
 }
 
-// New returns a feed.
+// New returns a Feed that routes changes to pa.
 func New(deps core.Deps, la Layout, pa Parts) *Feed {
 	return &Feed{
 		deps: deps, la: la, pa: pa, members: map[core.ProcessID]Member{},
@@ -105,28 +103,28 @@
 	}
 }
 
-// Changed takes in changes in their order.
+// Changed processes a batch of changes in order.
 func (fd *Feed) Changed(changes []core.Change) {
 	now := time.Now()
 	for _, ch := range changes {
 		switch {
 		case strings.HasPrefix(ch.Key, PrefixEntries):
-			fd.member(ch)
+			fd.applyMember(ch)
 		case strings.HasPrefix(ch.Key, PrefixSteps):
-			fd.step(now, ch)
+			fd.applyStep(now, ch)
 		default:
-			fd.platform(now, ch)
+			fd.applyPlatformKey(now, ch)
 		}
 	}
-	fd.adopt()
+	fd.adoptConfiguration()
 }
 
-func (fd *Feed) member(ch core.Change) {
+func (fd *Feed) applyMember(ch core.Change) {
 	id := core.ProcessID(strings.TrimPrefix(ch.Key, PrefixEntries))
 	var me Member
 	if !ch.Gone {
 		if err := json.Unmarshal(ch.Value, &me); err != nil {
-			fd.malformed(ch, err)
+			fd.logMalformed(ch, err)
 			return
 		}
 	}
@@ -141,8 +139,8 @@
 	fd.members[id] = me
 }
 
-// Members lists the entries that are registered. Of several at one address only the
-// newest is there: the others are gone, though their leases last for some seconds.
+// Members lists the registered entries. Of several entries at one address it contains only
+// the newest: the others have ended, although their leases last for some more seconds.
 func (fd *Feed) Members() []Member {
 	fd.mu.Lock()
 	defer fd.mu.Unlock()
@@ -160,21 +158,21 @@
 	return slices.AppendSeq(out, maps.Values(newest))
 }
 
-// Entries counts the entries that are registered, with those that are gone and whose
-// repeats still count in the window of the others.
+// Entries returns the number of registered entries. It includes entries that have ended but
+// whose lease lasts, since their retries still count in the retry budget's window.
 func (fd *Feed) Entries() int {
 	fd.mu.Lock()
 	defer fd.mu.Unlock()
 	return len(fd.members)
 }
 
-func (fd *Feed) step(now time.Time, ch core.Change) {
+func (fd *Feed) applyStep(now time.Time, ch core.Change) {
 	if ch.Gone {
 		return
 	}
 	var st canary.Step
 	if err := json.Unmarshal(ch.Value, &st); err != nil {
-		fd.malformed(ch, err)
+		fd.logMalformed(ch, err)
 		return
 	}
 	st.Service, st.Revision = core.ServiceID(strings.TrimPrefix(ch.Key, PrefixSteps)), ch.Revision
@@ -182,16 +180,16 @@
 	event.Log(fd.deps.Log, event.CanaryStep, "service", st.Service, "step", st.Step, "order", st.Order, "revision", st.Revision)
 }
 
-func (fd *Feed) platform(now time.Time, ch core.Change) {
+func (fd *Feed) applyPlatformKey(now time.Time, ch core.Change) {
 	en, err := fd.la.Decode(ch.Item)
 	switch {
 	case en.Upstream != "":
-		fd.upstream(now, ch, en, err)
+		fd.applyUpstream(now, ch, en, err)
 	case en.Evacuated != "":
-		fd.evacuation(now, ch, en.Evacuated)
+		fd.applyEvacuation(now, ch, en.Evacuated)
 	case ch.Gone:
 	case err != nil:
-		fd.malformed(ch, err)
+		fd.logMalformed(ch, err)
 	case en.Configuration != nil:
 		fd.newest = en.Configuration
 	case en.Order != nil:
@@ -205,12 +203,12 @@
 	}
 }
 
-// evacuation takes in that a zone is evacuated, or that its evacuation has ended,
-// which only the removal of its key tells.
-func (fd *Feed) evacuation(now time.Time, ch core.Change, zo core.Zone) {
+// applyEvacuation starts the evacuation of a zone, or ends it. Only the removal of the key
+// ends an evacuation.
+func (fd *Feed) applyEvacuation(now time.Time, ch core.Change, zo core.Zone) {
 	if ch.Gone {
 		fd.pa.Fleet.Restore(zo)
-		fd.coolZone(now, ch, zo)
+		fd.markZoneCold(now, ch, zo)
 		event.Log(fd.deps.Log, event.ZoneRestored, "zone", zo, "revision", ch.Revision)
 		return
 	}
@@ -218,13 +216,13 @@
 	event.Log(fd.deps.Log, event.ZoneEvacuated, "zone", zo, "revision", ch.Revision)
 }
 
-// upstream takes in a line of the list. One that cannot be read names no
-// upstream: somebody else wrote it.
-func (fd *Feed) upstream(now time.Time, ch core.Change, en Entry, err error) {
+// applyUpstream processes an upstream listing. A listing that cannot be decoded counts as
+// removed, since the upstream did not write it.
+func (fd *Feed) applyUpstream(now time.Time, ch core.Change, en Entry, err error) {
 	old, known := fd.hosts[en.Upstream]
 	if ch.Gone || err != nil {
 		if err != nil && !ch.Gone {
-			fd.malformed(ch, err)
+			fd.logMalformed(ch, err)
 		}
 		if !known {
 			return
@@ -241,7 +239,7 @@
 		return
 	}
 	ho := *en.Host
-	fd.warm(now, ch, old, known, ho)
+	fd.updateWarmup(now, ch, old, known, ho)
 	fd.pa.Fleet.Put(ho)
 	fd.hosts[ho.ID] = ho
 	if !known || old != ho {
@@ -250,8 +248,8 @@
 	}
 }
 
-// adopt puts the newest configuration of a batch in force.
-func (fd *Feed) adopt() {
+// adoptConfiguration puts the newest configuration of a batch in force.
+func (fd *Feed) adoptConfiguration() {
 	doc := fd.newest
 	fd.newest = nil
 	if doc == nil {
@@ -267,6 +265,6 @@
 	}
 }
 
-func (fd *Feed) malformed(ch core.Change, err error) {
+func (fd *Feed) logMalformed(ch core.Change, err error) {
 	event.Log(fd.deps.Log, event.EntryMalformed, "key", ch.Key, "revision", ch.Revision, "error", err)
 }
--- a/core/feed/members_test.go
+++ b/core/feed/members_test.go
@@ -12,10 +12,10 @@
 	"skylarkstand/core/feed"
 )
 
-// TestProcessTakesThePlaceOfTheOneBefore guards against entries that are told of
-// everything twice after a restart, at the address of the process that is gone and of
-// the new one, and add up what they hear.
-func TestProcessTakesThePlaceOfTheOneBefore(t *testing.T) {
+// TestRestartedEntryReplacesItsPredecessor guards against an entry that is listed twice after
+// a restart, under the ended process and the new one at the same address: it would receive
+// every announcement twice and add them up.
+func TestRestartedEntryReplacesItsPredecessor(t *testing.T) {
 	wo := newWorld("self", layout{}, false)
 	register := func(id, addr string, re core.Revision) core.Item {
 		raw, err := json.Marshal(feed.Member{Addr: addr, Zone: "a"})
@@ -36,7 +36,7 @@
 	again := register("new-1", "one", 5)
 	wo.mi.Apply([]core.Change{{Item: again}}, 5, now)
 	assert.DeepEqual(t, ids(), []string{"new-1", "old-2"})
-	assert.Equal(t, wo.fd.Entries(), 3, "its repeats count until its lease has ended")
+	assert.Equal(t, wo.fd.Entries(), 3, "the retries of the ended process count until its lease expires")
 	wo.mi.Apply([]core.Change{{Item: core.Item{Key: feed.PrefixEntries + "old-1", Revision: 6}, Gone: true}}, 6, now)
 	assert.DeepEqual(t, ids(), []string{"new-1", "old-2"})
 }
--- a/core/feed/warmup.go
+++ b/core/feed/warmup.go
@@ -8,31 +8,32 @@
 	"skylarkstand/core/warmup"
 )
 
-// warm tells the warm-up of an upstream's line: of a start, of one that is cold
-// again, or of how long it stays cold.
-func (fd *Feed) warm(now time.Time, ch core.Change, old core.Host, known bool, ho core.Host) {
-	// One that is back from an evacuation was taken for cold already.
-	again := old.Warming == 0 && ho.Warming != 0 && !fd.restored[ho.ID]
+// updateWarmup starts the warm-up of an upstream that has started or is cold again, or
+// updates its remaining warm-up time.
+func (fd *Feed) updateWarmup(now time.Time, ch core.Change, old core.Host, known bool, ho core.Host) {
+	// The end of an evacuation has already started the warm-up of a restored upstream.
+	coldAgain := old.Warming == 0 && ho.Warming != 0 && !fd.restored[ho.ID]
 	delete(fd.restored, ho.ID)
 	switch {
-	case !known || old.Born != ho.Born || again:
-		fd.started(now, ch, ho, ho.Warming)
+	case !known || old.Born != ho.Born || coldAgain:
+		fd.startWarmup(now, ch, ho, ho.Warming)
 	case old.Warming != ho.Warming:
 		fd.pa.Warmup.SetRemaining(now, ho.ID, ho.Warming)
 	}
 }
 
-// coolZone takes the upstreams of a zone for cold, since they had no work.
-func (fd *Feed) coolZone(now time.Time, ch core.Change, zo core.Zone) {
+// markZoneCold starts the warm-up of all upstreams of a zone, which had no work while the
+// zone was evacuated.
+func (fd *Feed) markZoneCold(now time.Time, ch core.Change, zo core.Zone) {
 	for id, ho := range fd.hosts {
 		if ho.Zone == zo {
 			fd.restored[id] = true
-			fd.started(now, ch, ho, core.WarmingUnknown)
+			fd.startWarmup(now, ch, ho, core.WarmingUnknown)
 		}
 	}
 }
 
-func (fd *Feed) started(now time.Time, ch core.Change, ho core.Host, coldFor time.Duration) {
+func (fd *Feed) startWarmup(now time.Time, ch core.Change, ho core.Host, coldFor time.Duration) {
 	no := warmup.Notice{Upstream: ho.ID, ColdFor: coldFor, Entries: fd.permitHolders(ho.Region), Exact: !ch.Skipped}
 	fd.pa.Warmup.Started(now, no)
 	if coldFor != 0 {
@@ -41,21 +42,21 @@
 }
 
 // permitHolders lists the entries that share the permits of an upstream: those of its
-// region, or all where that has none.
+// region, or all entries if the region has none.
 func (fd *Feed) permitHolders(re core.Region) []core.ProcessID {
-	if kept, ok := fd.holders[re]; ok {
-		return kept
+	if cached, ok := fd.holders[re]; ok {
+		return cached
 	}
-	var near, all []core.ProcessID
+	var inRegion, all []core.ProcessID
 	for _, me := range fd.Members() {
 		all = append(all, me.ID)
 		if fd.pa.Regions[me.Zone] == re {
-			near = append(near, me.ID)
+			inRegion = append(inRegion, me.ID)
 		}
 	}
-	if len(near) == 0 {
-		near = all
+	if len(inRegion) == 0 {
+		inRegion = all
 	}
-	fd.holders[re] = near
-	return near
+	fd.holders[re] = inRegion
+	return inRegion
 }
--- a/core/feed/world_test.go
+++ b/core/feed/world_test.go
@@ -11,7 +11,7 @@
 	"skylarkstand/core/warmup"
 )
 
-// world is an entry's copy of the store and what it feeds.
+// world is an entry's replica and the components that it updates.
 type world struct {
 	mi *mirror.Mirror
 	fl *fleet.Fleet
@@ -19,8 +19,8 @@
 	fd *feed.Feed
 }
 
-// newWorld returns the world of an entry before a platform. Removals are doubtful
-// where that is said.
+// newWorld returns the world of an entry on a platform with the given layout. doubtful
+// states whether removals are doubtful.
 func newWorld(self core.ProcessID, la feed.Layout, doubtful bool) world {
 	wo := world{mi: mirror.New(), fl: fleet.New(), wu: warmup.New(self, warmup.Overshoot(1.5, 5))}
 	wo.fd = feed.New(core.NewDeps(), la, feed.Parts{
--- a/io/sibling/facts.go
+++ b/io/sibling/facts.go
@@ -8,8 +8,8 @@
 )
 
 // A facts datagram consists of a format byte and the facts, each with the upstream's hash,
-// its start, the cooldown in restUnit, and the number of
-// consecutive attempts at which the upstream was absent.
+// its start, the cooldown in restUnit, and the number of consecutive attempts at which the
+// upstream was absent.
 const (
 	factsFormat = 0x81
 	factSize    = 8 + 2 + 2 + 1
