--- a/core/recall/recall_test.go
+++ b/core/recall/recall_test.go
@@ -18,16 +18,17 @@
 	"skylarkstand/core/route"
 )
 
-// engines tell what they keep and note what is made of it; up-1 does not answer.
+// engines returns cached prefixes and records what the learner receives; up-1 does not
+// respond.
 type engines struct {
-	mu    sync.Mutex
-	asked map[core.UpstreamID]int
-	told  map[core.UpstreamID][]core.Held
+	mu      sync.Mutex
+	queries map[core.UpstreamID]int
+	learned map[core.UpstreamID][]core.Held
 }
 
 func (en *engines) Held(ctx context.Context, ho core.Host) ([]core.Held, error) {
 	en.mu.Lock()
-	en.asked[ho.ID]++
+	en.queries[ho.ID]++
 	en.mu.Unlock()
 	if ho.ID == "up-1" {
 		<-ctx.Done()
@@ -40,23 +41,22 @@
 func (en *engines) Holds(ho core.Host, held []core.Held) {
 	en.mu.Lock()
 	defer en.mu.Unlock()
-	en.told[ho.ID] = held
+	en.learned[ho.ID] = held
 }
 
-// All entries were lost, and one starts again. It must know which engine has the
-// prompts of the broken streams in memory, or each is read anew for up to
-// seconds while its caller waits for the next word. An engine that does not
-// answer must not hold up what the others tell.
-func TestEnginesTellAnEntryThatStarts(t *testing.T) {
+// Guards against an entry that starts, after all entries were lost, without knowledge of the
+// engines' cached prefixes: each retry of a broken stream would then wait up to seconds for
+// a new prefill. An engine that does not respond must not delay the responses of the others.
+func TestStartingEntryLearnsCachedPrefixes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		inf, fl := route.NewInForce(), fleet.New()
 		deps := core.NewDeps()
 		deps.Region = "near"
-		en := &engines{asked: map[core.UpstreamID]int{}, told: map[core.UpstreamID][]core.Held{}}
+		en := &engines{queries: map[core.UpstreamID]int{}, learned: map[core.UpstreamID][]core.Held{}}
 		ended := make(chan error, 1)
 		go func() { ended <- recall.New(deps, inf, fl, en, en).Serve(t.Context()) }()
 		time.Sleep(time.Second)
-		assert.Equal(t, len(en.asked), 0, "nothing is known yet")
+		assert.Equal(t, len(en.queries), 0, "no query before the first configuration")
 		for i := range 3 {
 			fl.Put(core.Host{ID: core.UpstreamID(fmt.Sprint("up-", i)), Service: "writer", Region: "near"})
 		}
@@ -68,11 +68,11 @@
 		}})
 		assert.NilError(t, err)
 		inf.Adopt(tb)
-		began := time.Now()
+		startedAt := time.Now()
 		assert.Assert(t, errors.Is(<-ended, suture.ErrDoNotRestart))
-		assert.Assert(t, time.Since(began) <= time.Second)
-		assert.DeepEqual(t, en.asked, map[core.UpstreamID]int{"up-0": 1, "up-1": 1, "up-2": 1})
-		assert.Equal(t, len(en.told), 2)
-		assert.Equal(t, en.told["up-0"][0].Part.ID, "up-0")
+		assert.Assert(t, time.Since(startedAt) <= time.Second)
+		assert.DeepEqual(t, en.queries, map[core.UpstreamID]int{"up-0": 1, "up-1": 1, "up-2": 1})
+		assert.Equal(t, len(en.learned), 2)
+		assert.Equal(t, en.learned["up-0"][0].Part.ID, "up-0")
 	})
 }
