--- a/core/inforce/inforce.go
+++ b/core/inforce/inforce.go
@@ -1,5 +1,5 @@
-// Package inforce follows an accepted generation until every listed process
-// has it in force, availability zone by availability zone.
+// Package inforce follows an accepted configuration generation until every listed process
+// has it in force, and reports the progress per availability zone.
 //
 // # Usage
 //
@@ -21,39 +21,40 @@
 // returns nil, or an error when the context ends first.
 type Ask func(ctx context.Context, addr string, gen core.Generation) error
 
-// Zone is one availability zone's part.
+// Zone is the result for one availability zone.
 type Zone struct {
-	Zone            core.Zone
-	Region          core.Region
+	Zone   core.Zone
+	Region core.Region
+	// Entries and Agents are the numbers of processes followed in the zone.
 	Entries, Agents int
-	// Took is from the call of Follow to the last process of the zone.
+	// Took is the time from the call of Follow until the zone's last process has finished.
 	Took time.Duration
-	// Missing are the addresses without the generation when the time was up.
+	// Missing lists the addresses of processes without the generation when the context
+	// ended.
 	Missing []string
 }
 
-// Report is what Follow found.
+// Report is the result of Follow.
 type Report struct {
 	Zones   []Zone
 	Missing []string
 }
 
 const (
-	// asking bounds the processes of a zone that are asked at once. Each
-	// question is one connection; 12,000 at once would be more than the
-	// operator's machine carries. It is by zone, so that a silent zone does not
-	// keep the others from being asked.
-	asking = 64
-	// patience bounds one question. A silent process is asked again after the
-	// others of its zone; otherwise 64 silent ones would hide the rest.
-	patience = 2 * time.Second
-	pause    = 100 * time.Millisecond
+	// maxConcurrent bounds the concurrent requests per zone. Each request uses one
+	// connection, and 12,000 at once would exceed the capacity of the operator's machine.
+	// The limit is per zone so that an unresponsive zone does not block the others.
+	maxConcurrent = 64
+	// requestTimeout bounds one request. An unresponsive process is requested again after
+	// the others of its zone; otherwise 64 unresponsive processes would block the rest.
+	requestTimeout = 2 * time.Second
+	retryDelay     = 100 * time.Millisecond
 )
 
-// Follow asks every process of the list and calls done for each zone when its
-// last process has answered or the context has ended.
+// Follow waits for every listed process that has an address and is not leaving, and calls
+// done for each zone when its last process has the generation or the context has ended.
 func Follow(ctx context.Context, hosts []core.Host, gen core.Generation, ask Ask, done func(Zone)) Report {
-	began := time.Now()
+	startedAt := time.Now()
 	byZone := map[core.Zone][]core.Host{}
 	for _, ho := range hosts {
 		if ho.Addr != "" && !ho.Leaving {
@@ -66,7 +67,7 @@
 	for _, members := range byZone {
 		wg.Go(func() {
 			zo := followZone(ctx, members, gen, ask)
-			zo.Took = time.Since(began)
+			zo.Took = time.Since(startedAt)
 			mu.Lock()
 			defer mu.Unlock()
 			rep.Zones = append(rep.Zones, zo)
@@ -81,7 +82,7 @@
 }
 
 func followZone(ctx context.Context, members []core.Host, gen core.Generation, ask Ask) Zone {
-	places := make(chan struct{}, asking)
+	sem := make(chan struct{}, maxConcurrent)
 	zo := Zone{Zone: members[0].Zone, Region: members[0].Region}
 	var mu sync.Mutex
 	var wg sync.WaitGroup
@@ -92,7 +93,7 @@
 			zo.Agents++
 		}
 		wg.Go(func() {
-			if persist(ctx, ho.Addr, gen, ask, places) {
+			if awaitGeneration(ctx, ho.Addr, gen, ask, sem) {
 				return
 			}
 			mu.Lock()
@@ -105,19 +106,20 @@
 	return zo
 }
 
-// persist asks one process until it has the generation or the context ends.
-func persist(ctx context.Context, addr string, gen core.Generation, ask Ask, places chan struct{}) bool {
+// awaitGeneration requests one process repeatedly until it has the generation, and returns
+// false if the context ends first.
+func awaitGeneration(ctx context.Context, addr string, gen core.Generation, ask Ask, sem chan struct{}) bool {
 	for {
-		places <- struct{}{}
-		actx, cancel := context.WithTimeout(ctx, patience)
-		err := ask(actx, addr, gen)
+		sem <- struct{}{}
+		reqCtx, cancel := context.WithTimeout(ctx, requestTimeout)
+		err := ask(reqCtx, addr, gen)
 		cancel()
-		<-places
+		<-sem
 		if err == nil {
 			return true
 		}
 		select {
-		case <-time.After(pause):
+		case <-time.After(retryDelay):
 		case <-ctx.Done():
 			return false
 		}
--- a/core/inforce/inforce_test.go
+++ b/core/inforce/inforce_test.go
@@ -13,10 +13,10 @@
 	"skylarkstand/core/inforce"
 )
 
-// One zone cannot be reached while a change spreads. The operator must see the
-// other zones done at once, and the silent one named with its processes, not a
-// success for everything or a wait without an end.
-func TestSilentZoneIsNamed(t *testing.T) {
+// Guards against a report of success, or an endless wait, when one zone is unreachable during
+// the propagation of a change: the operator must see the other zones finish at once, and the
+// unreachable zone with its missing processes.
+func TestUnreachableZoneIsReported(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var hosts []core.Host
 		for i := range 900 {
