--- a/core/register/register.go
+++ b/core/register/register.go
@@ -1,7 +1,7 @@
-// Package register keeps an entry in the store's list of entries for as long as
-// it lives, by a lease. The list tells entries whom to ask when the store turns
-// one of them away, and whose turn it is to write what one of them has to.
-// Nothing that must be right depends on it.
+// Package register keeps an entry in the store's list of entries while it runs, by a lease.
+// From the list, an entry takes the siblings to contact when the store rejects it, and
+// entries determine which of them performs the writes that only one should make. The list
+// is a hint: no correctness guarantee depends on it.
 //
 // # Usage
 //
@@ -20,16 +20,16 @@
 )
 
 const (
-	// ttl is how long an entry that is gone stays listed. A shorter one would
-	// cost more renewals, and a gone entry costs others a question in vain.
-	ttl = 12 * time.Second
-	// renewEvery leaves two renewals to be lost.
-	renewEvery = 4 * time.Second
-	// again is the pause after a failed call.
-	again = time.Second
+	// leaseTTL is how long an entry that has ended stays listed. A shorter TTL would need
+	// more renewals, while a stale entry only costs other entries a failed request.
+	leaseTTL = 12 * time.Second
+	// renewInterval allows for two lost renewals within leaseTTL.
+	renewInterval = 4 * time.Second
+	// retryDelay is the pause after a failed call.
+	retryDelay = time.Second
 )
 
-// Registrar is the duty. It implements suture's Service.
+// Registrar is the service that maintains the registration. It implements suture.Service.
 type Registrar struct {
 	deps  core.Deps
 	st    core.Store
@@ -38,17 +38,17 @@
 	lease core.LeaseID
 }
 
-// New returns the duty that keeps a key with a value.
+// New returns a Registrar that keeps a key with a value in the store.
 func New(deps core.Deps, st core.Store, key string, value []byte) *Registrar {
 	return &Registrar{deps: deps, st: st, key: key, value: value}
 }
 
-// Serve implements suture's Service.
+// Serve implements suture.Service.
 func (re *Registrar) Serve(ctx context.Context) error {
 	for ctx.Err() == nil {
-		pause := renewEvery
-		if err := re.step(ctx); err != nil {
-			pause = again
+		pause := renewInterval
+		if err := re.renewOrRegister(ctx); err != nil {
+			pause = retryDelay
 			if ctx.Err() == nil {
 				event.Log(re.deps.Log, event.StoreWriteLate, "key", re.key, "error", err)
 				meter.RegisterFailed.Inc(re.deps.Metrics)
@@ -64,8 +64,8 @@
 	return ctx.Err()
 }
 
-// step renews the lease, or takes a new one and writes the key under it.
-func (re *Registrar) step(ctx context.Context) error {
+// renewOrRegister renews the lease, or acquires a new one and writes the key under it.
+func (re *Registrar) renewOrRegister(ctx context.Context) error {
 	if re.lease != "" {
 		err := re.st.Renew(ctx, re.lease)
 		if !errors.Is(err, core.ErrNotFound) {
@@ -73,12 +73,12 @@
 		}
 		re.lease = ""
 	}
-	lease, err := re.st.Grant(ctx, ttl)
+	lease, err := re.st.Grant(ctx, leaseTTL)
 	if err != nil {
 		return err
 	}
-	// The key may still be there under an older lease, or from a write whose
-	// answer was lost; it then goes with that lease and comes back a round later.
+	// The key may still exist under an older lease, or from a write whose reply was lost. It
+	// then expires with that lease and is written again one round later.
 	if _, err := re.st.Create(ctx, re.key, re.value, lease); err != nil {
 		return err
 	}
