--- a/core/meter/catalogue.go
+++ b/core/meter/catalogue.go
@@ -1,72 +1,72 @@
 package meter
 
-// The meters of gateways.
+// The metrics of gateways.
 var (
 	Exchanges = &Meter{"exchanges", Counter, []string{"code"},
-		"Exchanges by how they ended: `answered`, or the code of the failure or refusal.",
-		"the share of codes other than `answered` rises"}
+		"Exchanges by outcome: `answered`, or the code of the failure or refusal.",
+		"the share of codes other than `answered` increases"}
 	ExchangeTime = &Meter{"exchange-seconds", Histogram, nil,
-		"From a request's arrival to its end.",
-		"its 95th percentile nears the aims of the routes"}
+		"Time from the arrival of a request to its end.",
+		"its 95th percentile approaches the target latencies of the routes"}
 	FirstByteTime = &Meter{"first-byte-seconds", Histogram, []string{"service"},
-		"From a request's arrival to the header of the answer that its caller gets.",
-		"its 95th percentile nears the aims of the routes"}
+		"Time from the arrival of a request to the response header that its caller receives.",
+		"its 95th percentile approaches the target latencies of the routes"}
 	GapTime = &Meter{"gap-seconds", Histogram, nil,
-		"The pauses between two pieces of a stream, as they came from upstreams.",
-		"its 95th percentile passes the longest good pause of the routes"}
+		"Pauses between two chunks of a stream, as received from upstreams.",
+		"its 95th percentile exceeds the longest acceptable pause of the routes"}
 	WaitTime = &Meter{"wait-seconds", Histogram, []string{"service"},
-		"From a request's arrival to the sending of the attempt that was answered: what failed attempts and doubted answers cost. A gateway has no queue of its own; requests wait at upstreams.",
-		"it grows while `first-byte-seconds` less it does not"}
+		"Time from the arrival of a request to the start of the attempt whose response was used: the time lost to failed attempts and to answers that were escalated. A gateway has no queue of its own; requests wait at upstreams.",
+		"it increases while `first-byte-seconds` minus this metric does not"}
 	Attempts = &Meter{"attempts", Counter, []string{"verdict"},
-		"Attempts by what came of them: `taken`, `unsure` (a larger model was asked), `failed`, `refused`, `stranger`, `unreached`, `absent` (nobody listens) or `lost`.",
-		"`lost` is more than a few in a hundred exchanges"}
+		"Attempts by result: `taken`, `unsure` (escalated to a larger model), `failed`, `refused`, `stranger`, `unreached`, `absent` (no process listens) or `lost`.",
+		"`lost` exceeds a few percent of the exchanges"}
 	Repeats = &Meter{"repeats", Counter, []string{"purpose", "granted"},
-		"Repeats that were asked of the budget: for a `retry` of what failed, or a `climb` to a larger model.",
-		"`granted=\"false\"` for retries: requests end with their first failure"}
+		"Retries requested from the retry budget, by purpose: a `retry` of a failed attempt, or a `climb` (escalation) to a larger model.",
+		"`granted=\"false\"` for the purpose `retry`: requests fail at their first failed attempt"}
 	Resumptions = &Meter{"resumptions", Counter, []string{"outcome"},
-		"Streams that broke and went on at another upstream, or did not.",
-		"`no` rises"}
+		"Broken streams, by whether they were resumed at another upstream.",
+		"`no` increases"}
 	StoreCallTime = &Meter{"store-call-seconds", Histogram, []string{"call", "outcome"},
-		"Calls of the store. A `watch` waits for changes, up to 2.5 s.",
-		"`outcome` other than `ok` rises"}
+		"Duration of store calls. A `watch` waits up to 2.5 s for changes.",
+		"outcomes other than `ok` increase"}
 	StoreWatchFailed = &Meter{"store-watch-failed", Counter, nil,
-		"Listings and watches of the store that failed.", "it rises together with `siblings-silent`: this host hears nothing"}
+		"Failed listings and watches of the store.", "it increases together with `siblings-silent`: this host receives no updates"}
 	SiblingsSilent = &Meter{"siblings-silent", Counter, nil,
-		"Rounds in which no other entry answered this one, which cannot reach the store.", "see `store-watch-failed`"}
+		"Requests to siblings for updates, sent while the store does not answer, that no entry answered.", "see `store-watch-failed`"}
 	RegisterFailed = &Meter{"register-failed", Counter, nil,
-		"Writes of the process's own line of the list of entries that failed.", ""}
-	InFlight      = &Meter{"in-flight", Gauge, nil, "Exchanges under way.", ""}
+		"Failed writes of the process's own registration in the list of entries.", ""}
+	InFlight      = &Meter{"in-flight", Gauge, nil, "Exchanges in progress.", ""}
 	ConfigVersion = &Meter{"configuration-version", Gauge, nil,
-		"The version of the configuration in force.", "processes differ for longer than the bound"}
+		"Version of the configuration in force.", "processes differ for longer than the propagation bound"}
 	NewsAge = &Meter{"news-age-seconds", Gauge, nil,
-		"How long ago the copy of the store was known to be the newest.", "it is above 7 s"}
+		"Time since the replica of the store was last confirmed up to date.", "it is above 7 s"}
 	Upstreams = &Meter{"upstreams", Gauge, []string{"service", "state"},
-		"Upstreams by state: `serving`, `leaving`, `doubtful` (the line is gone, maybe by the store's own trouble), `evacuated` (its availability zone gets no new work), `avoided` (serving, but kept from work here).",
-		"`serving` less `avoided` falls"}
+		"Upstreams by state: `serving`, `leaving`, `doubtful` (its listing was removed, possibly by a store outage), `evacuated` (its availability zone receives no new work), `avoided` (serving, but excluded by this process).",
+		"`serving` minus `avoided` decreases"}
 	RollOutShare = &Meter{"roll-out-share", Gauge, []string{"service"},
-		"The part of the new sessions that the version under roll-out may get; 1 once it is completed, 0 when it was rolled back.", ""}
+		"Fraction of new sessions that the version under roll-out may receive; 1 after completion, 0 after a rollback.", ""}
 	RepeatsLeft = &Meter{"repeats-left", Gauge, []string{"service"},
-		"Repeats that this entry may still make in the present window.", "it is below 1"}
+		"Retries left to this entry in the current window of the retry budget.", "it is below 1"}
 )
 
-// The meters of entries and agents.
+// The metrics of entries and agents.
 var (
 	RequestsFailed = &Meter{"requests-failed", Counter, []string{"code", "ran"},
-		"Requests that ended without an answer, by code and by what their callers were told.", "it rises"}
-	RollOutsHalted   = &Meter{"roll-outs-halted", Counter, nil, "Roll-outs that the guard has halted.", "it rises"}
-	ForeignFrames    = &Meter{"foreign-frames", Counter, nil, "Frames of another attempt that were dropped.", "it rises"}
-	ForeignEvents    = &Meter{"foreign-events", Counter, nil, "Events of another attempt that an engine sent.", "it rises"}
+		"Requests that ended without a response, by code and by whether the work ran according to the reply to the caller.", "it increases"}
+	RollOutsHalted   = &Meter{"roll-outs-halted", Counter, nil, "Roll-outs halted by the guard.", "it increases"}
+	ForeignFrames    = &Meter{"foreign-frames", Counter, nil, "Dropped frames that belong to another attempt.", "it increases"}
+	ForeignEvents    = &Meter{"foreign-events", Counter, nil, "Events sent by an engine that belong to another attempt.", "it increases"}
 	ClaimWrites      = &Meter{"claim-writes", Counter, nil, "Writes of claims to the store.", ""}
 	ClaimsUnfinished = &Meter{"claims-unfinished", Counter, nil,
-		"Answers of at-most-once operations that could not be stored at once.", "it rises"}
+		"Answers of at-most-once operations that could not be stored at the first try.", "it increases"}
 	ClaimsUnreleased = &Meter{"claims-unreleased", Counter, nil,
-		"Claims of work that did not run and that could not be given back at once.", "it rises"}
-	BillsLost          = &Meter{"bills-lost", Counter, nil, "Bills that were only logged.", "it is not 0"}
-	LedgerWaitingBytes = &Meter{"ledger-waiting-bytes", Gauge, nil, "Bills that are not durable yet.", "it grows"}
-	RatingsSkipped     = &Meter{"ratings-skipped", Counter, nil, "Answers that were not rated in time.", "it rises"}
+		"Claims for work that did not run that could not be released at the first try.", "it increases"}
+	BillsLost          = &Meter{"bills-lost", Counter, nil, "Bills that were logged but not written to the ledger.", "it is not 0"}
+	LedgerWaitingBytes = &Meter{"ledger-waiting-bytes", Gauge, nil, "Size of the bills that are not yet durable.", "it increases"}
+	RatingsSkipped     = &Meter{"ratings-skipped", Counter, nil, "Answers that were not rated in time.", "it increases"}
 )
 
-// Catalogue lists all meters, those of gateways first.
+// Catalogue lists all metrics, those of gateways first.
 func Catalogue() []*Meter {
 	return []*Meter{
 		Exchanges, ExchangeTime, FirstByteTime, GapTime, WaitTime, Attempts, Repeats, Resumptions,
--- a/core/meter/meter.go
+++ b/core/meter/meter.go
@@ -1,11 +1,11 @@
-// Package meter is the catalogue of the metrics. Every counter, gauge and
-// histogram of a process has an entry, so that operators can look it up in
-// docs/METRICS.md, which is generated from this catalogue.
+// Package meter is the catalogue of metrics. Every counter, gauge and histogram of a process
+// has an entry here, and docs/METRICS.md, where operators look it up, is generated from this
+// catalogue.
 //
 // # Usage
 //
-//	meter.StoreCalls.Inc(deps.Metrics, "watch", "ok")     // the values of its labels
-//	meter.StoreCallTime.Record(deps.Metrics, took, "watch")
+//	meter.Exchanges.Inc(deps.Metrics, "answered")     // followed by the label values
+//	meter.StoreCallTime.Record(deps.Metrics, took, "watch", "ok")
 package meter
 
 import (
@@ -16,7 +16,7 @@
 	"github.com/uber-go/tally/v4"
 )
 
-// Kind is what a meter measures.
+// Kind is the type of a metric.
 type Kind string
 
 // The kinds.
@@ -26,51 +26,51 @@
 	Histogram Kind = "histogram"
 )
 
-// Meter is one entry of the catalogue.
+// Meter is one metric of the catalogue.
 type Meter struct {
-	// Name is in kebab case and ends with the unit, unless it counts. The page
-	// shows it with underscores behind "skylarkstand_".
+	// Name is in kebab case and ends with the unit, except for plain counts. The metrics
+	// endpoint exposes it with underscores and the prefix "skylarkstand_".
 	Name   string
 	Kind   Kind
 	Labels []string
-	// Meaning says what is measured; Alarm when somebody should look, empty is
-	// never.
+	// Meaning describes what is measured.
 	Meaning string
-	Alarm   string
+	// Alarm is the condition that operators should investigate, or empty.
+	Alarm string
 }
 
-// latencies are the bounds of the histograms: doubling from a millisecond to a
+// latencyBuckets are the bucket bounds of all histograms, doubling from a millisecond to a
 // minute.
-var latencies = tally.MustMakeExponentialDurationBuckets(time.Millisecond, 2, 17)
+var latencyBuckets = tally.MustMakeExponentialDurationBuckets(time.Millisecond, 2, 17)
 
-// Inc counts one.
+// Inc increments a counter by one.
 func (me *Meter) Inc(scope tally.Scope, vals ...string) { me.Add(scope, 1, vals...) }
 
-// Add counts several.
+// Add increments a counter by n.
 func (me *Meter) Add(scope tally.Scope, n int64, vals ...string) {
-	me.in(scope, vals).Counter(me.Name).Inc(n)
+	me.tagged(scope, vals).Counter(me.Name).Inc(n)
 }
 
 // Set sets a gauge.
 func (me *Meter) Set(scope tally.Scope, val float64, vals ...string) {
-	me.in(scope, vals).Gauge(me.Name).Update(val)
+	me.tagged(scope, vals).Gauge(me.Name).Update(val)
 }
 
-// Record takes a time into a histogram.
+// Record records a duration in a histogram.
 func (me *Meter) Record(scope tally.Scope, took time.Duration, vals ...string) {
 	me.Histogram(scope, vals...).RecordDuration(took)
 }
 
-// Histogram returns a histogram for those who record often.
+// Histogram returns the histogram for frequent recording without repeated label lookup.
 func (me *Meter) Histogram(scope tally.Scope, vals ...string) tally.Histogram {
-	return me.in(scope, vals).Histogram(me.Name, latencies)
+	return me.tagged(scope, vals).Histogram(me.Name, latencyBuckets)
 }
 
-// in returns the scope of the labels' values. A wrong number of them is a mistake
-// of the caller's code, which any test of it meets.
-func (me *Meter) in(scope tally.Scope, vals []string) tally.Scope {
+// tagged returns the scope with the label values. It panics if their number is wrong, which
+// is a programming error that any test of the calling code reveals.
+func (me *Meter) tagged(scope tally.Scope, vals []string) tally.Scope {
 	if len(vals) != len(me.Labels) {
-		panic(fmt.Sprintf("meter: %s has the labels %v, not %d", me.Name, me.Labels, len(vals)))
+		panic(fmt.Sprintf("meter: metric %s needs a value for each of the labels %v, got %d values", me.Name, me.Labels, len(vals)))
 	}
 	if len(vals) == 0 {
 		return scope
@@ -85,8 +85,8 @@
 // Reference renders the catalogue as docs/METRICS.md.
 func Reference() string {
 	var sb strings.Builder
-	sb.WriteString("# Metrics\n\nGenerated from `core/meter` by `skylarkstand reference metrics`. A name on the page of\na process is `skylarkstand_` and the name below with underscores, a histogram's with\n`_bucket`, `_sum` and `_count`; all have the label `role`.\n\n")
-	sb.WriteString("| name | kind | labels | what is measured | look into it when |\n| --- | --- | --- | --- | --- |\n")
+	sb.WriteString("# Metrics\n\nGenerated from `core/meter` by `skylarkstand reference metrics`. A process exposes\neach metric as `skylarkstand_` followed by the name below with underscores, histograms with\nthe suffixes `_bucket`, `_sum` and `_count`. All metrics have the label `role`.\n\n")
+	sb.WriteString("| name | kind | labels | description | investigate when |\n| --- | --- | --- | --- | --- |\n")
 	for _, me := range Catalogue() {
 		fmt.Fprintf(&sb, "| `%s` | %s | %s | %s | %s |\n", me.Name, me.Kind, strings.Join(me.Labels, ", "), me.Meaning, me.Alarm)
 	}
--- a/core/meter/meter_test.go
+++ b/core/meter/meter_test.go
@@ -14,8 +14,8 @@
 	"skylarkstand/core/meter"
 )
 
-// Somebody adds a metric beside the catalogue. Operators see a name on the page
-// of a process that no documentation has.
+// Guards against metrics created outside the catalogue: operators would see undocumented
+// names on the metrics endpoint of a process.
 func TestEveryMetricIsInTheCatalogue(t *testing.T) {
 	const root = "../.."
 	err := filepath.WalkDir(root, func(path string, de fs.DirEntry, err error) error {
@@ -33,7 +33,7 @@
 				return true
 			}
 			if se, ok := ca.Fun.(*ast.SelectorExpr); ok && len(ca.Args) > 0 && (se.Sel.Name == "Counter" || se.Sel.Name == "Gauge" || se.Sel.Name == "Timer") {
-				t.Errorf("%s: a metric that is not of core/meter", fset.Position(ca.Pos()))
+				t.Errorf("%s: metric created outside the catalogue; declare it in core/meter", fset.Position(ca.Pos()))
 			}
 			return true
 		})
@@ -42,11 +42,12 @@
 	assert.NilError(t, err)
 }
 
-// A metric whose name says no unit is read in the wrong one.
-func TestNamesSayTheirUnits(t *testing.T) {
+// Guards against metrics whose name lacks the unit, which are read in the wrong unit, and
+// against duplicate names.
+func TestNamesContainUnits(t *testing.T) {
 	seen := map[string]bool{}
 	for _, me := range meter.Catalogue() {
-		assert.Assert(t, !seen[me.Name], "%s is there twice", me.Name)
+		assert.Assert(t, !seen[me.Name], "metric %s is listed twice", me.Name)
 		seen[me.Name] = true
 		assert.Equal(t, me.Name, strings.ToLower(me.Name))
 		if me.Kind == meter.Histogram {
