--- a/core/mirror/follow.go
+++ b/core/mirror/follow.go
@@ -242,11 +242,11 @@
 		meter.SiblingsSilent.Inc(fo.deps.Metrics)
 		return
 	}
-	fo.applyNews(ne, requestedAt)
+	fo.applyUpdate(ne, requestedAt)
 }
 
-// applyNews applies an update that another entry sent after requestedAt.
-func (fo *Follower) applyNews(ne News, requestedAt time.Time) {
+// applyUpdate applies an update that another entry sent after requestedAt.
+func (fo *Follower) applyUpdate(ne News, requestedAt time.Time) {
 	if ne.Doubtful {
 		fo.mu.Lock()
 		fo.doubtUntil = time.Now().Add(doubtPeriod)
--- a/core/mirror/readers.go
+++ b/core/mirror/readers.go
@@ -128,7 +128,7 @@
 	if err != nil {
 		return false
 	}
-	fo.applyNews(ne, requestedAt)
+	fo.applyUpdate(ne, requestedAt)
 	return true
 }
 
--- a/io/sibling/share.go
+++ b/io/sibling/share.go
@@ -53,7 +53,7 @@
 
 // Sharer is the service that gossips this entry's load and replica digest to the other
 // entries of the local region by datagrams. The next round makes up for a lost datagram,
-// and an entry that is gone blocks nobody. It implements suture.Service.
+// and an entry that is gone does not delay the others. It implements suture.Service.
 type Sharer struct {
 	self  core.ProcessID
 	addr  string
--- a/io/sibling/sibling.go
+++ b/io/sibling/sibling.go
@@ -188,7 +188,7 @@
 	for i := range n {
 		addr := addrs[(first+i)%len(addrs)]
 		go func() {
-			ne, err := si.fetch(ctx, addr, "?after="+formatRevision(after))
+			ne, err := si.requestUpdate(ctx, addr, "?after="+formatRevision(after))
 			got <- result{ne, err}
 		}()
 	}
@@ -214,12 +214,12 @@
 // from its log: serving whole replicas to all entries of a region would cost one entry more
 // than watching the store costs each of them.
 func (si *Siblings) AskAt(ctx context.Context, addr string, after core.Revision) (mirror.News, error) {
-	return si.fetch(ctx, addr, "?after="+formatRevision(after)+"&"+changesOnly+"=true")
+	return si.requestUpdate(ctx, addr, "?after="+formatRevision(after)+"&"+changesOnly+"=true")
 }
 
 func formatRevision(rev core.Revision) string { return strconv.FormatUint(uint64(rev), 10) }
 
-func (si *Siblings) fetch(ctx context.Context, addr, query string) (mirror.News, error) {
+func (si *Siblings) requestUpdate(ctx context.Context, addr, query string) (mirror.News, error) {
 	var ms message
 	if err := si.get(ctx, addr, Path+query, &ms); err != nil {
 		return mirror.News{}, err
