--- a/core/attempt.go
+++ b/core/attempt.go
@@ -2,14 +2,13 @@
 
 import "time"
 
-// Attempt is one try of a request on one upstream, as an entry hands it to an
-// agent.
+// Attempt is one try of a request at one upstream, as an entry sends it to an agent.
 type Attempt struct {
 	ID        AttemptID
 	Request   RequestID
 	Workspace WorkspaceID
-	// Generation is the configuration that the entry decided by. An agent
-	// that is behind adopts it before it checks the attempt.
+	// Generation is the configuration that the entry applied. An agent with an older one adopts it
+	// before it checks the attempt.
 	Generation Generation
 	// Target is the model version to run on, for model engines.
 	Target ModelVersion
@@ -18,44 +17,44 @@
 	Operation OperationID
 	// IdempotencyKey is set for operations that run at most once.
 	IdempotencyKey string
-	// Deadline is the time left to the caller; zero means none.
+	// Deadline is the time that the caller still waits; zero means no deadline.
 	Deadline time.Duration
-	// Priority of the work; higher goes first.
+	// Priority is the rank of the work; the highest runs first.
 	Priority int
 	Stream   bool
-	// Solo makes the upstream run nothing else meanwhile, for a request that
-	// is suspected to crash upstreams.
+	// Solo makes the upstream run nothing else at the same time. It is set for a request that is
+	// suspected of crashing upstreams.
 	Solo bool
 	Body []byte
 }
 
-// Usage is what an answer consumed.
+// Usage counts the tokens that an answer consumed.
 type Usage struct {
 	Prompt    Tokens `json:"prompt-tokens"`
 	Generated Tokens `json:"generated-tokens"`
 }
 
-// Load is an agent's report of its upstream, piggybacked on frames. It lags.
+// Load is an agent's load report of its upstream, piggybacked on frames. It lags behind the
+// upstream's current load.
 type Load struct {
 	Running int
 	Queued  int
 	Slots   int
 }
 
-// Answer receives an attempt's answer piece by piece. A Stream is whole only
-// when Next has returned io.EOF; any other error ends it as a [Failure].
+// Answer receives an attempt's answer piece by piece. The answer is complete only once Next has
+// returned io.EOF; any other error is a [Failure] and ends it.
 type Answer interface {
-	// Next returns the next piece. Its bytes are valid until the next call.
+	// Next returns the next piece. Its bytes are valid until the next call of Next.
 	Next() ([]byte, error)
-	// Usage is set once Next has returned io.EOF.
+	// Usage is valid once Next has returned io.EOF.
 	Usage() Usage
 	// Status and ContentType describe a plain service's answer.
 	Status() int
 	ContentType() string
-	// ReplayOf names the attempt whose stored answer this is, once Next has
-	// returned io.EOF; it is empty for an answer of its own. A replay is not
-	// charged again.
+	// ReplayOf returns the attempt whose stored answer was replayed, once Next has returned io.EOF;
+	// it is empty if this attempt produced the answer. A replay is not billed again.
 	ReplayOf() AttemptID
-	// Close gives the attempt up; the upstream is told to cancel.
+	// Close abandons the attempt and sends a cancellation to the upstream.
 	Close()
 }
--- a/core/deps.go
+++ b/core/deps.go
@@ -7,22 +7,21 @@
 	"github.com/uber-go/tally/v4"
 )
 
-// Deps is what every part of a process needs. It is handed down at
-// construction; there is no package-level state.
+// Deps holds the dependencies that all components of a process share. It is passed to their
+// constructors; there is no package-level state.
 type Deps struct {
 	// Self is the id of this incarnation of the process.
 	Self ProcessID
-	// Zone and Region say where the process stands.
+	// Zone and Region are the location of the process.
 	Zone   Zone
 	Region Region
-	// Log takes numbered events, see package event.
+	// Log receives the numbered events of package event.
 	Log *slog.Logger
-	// Metrics is the root of the process's metrics.
+	// Metrics is the root scope of the process's metrics.
 	Metrics tally.Scope
 }
 
-// NewDeps returns a Deps that logs nowhere and counts nothing, for tests and
-// for short commands.
+// NewDeps returns a Deps that discards logs and metrics, for tests and short-lived commands.
 func NewDeps() Deps {
 	return Deps{
 		Self:    ProcessID(NewID()),
@@ -31,6 +30,5 @@
 	}
 }
 
-// NewID returns a fresh unique id, ordered by time (UUIDv7), for requests,
-// attempts and processes.
+// NewID returns a new unique id, ordered by time (UUIDv7), for requests, attempts and processes.
 func NewID() string { return uuid.Must(uuid.NewV7()).String() }
--- a/core/failure.go
+++ b/core/failure.go
@@ -5,25 +5,25 @@
 	"time"
 )
 
-// Ran says whether the work of a failed request was run.
+// Ran reports whether the work of a failed request was run.
 type Ran string
 
-// The three truthful endings of a request that got no answer.
+// The possible outcomes of a request that got no answer.
 const (
-	// NotRun is said only when no byte went to an upstream, or when the agent
-	// refused before its call. A caller may send the request again safely.
+	// NotRun is reported only if no byte was sent to an upstream, or if the agent refused before
+	// its call. The caller can safely send the request again.
 	NotRun Ran = "not-run"
 	// RanFailed means that the upstream ran the request and failed.
 	RanFailed Ran = "ran"
-	// RanUnknown means that the request was handed over and its outcome was
-	// lost. An operation that may run at most once is not run again.
+	// RanUnknown means that the request was sent and its outcome was lost. An operation that may
+	// run at most once is not run again.
 	RanUnknown Ran = "unknown"
 )
 
-// Code classifies a failure for programs.
+// Code is the machine-readable class of a failure.
 type Code string
 
-// The failure codes that a caller can meet.
+// The failure codes that are returned to callers.
 const (
 	CodeBadRequest    Code = "bad-request"
 	CodeUnauthorized  Code = "unauthorized"
@@ -53,14 +53,14 @@
 	CodeInternalError Code = "internal"
 )
 
-// Failure is the one error type that crosses from the layers to a caller. It
-// is also what an agent sends to an entry in place of an answer.
+// Failure is the only error type that is returned to callers. An agent also sends it to an entry in
+// place of an answer.
 type Failure struct {
 	Code    Code
 	Ran     Ran
 	Message string
-	// RetryAfter is the time after which trying again makes sense. Zero means
-	// that trying the same request again will not help.
+	// RetryAfter is the time after which a retry makes sense. Zero means that a retry of the same
+	// request does not help.
 	RetryAfter time.Duration
 }
 
@@ -69,28 +69,28 @@
 	return fmt.Sprintf("%s (%s): %s", fl.Code, fl.Ran, fl.Message)
 }
 
-// Refuse returns a failure that was certainly not run.
+// Refuse returns a failure of a request that was certainly not run.
 func Refuse(code Code, retryAfter time.Duration, format string, args ...any) *Failure {
 	return &Failure{Code: code, Ran: NotRun, RetryAfter: retryAfter, Message: fmt.Sprintf(format, args...)}
 }
 
-// Lost returns a failure whose work may or may not have run.
+// Lost returns a failure of a request that may or may not have run.
 func Lost(format string, args ...any) *Failure {
 	return &Failure{Code: CodeOutcomeLost, Ran: RanUnknown, Message: fmt.Sprintf(format, args...)}
 }
 
-// Problem is a failure as callers read it, in JSON.
+// Problem is the JSON form of a failure that callers receive.
 type Problem struct {
 	Code    Code   `json:"code"`
 	Message string `json:"message"`
 	// Ran is "not-run", "ran" or "unknown".
 	Ran Ran `json:"ran"`
-	// RetryAfter is in seconds; 0 when trying again will not help.
+	// RetryAfter is in seconds; 0 if a retry does not help.
 	RetryAfter float64   `json:"retry-after"`
 	Request    RequestID `json:"request-id"`
 }
 
-// Problem renders a failure for the caller of a request.
+// Problem converts a failure for the caller of a request.
 func (fl *Failure) Problem(id RequestID) Problem {
 	return Problem{Code: fl.Code, Message: fl.Message, Ran: fl.Ran, RetryAfter: fl.RetryAfter.Seconds(), Request: id}
 }
--- a/core/regions.go
+++ b/core/regions.go
@@ -5,19 +5,18 @@
 	"strings"
 )
 
-// Regions are the regions that a request may be served in. The zero value allows
-// all. Values are comparable.
+// Regions is the set of regions that may serve a request. The zero value allows all regions. Values
+// are comparable.
 type Regions struct {
 	restricted bool
-	// list holds the names in order, with a separator around each.
+	// list holds the sorted names, with a separator before and after each.
 	list string
 }
 
-// separator does not occur in the name of a region.
+// separator is a character that does not occur in the name of a region.
 const separator = "\x00"
 
-// OnlyRegions returns a restriction to the named regions. Without names nothing
-// is restricted.
+// OnlyRegions returns a restriction to the named regions. Without names, all regions are allowed.
 func OnlyRegions(names ...Region) Regions {
 	if len(names) == 0 {
 		return Regions{}
@@ -35,10 +34,10 @@
 	return re
 }
 
-// Restricted reports whether any region is left out.
+// Restricted reports whether only the listed regions are allowed.
 func (re Regions) Restricted() bool { return re.restricted }
 
-// Names lists the allowed regions; nil when nothing is restricted.
+// Names lists the allowed regions; nil if all regions are allowed.
 func (re Regions) Names() []Region {
 	var out []Region
 	for name := range strings.SplitSeq(re.list, separator) {
@@ -49,12 +48,12 @@
 	return out
 }
 
-// Allows reports whether a request may be served in a region.
+// Allows reports whether a region may serve the request.
 func (re Regions) Allows(name Region) bool {
 	return !re.restricted || strings.Contains(re.list, separator+string(name)+separator)
 }
 
-// Intersect returns the regions that both allow, which may be none.
+// Intersect returns the regions that both sets allow, which may be none.
 func (re Regions) Intersect(other Regions) Regions {
 	if !re.restricted {
 		return other
--- a/core/regions_test.go
+++ b/core/regions_test.go
@@ -15,11 +15,11 @@
 		allowed, denied  []core.Region
 		text             string
 	}{
-		{"nothing is restricted", nil, nil, []core.Region{"muc", "nue"}, nil, "any"},
+		{"no restriction", nil, nil, []core.Region{"muc", "nue"}, nil, "any"},
 		{"the route restricts", []core.Region{"muc"}, nil, []core.Region{"muc"}, []core.Region{"nue"}, "muc"},
 		{"the workspace restricts", nil, []core.Region{"nue"}, []core.Region{"nue"}, []core.Region{"muc"}, "nue"},
-		{"both bind", []core.Region{"muc", "nue"}, []core.Region{"nue", "ber"}, []core.Region{"nue"}, []core.Region{"muc", "ber"}, "nue"},
-		{"nothing is left", []core.Region{"muc"}, []core.Region{"nue"}, nil, []core.Region{"muc", "nue"}, "none"},
+		{"both restrict", []core.Region{"muc", "nue"}, []core.Region{"nue", "ber"}, []core.Region{"nue"}, []core.Region{"muc", "ber"}, "nue"},
+		{"no common region", []core.Region{"muc"}, []core.Region{"nue"}, nil, []core.Region{"muc", "nue"}, "none"},
 	}
 	for _, sc := range scenarios {
 		t.Run(sc.testName, func(t *testing.T) {
