--- a/core/event/catalogue.go
+++ b/core/event/catalogue.go
@@ -2,158 +2,157 @@
 
 import "log/slog"
 
-// The events. Numbers below 200 concern the process, below 300 links and
-// upstreams, below 400 the configuration, below 500 the store, claims and the
-// ledger, below 600 requests.
+// The events. Numbers below 200 concern the process, below 300 links and upstreams, below 400 the
+// configuration, below 500 the store, claims and the ledger, below 600 requests.
 var (
 	Started = &Event{100, "started", slog.LevelInfo,
-		"The process is up and listens.", "Nothing."}
+		"The process has started and listens for connections.", "Nothing."}
 	Stopping = &Event{101, "stopping", slog.LevelInfo,
-		"A planned stop has begun; listeners drain.", "Nothing."}
+		"A planned stop has begun; the listeners drain.", "Nothing."}
 	Stopped = &Event{102, "stopped", slog.LevelInfo,
-		"All work in flight has ended and the process exits.", "Nothing."}
+		"All in-flight work has ended and the process exits.", "Nothing."}
 	DutyFailed = &Event{103, "duty-failed", slog.LevelError,
-		"A duty of the supervisor tree ended and is started again.", "Report it when it repeats."}
+		"A service of the supervisor tree failed and is restarted, or a request handler panicked.", "Report it if it repeats."}
 	Reloaded = &Event{105, "reloaded", slog.LevelInfo,
-		"The settings file was read again and what may change while running is in force.", "Nothing."}
+		"The settings file was reloaded; the settings that may change at run time are in force.", "Nothing."}
 	ReloadRefused = &Event{106, "reload-refused", slog.LevelError,
-		"The settings file has faults; the settings in force stay.", "Mend the file; the line names all faults."}
+		"The settings file is invalid; the settings in force stay.", "Correct the file; the line lists all errors."}
 	LogDropped = &Event{107, "log-dropped", slog.LevelWarn,
-		"Lines of the event `of` were left out, because it had more than its ceiling or whoever reads the log does not keep up; `lines` counts them.", "Nothing; the counters have every request."}
+		"Lines of the event `of` were dropped, because a limit on log lines was exceeded or the reader of the log is too slow; `lines` is their number.", "Nothing; the metrics count every request."}
 	DrainCut = &Event{104, "drain-cut", slog.LevelError,
-		"A planned stop ran out of its time and cut work off.", "Raise `drain-limit` above the longest answer."}
+		"A planned stop reached its time limit and cut off in-flight work.", "Raise `drain-limit` above the duration of the longest answer."}
 	LinkUp = &Event{200, "link-up", slog.LevelInfo,
 		"A link to a peer was opened.", "Nothing."}
 	LinkDown = &Event{201, "link-down", slog.LevelWarn,
-		"A link to a peer was lost.", "Look at the peer when it does not come back."}
+		"A link to a peer was lost.", "Check the peer if the link is not opened again."}
 	UpstreamLeaving = &Event{202, "upstream-leaving", slog.LevelInfo,
-		"An upstream takes no new work from now on.", "Nothing."}
+		"An upstream accepts no new work from now on.", "Nothing."}
 	UpstreamDown = &Event{203, "upstream-down", slog.LevelWarn,
-		"An agent cannot reach its upstream.", "Look at the engine or service."}
+		"An agent cannot reach its upstream.", "Check the engine or service."}
 	HostsAway = &Event{204, "hosts-away", slog.LevelWarn,
-		"The platform's host list cannot be read; the last one is kept.", "Look at the platform."}
+		"The platform's host list cannot be read; the last known list stays in use.", "Check the platform."}
 	ForeignFrame = &Event{205, "foreign-frame", slog.LevelWarn,
-		"A frame or event of another attempt arrived and was dropped.", "Report it when it repeats."}
+		"A frame or event of a different attempt was received and dropped.", "Report it if it repeats."}
 	PeerUp = &Event{206, "peer-up", slog.LevelInfo,
 		"A link to another entry was opened.", "Nothing."}
 	PeerDown = &Event{207, "peer-down", slog.LevelWarn,
-		"A link to another entry was lost.", "Look at that entry when it does not come back."}
+		"A link to another entry was lost.", "Check that entry if the link is not opened again."}
 	UpstreamCrashed = &Event{208, "upstream-crashed", slog.LevelWarn,
-		"An upstream went down with a request in flight; the request runs alone once more, or not again when it was alone.",
-		"Look at the engine when it repeats; the fingerprint names the request."}
+		"An upstream crashed with a request in flight; the request is retried once with nothing else running beside it, or not at all if it already ran alone.",
+		"Check the engine if it repeats; the fingerprint identifies the request."}
 	OrderPassed = &Event{209, "order-passed", slog.LevelInfo,
-		"An order was passed on to the engine.", "Nothing."}
+		"An order was forwarded to the engine.", "Nothing."}
 	OrderRefused = &Event{210, "order-refused", slog.LevelWarn,
-		"An order was not passed on, or the engine refused it.", "Give it again if it is still meant; a newer order may have replaced it."}
+		"An order was not forwarded, or the engine refused it.", "Repeat the order if it still applies; a newer order may have replaced it."}
 	ConfigAdopted = &Event{300, "configuration-adopted", slog.LevelInfo,
 		"A newer configuration is in force in this process.", "Nothing."}
 	ConfigBroken = &Event{301, "configuration-broken", slog.LevelError,
-		"A generation could not be read; the one before stays in force.", "Roll the configuration back."}
+		"A generation of the configuration could not be read; the previous one stays in force.", "Roll the configuration back."}
 	ConfigStale = &Event{302, "configuration-stale", slog.LevelWarn,
-		"No word of the newest configuration for longer than the freshness bound; versions under roll-out get no new sessions.",
-		"Look at the store and the links."}
+		"The configuration was not confirmed as the newest for longer than the freshness bound; versions under roll-out get no new sessions.",
+		"Check the store and the links."}
 	RollOutHalted = &Event{340, "roll-out-halted", slog.LevelWarn,
-		"The guard has halted a roll-out: its version gets no new sessions from this process from now on.",
-		"Look at the version and withdraw it, or clear `halted` to go on."}
+		"The guard has halted a roll-out: this process sends no new sessions to its version from now on.",
+		"Check the version and withdraw it, or clear `halted` to continue."}
 	HaltRecorded = &Event{341, "halt-recorded", slog.LevelInfo,
-		"A halt of the guard stands in the configuration and spreads to all processes.", "Nothing."}
+		"A halt of the guard was written into the configuration and propagates to all processes.", "Nothing."}
 	CanaryOrdered = &Event{343, "canary-ordered", slog.LevelInfo,
-		"Operators ordered a service to be moved to a version.", "Nothing."}
+		"An operator ordered the roll-out of a version of a service.", "Nothing."}
 	CanaryStatus = &Event{344, "canary-status", slog.LevelInfo,
-		"A roll-out's status in the store is a new one.", "Nothing."}
+		"A roll-out's status in the store has changed.", "Nothing."}
 	CanaryStep = &Event{345, "canary-step", slog.LevelInfo,
 		"A roll-out has reached its next step; the new version gets a larger share.", "Nothing."}
 	CanaryWritten = &Event{346, "canary-written", slog.LevelInfo,
-		"This process wrote a roll-out's next step or status; `why` is the evidence.", "Look at the version when it was rolled back."}
+		"This process wrote a roll-out's next step or status; `why` is the evidence.", "Check the version if it was rolled back."}
 	EntryMalformed = &Event{347, "entry-malformed", slog.LevelWarn,
-		"A key of the store cannot be read. An upstream's is taken as none; a configuration's leaves the one in force.",
-		"Find who writes it."}
+		"A key of the store has a malformed value. An upstream's key is treated as missing; a configuration's key leaves the one in force.",
+		"Find out which program writes the key."}
 	UpstreamListed = &Event{348, "upstream-listed", slog.LevelInfo,
-		"An upstream's line of the list is new or has changed.", "Nothing."}
+		"An upstream's entry in the list is new or has changed.", "Nothing."}
 	UpstreamGone = &Event{349, "upstream-gone", slog.LevelInfo,
-		"An upstream's line is gone. While `doubtful`, the store's own trouble may be the cause and it is used for a little longer.", "Nothing."}
+		"An upstream's entry was removed from the list. If `doubtful`, a fault of the store may be the cause, and the upstream is used for a little longer.", "Nothing."}
 	UpstreamAvoided = &Event{350, "upstream-avoided", slog.LevelWarn,
-		"This entry keeps work from an upstream while others are there: `why` is the outcome that decided it, `failing` the recent share of failures.",
-		"Look at the upstream when other entries avoid it too."}
+		"This entry sends no work to an upstream while others are available: `why` is the outcome that led to it, `failing` the recent failure rate.",
+		"Check the upstream if other entries avoid it too."}
 	MemoryRecalled = &Event{353, "memory-recalled", slog.LevelInfo,
-		"This entry has just started, and an engine told it which parts of prompts it keeps.", "Nothing."}
+		"This entry has just started, and an engine reported which parts of prompts are in its prefix cache.", "Nothing."}
 	MemoryUnknown = &Event{354, "memory-unknown", slog.LevelInfo,
-		"An engine did not tell an entry that has just started what it keeps; prompts may be read there anew.", "Nothing."}
+		"This entry has just started, and an engine did not report the contents of its prefix cache; prompts that it has cached may be prefilled again.", "Nothing."}
 	UpstreamTrusted = &Event{351, "upstream-trusted", slog.LevelInfo,
-		"An upstream that was avoided gave a whole answer and is used as the others.", "Nothing."}
+		"An avoided upstream gave a complete answer and is used like the others again.", "Nothing."}
 	CanaryHeld = &Event{352, "canary-held", slog.LevelWarn,
-		"This entry holds a version under roll-out for bad and sends it nothing new; `why` is the evidence.",
-		"Look at the version."}
+		"This entry considers a version under roll-out faulty and sends it no new requests; `why` is the evidence.",
+		"Check the version."}
 	UpstreamCold = &Event{357, "upstream-cold", slog.LevelInfo,
-		"An upstream has started or is cold again, and gets few requests `cold-for` so long (negative: as long as its service says), shared by `entries`. Without `exact` this entry sends it none meanwhile.", "Nothing."}
+		"An upstream has started or is cold again, and gets only few requests for the time `cold-for` (negative: the duration that its service declares), shared by as many entries as `entries` says. Without `exact`, this entry sends it none during that time.", "Nothing."}
 	ZoneEvacuated = &Event{355, "zone-evacuated", slog.LevelWarn,
-		"An availability zone gets no new work from now on; what runs there ends as it would.", "Nothing."}
+		"An availability zone gets no new work from now on; requests that run there are completed.", "Nothing."}
 	ZoneRestored = &Event{356, "zone-restored", slog.LevelInfo,
 		"The evacuation of an availability zone has ended.", "Nothing."}
 	HaltPending = &Event{342, "halt-pending", slog.LevelWarn,
-		"A halt could not be written into the configuration yet; it holds in this process and is tried again.",
-		"Look at the store."}
+		"A halt could not be written into the configuration yet; it is in force in this process and the write is retried.",
+		"Check the store."}
 	StoreDown = &Event{400, "store-down", slog.LevelWarn,
-		"The store cannot be reached.", "Look at the platform."}
+		"The store cannot be reached.", "Check the platform."}
 	StoreBack = &Event{403, "store-back", slog.LevelInfo,
-		"The store answers again; `away` is for how long it did not.", "Nothing."}
+		"The store responds again; `away` is how long it did not.", "Nothing."}
 	MirrorListed = &Event{404, "mirror-listed", slog.LevelInfo,
-		"The copy of the store was read anew, at the start or because the store has dropped its history.", "Nothing."}
+		"The local replica of the store was loaded completely, at the start or because the store has dropped its history.", "Nothing."}
 	MirrorBySibling = &Event{405, "mirror-by-sibling", slog.LevelInfo,
-		"The store does not answer this process; its news came from another entry.", "Look at the way to the store."}
+		"The store does not respond to this process; its changes were received from another entry.", "Check the connection to the store."}
 	Registered = &Event{407, "registered", slog.LevelInfo,
-		"The process stands in the store's list of entries.", "Nothing."}
+		"The process is registered in the store's list of entries.", "Nothing."}
 	StoreWriteLate = &Event{406, "store-write-late", slog.LevelWarn,
-		"A write is due that the store did not take; it is tried again.", "Look at the store."}
+		"The store did not accept a write that is due; it is retried.", "Check the store."}
 	SegmentWritten = &Event{401, "segment-written", slog.LevelDebug,
 		"A ledger segment is durable.", "Nothing."}
 	SegmentLate = &Event{402, "segment-late", slog.LevelWarn,
-		"A ledger segment could not be written yet; its bills are kept and tried again.", "Look at the store."}
+		"A ledger segment could not be written yet; its bills are kept and the write is retried.", "Check the store."}
 	LedgerSealed = &Event{440, "ledger-sealed", slog.LevelWarn,
-		"Others took this process for gone and sealed its ledger; its bills go into its takeover chain from now on.",
-		"Look for what paused the process or cut its links."}
+		"Other processes considered this one dead and sealed its ledger; its bills go into its takeover chain from now on.",
+		"Find out what paused the process or cut its links."}
 	TakeoverFiled = &Event{441, "takeover-filed", slog.LevelInfo,
-		"Bills that agents held of a gone process were looked up, and those that lacked were filed.", "Nothing."}
+		"The bills that agents held of a dead process were checked against its ledger, and the missing ones were filed.", "Nothing."}
 	TakeoverLate = &Event{442, "takeover-late", slog.LevelWarn,
-		"Bills of a gone process could not be filed yet; agents keep them and offer them again.", "Look at the store."}
+		"Bills of a dead process could not be filed yet; agents keep them and submit them again.", "Check the store."}
 	CopyDropped = &Event{443, "copy-dropped", slog.LevelWarn,
-		"An agent has no room for a copy of a bill; the entry alone has it until it is durable.", "Look at the store."}
+		"An agent has no space for the copy of a bill; only the entry has it until it is durable.", "Check the store."}
 	CopiesLeft = &Event{444, "copies-left", slog.LevelError,
-		"An agent stopped with copies of bills whose entries are gone and that no other entry could file.",
-		"Look at the store; bills of the entry that was lost last may be missing."}
+		"An agent stopped while it held copies of bills of dead entries that no other entry could file.",
+		"Check the store; bills of the entry that died last may be missing."}
 	ClaimsBroken = &Event{420, "claims-broken", slog.LevelError,
-		"A bucket or segment of claims cannot be read; its keys are refused, not run.", "Look at the store: something else wrote under `claims/`."}
+		"A bucket or segment of claims cannot be read; requests with its keys are refused and not run.", "Check the store: another program wrote under `claims/`."}
 	ClaimUnfinished = &Event{421, "claim-unfinished", slog.LevelWarn,
-		"The answer of an at-most-once operation is not stored yet; it is tried again in the background.", "Look at the store."}
+		"The answer of an at-most-once operation is not stored yet; the write is retried in the background.", "Check the store."}
 	ClaimUnreleased = &Event{422, "claim-unreleased", slog.LevelWarn,
-		"A claim of work that did not run could not be given back at once; its key is refused until the store has it.", "Look at the store."}
+		"A claim of work that did not run could not be released immediately; requests with its key are refused until the store has recorded the release.", "Check the store."}
 	RequestFailed = &Event{500, "request-failed", slog.LevelDebug,
-		"A request ended without an answer.", "Nothing; the code tells the caller."}
+		"A request ended without an answer.", "Nothing; the caller receives the code."}
 	BillLost = &Event{501, "bill-lost", slog.LevelError,
-		"A bill could not be written before the process ended, or had no room to wait.",
-		"Keep the line: it is the bill. The agent's copy is filed when the store answers; file the line by hand only if `skylarkstand bill --list` lacks its request an hour later."}
+		"A bill could not be written before the process ended, or the queue of bills was full.",
+		"Keep the line: it is the bill. The agent's copy is filed once the store responds; file the line by hand only if `skylarkstand bill --list` does not list its request an hour later."}
 	ExchangeEnded = &Event{510, "exchange-ended", slog.LevelInfo,
-		"An exchange ended with an upstream's whole answer: its `first` piece should have come within `aim`, and no `pause` between two should be longer than `gap`; `larger` models than the one that answered could have been asked; `sure` is the confidence that sufficed, `kept-answer` why none of them was.", "Nothing."}
+		"An exchange ended with an upstream's complete answer. `first` is the time to its first piece, with the target `aim`; `pause` is the longest time between two pieces, with the maximum `gap`. `larger` is the number of larger models to which the request could have been escalated, `sure` the confidence that sufficed, and `kept-answer` why it was not escalated.", "Nothing."}
 	ExchangeCut = &Event{516, "exchange-cut", slog.LevelWarn,
-		"An answer was broken off after a part of it was passed on; `code` and `message` say why, `no-repeat` why it was not resumed. Its caller sees the connection end.",
-		"Follow the request's id to its `attempt-ended` lines."}
+		"An answer was cut off after a part of it was forwarded; `code` and `message` give the reason, `no-repeat` why it was not resumed. The caller's connection was closed.",
+		"Search for the `attempt-ended` lines with the request's id."}
 	ExchangeFailed = &Event{511, "exchange-failed", slog.LevelWarn,
-		"An exchange ended without an upstream's answer; `ran` is what its caller was told, `last` the last attempt's failure, `no-repeat` why no other attempt followed.",
-		"Follow the request's id to its `attempt-ended` lines."}
+		"An exchange ended without an upstream's answer; `ran` is what was reported to the caller, `last` the failure of the last attempt, `no-repeat` why it was not retried.",
+		"Search for the `attempt-ended` lines with the request's id."}
 	ExchangeRefused = &Event{512, "exchange-refused", slog.LevelWarn,
 		"An exchange was refused before an upstream was chosen: no route, no key, no configuration, or too large.",
-		"Compare `configuration` with the newest one when the caller should have been let in."}
+		"Compare `configuration` with the newest one if the request should have been accepted."}
 	AttemptEnded = &Event{513, "attempt-ended", slog.LevelInfo,
-		"An attempt's answer was not used: `verdict` and `why` say what came of it.",
-		"Look at the upstream when it repeats there."}
+		"An attempt's answer was not used; `verdict` and `why` give the outcome and its reason.",
+		"Check the upstream if it repeats there."}
 	AttemptBegun = &Event{515, "attempt-begun", slog.LevelInfo,
-		"An upstream was chosen and is called: of `candidates`, with `own` calls of this entry there, `others` by the reports, `load-age` old (-1 is none); `kept` tokens of the prompt are thought to be in its memory, `waits` is the time that all prompts there need by the reports, and `read` that of this entry's; `rank` is the place in its queue, 0 first; `patience` is when another one is asked, `left` the caller's time, `repeats-left` the budget; `after` is the last event that the caller has.",
+		"An upstream was selected out of `candidates` and is called. `own` is the number of this entry's calls there, `others` that of other entries by their reports, which are `load-age` old (-1: no report). `kept` is the number of the prompt's tokens that are assumed to be in its prefix cache; `waits` is the prefill time of all prompts there by the reports, `read` that of this entry's prompts. `rank` is the position in its queue (0 is first), `patience` the time after which another upstream is tried, `left` the time that the caller still waits, `repeats-left` the retry budget, and `after` the last event that the caller received.",
 		"Nothing."}
 	StreamResumed = &Event{514, "stream-resumed", slog.LevelInfo,
-		"A stream that broke goes on at another upstream, after the event that its caller has.", "Nothing."}
+		"A broken stream is continued at another upstream, after the last event that the caller received.", "Nothing."}
 	RatingsAway = &Event{540, "ratings-away", slog.LevelWarn,
-		"The rating service does not answer in time; cascades run the stage that is declared good enough.",
-		"Look at the rating service."}
+		"The rating service does not respond in time; cascades run the stage that is declared good enough.",
+		"Check the rating service."}
 )
 
 // Catalogue lists all events by number.
--- a/core/event/event.go
+++ b/core/event/event.go
@@ -1,6 +1,5 @@
-// Package event is the catalogue of numbered log events. Every log line of a
-// process has one, so that operators can look it up in docs/EVENTS.md, which
-// is generated from this catalogue.
+// Package event is the catalogue of numbered log events. Every log line of a process has one, so
+// that operators can look it up in docs/EVENTS.md, which is generated from this catalogue.
 //
 // # Usage
 //
@@ -16,34 +15,34 @@
 
 // Event is one entry of the catalogue.
 type Event struct {
-	// Number is unique and never given to another event.
+	// Number is unique and never reused for another event.
 	Number int
 	Name   string
 	Level  slog.Level
-	// Meaning says what happened; Action what an operator should do.
+	// Meaning describes what happened, Action what an operator should do.
 	Meaning string
 	Action  string
 }
 
 const (
-	// requestCeiling is the lines a second that one event of requests may have
-	// in a process: some five times what the busiest entry has in its heaviest
-	// second, 60 requests with an attempt each.
-	requestCeiling = 300
-	// beliefCeiling is that of the others. A process that starts hears of all
-	// upstreams at once; what matters of them is in the metrics.
-	beliefCeiling = 100
-	// firstOfRequests is the least number of an event of requests.
-	firstOfRequests = 500
+	// requestLineLimit is the maximum number of lines per second that a process writes of one
+	// request event. It is about five times what the busiest entry writes in its heaviest second:
+	// 60 requests with one attempt each.
+	requestLineLimit = 300
+	// defaultLineLimit is the same limit for each of the other events. A process that starts
+	// receives the state of all upstreams at once; what matters of it is in the metrics.
+	defaultLineLimit = 100
+	// firstRequestEvent is the lowest number of a request event.
+	firstRequestEvent = 500
 )
 
-// Ceiling returns how many lines a second an event may have in a process. One
-// that is not in the catalogue has that of beliefs.
+// Ceiling returns the maximum number of lines per second that a process writes of an event. Events
+// that are not in the catalogue have the limit of those that do not concern requests.
 func Ceiling(name string) int {
-	if ev := byName[name]; ev != nil && ev.Number >= firstOfRequests {
-		return requestCeiling
+	if ev := byName[name]; ev != nil && ev.Number >= firstRequestEvent {
+		return requestLineLimit
 	}
-	return beliefCeiling
+	return defaultLineLimit
 }
 
 var byName = func() map[string]*Event {
@@ -62,7 +61,7 @@
 // Reference renders the catalogue as docs/EVENTS.md.
 func Reference() string {
 	var sb strings.Builder
-	sb.WriteString("# Log events\n\nGenerated from `core/event` by `skylarkstand reference events`. Of an event no more\nthan its lines a second are written by a process; `log-dropped` counts the others.\n\n")
+	sb.WriteString("# Log events\n\nGenerated from `core/event` by `skylarkstand reference events`. A process writes\nat most the given number of lines a second of each event; `log-dropped` counts the\ndropped lines.\n\n")
 	sb.WriteString("| number | name | level | lines a second | what happened | what to do |\n| --- | --- | --- | --- | --- | --- |\n")
 	for _, ev := range Catalogue() {
 		fmt.Fprintf(&sb, "| %d | `%s` | %s | %d | %s | %s |\n", ev.Number, ev.Name, strings.ToLower(ev.Level.String()), Ceiling(ev.Name), ev.Meaning, ev.Action)
--- a/core/event/event_test.go
+++ b/core/event/event_test.go
@@ -8,8 +8,8 @@
 	"skylarkstand/core/event"
 )
 
-// Two events share a number or a name, or one is not in the catalogue. The page
-// that operators look a line up in then names the wrong one or none.
+// The test guards against two events that share a number or a name, or that lack a description.
+// Operators who look up a log line in the reference page would then find a wrong event or none.
 func TestCatalogueIsWhole(t *testing.T) {
 	numbers, names := map[int]string{}, map[string]bool{}
 	for _, ev := range event.Catalogue() {
