--- a/core/mechanism/mechanism.go
+++ b/core/mechanism/mechanism.go
@@ -1,10 +1,9 @@
-// Package mechanism names the mechanisms of a gateway that can be switched off,
-// each by itself, to see what it is worth.
+// Package mechanism names the mechanisms of a gateway that can be disabled individually, to measure
+// what each of them gains.
 //
-// All are on unless the settings say otherwise. None of them keeps a promise:
-// with any of them off, requests still run only where they may and as often as
-// they may. What a deployment gains by each is found by playing the same load
-// with and without it.
+// All are enabled unless the settings disable them. No guarantee depends on them: with any of them
+// disabled, requests still run only where and as often as they are allowed to. The gain of a
+// mechanism in a deployment is measured by replaying the same load with and without it.
 //
 // # Usage
 //
@@ -20,60 +19,61 @@
 	"github.com/rotisserie/eris"
 )
 
-// Name is a mechanism's name, as the settings have it.
+// Name is the name of a mechanism in the settings.
 type Name string
 
 // The mechanisms.
 const (
-	// PrefixHomes: an upstream of the region that all entries prefer for a prompt,
-	// while none tells what was read where.
+	// PrefixHomes selects one upstream of the region by hashing the shared parts of a prompt. All
+	// entries prefer it as long as they do not receive which prompts engines have processed.
 	PrefixHomes Name = "prefix-homes"
-	// ToldPrompts and ToldLoads: what other entries tell of prompts that engines
-	// have read, and of their work there.
+	// ToldPrompts uses the announcements of other entries about the prompts that engines have
+	// processed, ToldLoads those about their work at the engines.
 	ToldPrompts Name = "told-prompts"
 	ToldLoads   Name = "told-loads"
-	// ReadPace: how fast engines read is learned for each model.
+	// ReadPace measures the prefill throughput of engines for each model.
 	ReadPace Name = "read-pace"
-	// SharedPrice: reading shared parts of prompts anew has a price beside its time.
+	// SharedPrice adds a penalty to the prefill time for repeating the prefill of shared parts of
+	// prompts.
 	SharedPrice Name = "shared-price"
-	// Slack: an engine is left whose wait would make an answer late.
+	// Slack penalizes engines whose wait would make an answer late.
 	Slack Name = "slack"
-	// Recall: engines are asked what they keep when an entry starts.
+	// Recall queries the prefix caches of engines when an entry starts.
 	Recall Name = "recall"
-	// StreamModels: a stream that a caller comes back with goes on at the model
-	// that has its prompt.
+	// StreamModels resumes the stream of a retrying caller at the model that has its prompt cached.
 	StreamModels Name = "stream-models"
-	// StartWait: callers of an entry that starts wait for its configuration.
+	// StartWait makes callers of a starting entry wait for its configuration.
 	StartWait Name = "start-wait"
-	// LengthRanks: engines read short prompts first.
+	// LengthRanks makes engines prefill short prompts first.
 	LengthRanks Name = "length-ranks"
-	// Gate: requests are refused that engines would begin too late.
+	// Gate refuses requests that engines would start too late.
 	Gate Name = "gate"
-	// HogPart: a workspace that sends more than its share is refused sooner.
+	// HogPart refuses a workspace that sends more than its share earlier than others.
 	HogPart Name = "hog-part"
-	// Pressure: under load models are asked again only for what is surely wrong.
+	// Pressure restricts escalation under load to answers that are almost certainly wrong.
 	Pressure Name = "pressure"
-	// MiddleModels: models between the smallest and the largest are asked.
+	// MiddleModels escalates to models between the smallest and the largest as well.
 	MiddleModels Name = "middle-models"
-	// EarlyRepeats: another upstream is asked when the first is silent.
+	// EarlyRepeats sends the request to another upstream when the first one does not respond in
+	// time.
 	EarlyRepeats Name = "early-repeats"
-	// Resumption: a stream that breaks goes on elsewhere in the same answer.
+	// Resumption continues a broken stream at another upstream within the same answer.
 	Resumption Name = "resumption"
-	// Avoidance: work is kept from upstreams that fail.
+	// Avoidance sends no work to failing upstreams while others are available.
 	Avoidance Name = "avoidance"
-	// Slowness: work is kept from upstreams that are slow.
+	// Slowness sends less work to slow upstreams.
 	Slowness Name = "slowness"
-	// ToldCalls: calls are told of the moment that they are sent.
+	// ToldCalls uses the calls that other entries announce at the moment they send them.
 	ToldCalls Name = "told-calls"
-	// ToldFacts: upstreams where nobody listens are told of.
+	// ToldFacts uses the announcements of other entries about upstreams where nothing listens.
 	ToldFacts Name = "told-facts"
-	// ToldRegions: what the entries of other regions have at upstreams.
+	// ToldRegions uses the load that entries of other regions announce.
 	ToldRegions Name = "told-regions"
-	// LentRepeats: an entry uses repeats that others have left.
+	// LentRepeats lets an entry borrow unused retries of other entries.
 	LentRepeats Name = "lent-repeats"
-	// Readers: a few entries watch the store for the others.
+	// Readers lets a few entries watch the store for the others.
 	Readers Name = "readers"
-	// PooledEvidence: entries add up what they see of a new version.
+	// PooledEvidence combines what the entries observe of a new version.
 	PooledEvidence Name = "pooled-evidence"
 )
 
@@ -85,16 +85,17 @@
 // All lists the mechanisms.
 func All() []Name { return slices.Clone(all) }
 
-// Off is the mechanisms that are switched off; none in the zero value.
+// Off is a set of disabled mechanisms. The zero value disables none.
 type Off struct{ names []Name }
 
-// Without returns the mechanisms that are named.
+// Without returns an Off that disables the named mechanisms.
 func Without(names ...Name) Off { return Off{names: names} }
 
-// Has reports whether a mechanism is off.
+// Has reports whether a mechanism is disabled.
 func (of Off) Has(na Name) bool { return slices.Contains(of.names, na) }
 
-// Parse reads the names of mechanisms.
+// Parse returns an Off that disables the mechanisms with the given names. It fails on an unknown
+// name.
 func Parse(names []string) (Off, error) {
 	var of Off
 	for _, name := range names {
--- a/core/mechanism/mechanism_test.go
+++ b/core/mechanism/mechanism_test.go
@@ -8,8 +8,8 @@
 	"skylarkstand/core/mechanism"
 )
 
-// An operator switches a mechanism off by a name that is misspelt. Were it passed
-// over, both sides of a comparison would be the same and nobody would notice.
+// An operator disables a mechanism with a misspelt name. If the name were ignored, both sides of a
+// comparison would have the mechanism enabled, unnoticed.
 func TestParse(t *testing.T) {
 	for _, na := range mechanism.All() {
 		off, err := mechanism.Parse([]string{string(na)})
