--- a/io/logline/logline.go
+++ b/io/logline/logline.go
@@ -1,20 +1,18 @@
-// Package logline writes log lines without ever holding up who logs, and within
-// a bound.
+// Package logline writes log lines at a bounded rate, without ever blocking the code that logs.
 //
-// A process that waits for whoever reads its output stops serving when that
-// one stops reading; one that logs all it is asked to adds to an overload what
-// it has left of its processor. Lines go through a bounded ring to one writer.
-// Each event has a ceiling a second, and all together have one; the last quarter
-// of the ring and of the bound is kept for warnings, so that the requests that
-// end badly are told of before those that end well. What is left out is counted
-// by event, and the counts are logged once a second.
+// A process that waits for the reader of its output stops serving when that reader stops reading. A
+// process that writes every line makes an overload worse by spending the rest of its processor time
+// on logging. Lines therefore go through a bounded buffer to a single writer goroutine. Each event
+// has a limit on lines per second, and so have all events together. The last quarter of the buffer
+// and of the total limit is reserved for warnings, so that failed requests are logged in preference
+// to successful ones. Dropped lines are counted by event, and the counts are logged once a second.
 //
-// Times are written as seconds.
+// Durations are written in seconds.
 //
 // # Usage
 //
 //	lg, cleanup := logline.New(os.Stdout, slog.LevelInfo, slog.String("process", id))
-//	defer cleanup()                        // writes what waits
+//	defer cleanup()                        // writes the buffered lines
 package logline
 
 import (
@@ -29,17 +27,17 @@
 	"skylarkstand/core/event"
 )
 
-// New returns a logger to out whose lines all have the given attributes, and the
-// clean-up that writes what waits.
+// New returns a logger that writes to out and adds the given attributes to all lines, and a cleanup
+// function that writes the buffered lines.
 func New(out io.Writer, lv slog.Level, attrs ...slog.Attr) (*slog.Logger, func()) {
 	wr := newWriter(out)
 	ha := slog.NewJSONHandler(wr, &slog.HandlerOptions{Level: lv, ReplaceAttr: seconds}).WithAttrs(attrs)
-	wr.tell = func(left map[string]int) { tell(wr, ha, left) }
+	wr.logDropped = func(dropped map[string]int) { logDropped(wr, ha, dropped) }
 	go wr.run()
 	return slog.New(&handler{ha, wr}), wr.close
 }
 
-// seconds renders durations as seconds, to the microsecond.
+// seconds converts durations to seconds, rounded to the microsecond.
 func seconds(_ []string, at slog.Attr) slog.Attr {
 	if at.Value.Kind() == slog.KindDuration {
 		at.Value = slog.Float64Value(math.Round(at.Value.Duration().Seconds()*1e6) / 1e6)
@@ -47,7 +45,7 @@
 	return at
 }
 
-// handler passes on the lines that the writer admits.
+// handler forwards the lines that the writer admits.
 type handler struct {
 	slog.Handler
 	wr *writer
@@ -56,7 +54,7 @@
 // Handle implements slog.Handler.
 func (ha *handler) Handle(ctx context.Context, re slog.Record) error {
 	if !ha.wr.admit(time.Now(), re.Level, re.Message, event.Ceiling(re.Message)) {
-		ha.wr.leave(re.Message, 1)
+		ha.wr.countDropped(re.Message, 1)
 		return nil
 	}
 	return ha.Handler.Handle(ctx, re)
@@ -72,18 +70,18 @@
 	return &handler{ha.Handler.WithGroup(name), ha.wr}
 }
 
-// tell logs how many lines of each event were left out. It is called by the
-// writer's own goroutine, so the lines have to find room in the ring: they have
-// the last quarter, and what does not fit is counted again.
-func tell(wr *writer, ha slog.Handler, left map[string]int) {
-	for _, name := range slices.Sorted(maps.Keys(left)) {
+// logDropped logs how many lines of each event were dropped. It runs on the writer's own goroutine
+// and must not block on a full buffer: its lines use the last quarter of the buffer, and the counts
+// of those that do not fit are added up again for the next time.
+func logDropped(wr *writer, ha slog.Handler, dropped map[string]int) {
+	for _, name := range slices.Sorted(maps.Keys(dropped)) {
 		ev, now := event.LogDropped, time.Now()
 		if !wr.admit(now, ev.Level, ev.Name, event.Ceiling(ev.Name)) {
-			wr.leave(name, left[name])
+			wr.countDropped(name, dropped[name])
 			continue
 		}
 		re := slog.NewRecord(now, ev.Level, ev.Name, 0)
-		re.Add("event", ev.Number, "of", name, "lines", left[name])
+		re.Add("event", ev.Number, "of", name, "lines", dropped[name])
 		_ = ha.Handle(context.Background(), re) // The writer returns no error.
 	}
 }
--- a/io/logline/logline_test.go
+++ b/io/logline/logline_test.go
@@ -15,20 +15,20 @@
 	"skylarkstand/io/logline"
 )
 
-// stalled blocks its writer until it is released, and keeps what came.
-type stalled struct {
+// stalledOutput blocks every write until it is released, and records what was written.
+type stalledOutput struct {
 	release chan struct{}
 	buf     bytes.Buffer
 }
 
-func newStalled() *stalled { return &stalled{release: make(chan struct{})} }
+func newStalledOutput() *stalledOutput { return &stalledOutput{release: make(chan struct{})} }
 
-func (sl *stalled) Write(p []byte) (int, error) {
+func (sl *stalledOutput) Write(p []byte) (int, error) {
 	<-sl.release
 	return sl.buf.Write(p)
 }
 
-// line is what the tests read of a log line.
+// line holds the fields of a log line that the tests check.
 type line struct {
 	Msg     string  `json:"msg"`
 	Process string  `json:"process"`
@@ -37,19 +37,19 @@
 	Took    float64 `json:"took"`
 }
 
-// read counts the lines by event, and adds up what was left out.
-func read(t *testing.T, raw []byte) (lines []line, seen, left map[string]int) {
+// read counts the written lines and the reported dropped lines by event.
+func read(t *testing.T, raw []byte) (lines []line, written, dropped map[string]int) {
 	t.Helper()
-	seen, left = map[string]int{}, map[string]int{}
+	written, dropped = map[string]int{}, map[string]int{}
 	for row := range bytes.Lines(raw) {
 		var li line
 		assert.NilError(t, json.Unmarshal(row, &li))
 		assert.Equal(t, li.Process, "p1")
 		lines = append(lines, li)
-		seen[li.Msg]++
-		left[li.Of] += li.Lines
+		written[li.Msg]++
+		dropped[li.Of] += li.Lines
 	}
-	return lines, seen, left
+	return lines, written, dropped
 }
 
 func logAll(lg *slog.Logger, ev *event.Event, n int) {
@@ -58,10 +58,10 @@
 	}
 }
 
-// Whoever collects the log stops reading the pipe. If logging waited for it, all
-// requests of the entry would hang in their next line; instead lines are left
-// out and counted, and no call of the logger waits.
-func TestNobodyWaitsForAPipeThatIsNotRead(t *testing.T) {
+// The collector of the log stops reading the pipe. If logging blocked, all requests of the entry
+// would hang at their next log line. Instead, lines are dropped and counted, and no call of the
+// logger blocks.
+func TestLoggerDoesNotBlockOnAStalledPipe(t *testing.T) {
 	rd, wr, err := os.Pipe()
 	assert.NilError(t, err)
 	defer rd.Close()
@@ -69,17 +69,17 @@
 	for _, ev := range event.Catalogue() {
 		logAll(lg, ev, 1000) // 50 times what the pipe holds.
 	}
-	rd.Close() // The stalled write fails, and the clean-up can end.
+	rd.Close() // Makes the stalled write fail, so that the cleanup can end.
 	cleanup()
 	wr.Close()
 }
 
-// A burst of requests comes while the log's reader hangs for a moment. Each line
-// is either written or counted by its event, so that whoever looks for a request
-// knows whether its lines may be missing.
+// A burst of requests arrives while the reader of the log hangs for a moment. Each line must either
+// be written or be counted as dropped under its event. Otherwise, an engineer who searches for a
+// request does not know whether its lines may be missing.
 func TestEachLineIsWrittenOrCounted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		sl := newStalled()
+		sl := newStalledOutput()
 		lg, cleanup := logline.New(sl, slog.LevelInfo, slog.String("process", "p1"))
 		for range 10 {
 			logAll(lg, event.ExchangeEnded, 400)
@@ -89,17 +89,17 @@
 		close(sl.release)
 		time.Sleep(3 * time.Second)
 		cleanup()
-		lines, seen, left := read(t, sl.buf.Bytes())
-		assert.Equal(t, seen["exchange-ended"]+left["exchange-ended"], 4000)
-		assert.Equal(t, seen["exchange-failed"]+left["exchange-failed"], 1000)
-		assert.Assert(t, left["exchange-ended"] > 0)
-		assert.Equal(t, lines[0].Took, 0.0015, "times are in seconds")
+		lines, written, dropped := read(t, sl.buf.Bytes())
+		assert.Equal(t, written["exchange-ended"]+dropped["exchange-ended"], 4000)
+		assert.Equal(t, written["exchange-failed"]+dropped["exchange-failed"], 1000)
+		assert.Assert(t, dropped["exchange-ended"] > 0)
+		assert.Equal(t, lines[0].Took, 0.0015, "durations must be in seconds")
 	})
 }
 
-// One event floods the log, as when an upstream flaps with each request. The
-// lines of other events still come.
-func TestAnEventKeepsToItsCeiling(t *testing.T) {
+// One event floods the log, as when an upstream changes its state with each request. The event must
+// stay within its limit, and the lines of other events must still be written.
+func TestEventStaysWithinItsLineLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var buf bytes.Buffer
 		lg, cleanup := logline.New(&buf, slog.LevelInfo, slog.String("process", "p1"))
@@ -110,54 +110,53 @@
 		}
 		time.Sleep(2 * time.Second)
 		cleanup()
-		_, seen, left := read(t, buf.Bytes())
-		assert.Equal(t, seen["upstream-avoided"], event.Ceiling("upstream-avoided"))
-		assert.Equal(t, left["upstream-avoided"], 1000-event.Ceiling("upstream-avoided"))
-		assert.Equal(t, seen["exchange-failed"], 40)
+		_, written, dropped := read(t, buf.Bytes())
+		assert.Equal(t, written["upstream-avoided"], event.Ceiling("upstream-avoided"))
+		assert.Equal(t, dropped["upstream-avoided"], 1000-event.Ceiling("upstream-avoided"))
+		assert.Equal(t, written["exchange-failed"], 40)
 	})
 }
 
-// The ring is full of lines about requests that ended well, since the reader is
-// slow. Those about requests that ended badly find room.
-func TestWhatEndedBadlyIsToldFirst(t *testing.T) {
+// A slow reader lets lines about successful requests fill the buffer. The lines about failed
+// requests must still be written, from the reserved part of the buffer.
+func TestWarningsHaveReservedSpace(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		sl := newStalled()
+		sl := newStalledOutput()
 		lg, cleanup := logline.New(sl, slog.LevelInfo, slog.String("process", "p1"))
 		logAll(lg, event.Started, 1)
-		time.Sleep(time.Second) // The writer hangs with the first line.
+		time.Sleep(time.Second) // The writer blocks at the first line.
 		logAll(lg, event.ExchangeEnded, 290)
 		logAll(lg, event.AttemptBegun, 290)
 		logAll(lg, event.ExchangeFailed, 60)
 		close(sl.release)
 		time.Sleep(2 * time.Second)
 		cleanup()
-		_, seen, left := read(t, sl.buf.Bytes())
-		assert.Assert(t, left["attempt-begun"] > 0, "the ring was not full")
-		assert.Equal(t, seen["exchange-failed"], 60)
+		_, written, dropped := read(t, sl.buf.Bytes())
+		assert.Assert(t, dropped["attempt-begun"] > 0, "no line was dropped: the buffer was not full")
+		assert.Equal(t, written["exchange-failed"], 60)
 	})
 }
 
-// sizes notes how long each write is.
-type sizes []int
+// writeSizes records the length of each write.
+type writeSizes []int
 
-func (si *sizes) Write(p []byte) (int, error) {
+func (si *writeSizes) Write(p []byte) (int, error) {
 	*si = append(*si, len(p))
 	return len(p), nil
 }
 
-// Many requests end in the same moment. A collector that reads 8 kB at a time
-// cuts what is written at once beyond that, and an engineer finds requests that
-// seem to have no end.
-func TestLinesAreWrittenInPieces(t *testing.T) {
+// Many requests end at the same moment. A collector that reads 8 kB at a time loses the part of a
+// longer write beyond that, and the log then lacks the lines about the end of some requests.
+func TestWritesHaveALimitedSize(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var si sizes
+		var si writeSizes
 		lg, cleanup := logline.New(&si, slog.LevelInfo, slog.String("process", "p1"))
 		logAll(lg, event.ExchangeEnded, 250)
 		time.Sleep(time.Second)
 		cleanup()
 		assert.Assert(t, len(si) > 1)
 		for _, n := range si {
-			assert.Assert(t, n <= 8<<10, "%d bytes", n)
+			assert.Assert(t, n <= 8<<10, "a write of %d bytes exceeds 8 kB", n)
 		}
 	})
 }
--- a/io/logline/writer.go
+++ b/io/logline/writer.go
@@ -9,62 +9,63 @@
 )
 
 const (
-	// ring is how many lines wait for the writer: a quarter of a second's at
-	// the bound, 256 kB.
-	ring = 512
-	// perSecond bounds the lines of a second, whatever the events. A busy entry
-	// serves 60 requests a second with two or three lines each.
-	perSecond = 2000
-	// calmPart is the part of the ring and of the second's bound that lines
-	// below a warning may use. What is left is for the requests that end badly:
-	// they come in the same moments as the most lines, and are asked about.
-	calmPart = 0.75
-	// flushEvery bounds how late a line is written. Lines that come together
-	// share a system call.
-	flushEvery = 50 * time.Millisecond
-	// pieceLimit bounds what is written at once. Collectors that read 8 kB at a
-	// time were seen to lose what a longer write had beyond that: 62 of 2,421
-	// requests had no line about their end.
-	pieceLimit = 8 << 10
-	// tellEvery is how often lines that were left out are counted in the log.
-	tellEvery = time.Second
-	// lineSize is a usual line, for the first allocation of a buffer.
-	lineSize = 512
+	// bufferedLines is the number of lines that can wait for the writer: those of a quarter of a
+	// second at the total limit, 256 kB.
+	bufferedLines = 512
+	// linesPerSecond limits the lines per second of all events together. A busy entry serves 60
+	// requests a second with two or three lines each.
+	linesPerSecond = 2000
+	// infoShare is the share of the buffer and of the total limit that lines below the level of
+	// warnings may use. The rest is reserved for failed requests: they come at the same time as most
+	// lines, and they are the ones that operators look for.
+	infoShare = 0.75
+	// flushInterval is the maximum delay of a line. Lines within this time share a system call.
+	flushInterval = 50 * time.Millisecond
+	// maxWriteSize limits the bytes of a single write. Collectors that read 8 kB at a time lost the
+	// part of longer writes beyond that: the line about the end of 62 of 2,421 requests was missing.
+	maxWriteSize = 8 << 10
+	// dropReportInterval is the time between two reports of dropped lines in the log.
+	dropReportInterval = time.Second
+	// typicalLineSize is the initial capacity of a line's buffer, in bytes.
+	typicalLineSize = 512
 )
 
-// writer takes lines from any goroutine and writes them from one.
+// writer accepts lines from any goroutine and writes them from a single one.
 type writer struct {
 	out   io.Writer
 	lines chan []byte
 	stop  chan struct{}
 	done  chan struct{}
-	// waiting counts the lines that were admitted and not yet written. It never
-	// exceeds the ring, so that sending a line never blocks.
-	waiting atomic.Int64
-	free    sync.Pool
-	tell    func(left map[string]int)
-
-	mu     sync.Mutex
-	second time.Time
-	total  int
-	counts map[string]int
-	left   map[string]int
+	// waiting counts the lines that were admitted and not yet written. It never exceeds the capacity
+	// of lines, so that sending a line never blocks.
+	waiting    atomic.Int64
+	free       sync.Pool
+	logDropped func(dropped map[string]int)
+
+	mu sync.Mutex
+	// second is the start of the current second; total and counts are its admitted lines, in all and
+	// by event.
+	second  time.Time
+	total   int
+	counts  map[string]int
+	dropped map[string]int
 }
 
 func newWriter(out io.Writer) *writer {
 	wr := &writer{
-		out: out, lines: make(chan []byte, ring), stop: make(chan struct{}), done: make(chan struct{}),
-		counts: map[string]int{}, left: map[string]int{},
+		out: out, lines: make(chan []byte, bufferedLines), stop: make(chan struct{}), done: make(chan struct{}),
+		counts: map[string]int{}, dropped: map[string]int{},
 	}
-	wr.free.New = func() any { return make([]byte, 0, lineSize) }
+	wr.free.New = func() any { return make([]byte, 0, typicalLineSize) }
 	return wr
 }
 
-// admit reserves a place for a line of an event, unless there is none.
-func (wr *writer) admit(now time.Time, lv slog.Level, name string, ceiling int) bool {
-	part := 1.0
+// admit reserves a place in the buffer for a line of an event. It returns false if the line has to
+// be dropped, because the buffer is full or a limit is reached.
+func (wr *writer) admit(now time.Time, lv slog.Level, name string, limit int) bool {
+	share := 1.0
 	if lv < slog.LevelWarn {
-		part = calmPart
+		share = infoShare
 	}
 	wr.mu.Lock()
 	defer wr.mu.Unlock()
@@ -72,8 +73,8 @@
 		wr.second, wr.total = now, 0
 		clear(wr.counts)
 	}
-	full := wr.waiting.Load() >= int64(part*ring) || float64(wr.total) >= part*perSecond
-	if full || wr.counts[name] >= ceiling {
+	full := wr.waiting.Load() >= int64(share*bufferedLines) || float64(wr.total) >= share*linesPerSecond
+	if full || wr.counts[name] >= limit {
 		return false
 	}
 	wr.total++
@@ -89,31 +90,31 @@
 	return len(line), nil
 }
 
-// run writes lines, those that come within a short time together.
+// run writes lines until the writer is closed, and batches lines that arrive within flushInterval.
 func (wr *writer) run() {
 	defer close(wr.done)
-	ti := time.NewTicker(tellEvery)
+	ti := time.NewTicker(dropReportInterval)
 	defer ti.Stop()
 	var buf []byte
 	for {
 		select {
 		case line := <-wr.lines:
-			buf = wr.gather(append(buf[:0], line...), line)
+			buf = wr.batch(append(buf[:0], line...), line)
 			wr.write(buf)
 		case <-ti.C:
-			wr.tellLeft()
+			wr.reportDropped()
 		case <-wr.stop:
-			wr.tellLeft()
-			wr.rest(buf[:0])
+			wr.reportDropped()
+			wr.drain(buf[:0])
 			return
 		}
 	}
 }
 
-// gather appends what comes within flushEvery of the first line.
-func (wr *writer) gather(buf, first []byte) []byte {
-	wr.put(first)
-	for wait := time.After(flushEvery); ; {
+// batch appends the lines that arrive within flushInterval after the first one.
+func (wr *writer) batch(buf, first []byte) []byte {
+	wr.recycle(first)
+	for wait := time.After(flushInterval); ; {
 		select {
 		case line := <-wr.lines:
 			buf = wr.add(buf, line)
@@ -125,23 +126,22 @@
 	}
 }
 
-// add appends a line, after what is there was written if both are too long.
+// add appends a line to the batch. If both together exceed maxWriteSize, it writes the batch first.
 func (wr *writer) add(buf, line []byte) []byte {
-	if len(buf)+len(line) > pieceLimit {
+	if len(buf)+len(line) > maxWriteSize {
 		wr.write(buf)
 		buf = buf[:0]
 	}
 	buf = append(buf, line...)
-	wr.put(line)
+	wr.recycle(line)
 	return buf
 }
 
-// write writes what was gathered. Nobody could be told that the log cannot be
-// written.
+// write writes a batch. Errors are ignored: a failure to write the log could only be logged.
 func (wr *writer) write(buf []byte) { _, _ = wr.out.Write(buf) }
 
-// rest writes what waits at the end.
-func (wr *writer) rest(buf []byte) {
+// drain writes the lines that are left when the writer is closed.
+func (wr *writer) drain(buf []byte) {
 	for {
 		select {
 		case line := <-wr.lines:
@@ -153,27 +153,28 @@
 	}
 }
 
-// tellLeft logs what was left out since the last time.
-func (wr *writer) tellLeft() {
+// reportDropped logs the counts of the lines that were dropped since the last report.
+func (wr *writer) reportDropped() {
 	wr.mu.Lock()
-	left := wr.left
-	if len(left) > 0 {
-		wr.left = map[string]int{}
+	dropped := wr.dropped
+	if len(dropped) > 0 {
+		wr.dropped = map[string]int{}
 	}
 	wr.mu.Unlock()
-	if len(left) > 0 {
-		wr.tell(left)
+	if len(dropped) > 0 {
+		wr.logDropped(dropped)
 	}
 }
 
-// leave counts lines of an event that were left out.
-func (wr *writer) leave(name string, lines int) {
+// countDropped counts dropped lines of an event.
+func (wr *writer) countDropped(name string, lines int) {
 	wr.mu.Lock()
 	defer wr.mu.Unlock()
-	wr.left[name] += lines
+	wr.dropped[name] += lines
 }
 
-func (wr *writer) put(line []byte) {
+// recycle returns the buffer of a line that was taken out of the channel.
+func (wr *writer) recycle(line []byte) {
 	wr.waiting.Add(-1)
 	wr.free.Put(line[:0]) //nolint:staticcheck // The slice header is small beside the line it saves.
 }
