--- a/io/metrics/metrics.go
+++ b/io/metrics/metrics.go
@@ -1,4 +1,4 @@
-// Package metrics joins tally's scopes to a page that a collector reads.
+// Package metrics exposes tally scopes on an HTTP page in the Prometheus format.
 //
 // # Usage
 //
@@ -16,18 +16,18 @@
 	tallyprom "github.com/uber-go/tally/v4/prometheus"
 )
 
-const flushEvery = time.Second
+const flushInterval = time.Second
 
-// New returns the root scope of a process, the page that shows it, and the
-// clean-up.
+// New returns the root scope of a process, the page that exposes it, and a cleanup function that
+// closes the scope.
 func New(role string) (tally.Scope, http.Handler, func()) {
 	reg := prometheus.NewRegistry()
-	// They cost nothing until the page is read.
+	// These collectors cost nothing until the page is requested.
 	reg.MustRegister(collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
 	rep := tallyprom.NewReporter(tallyprom.Options{Registerer: reg, Gatherer: reg})
 	scope, closer := tally.NewRootScope(tally.ScopeOptions{
 		Prefix: "skylarkstand", Tags: map[string]string{"role": role},
 		CachedReporter: rep, Separator: tallyprom.DefaultSeparator, SanitizeOptions: &tallyprom.DefaultSanitizerOpts,
-	}, flushEvery)
+	}, flushInterval)
 	return scope, rep.HTTPHandler(), func() { _ = closer.Close() }
 }
