--- a/core/story/doc.go
+++ b/core/story/doc.go
@@ -1,10 +1,10 @@
-// Package story puts together what the log lines of several processes tell of
-// one request, and says what they do not tell.
+// Package story reconstructs one request from the log lines of several processes, and reports what
+// is missing from the logs.
 //
-// A request is told of by the lines with its id, at every entry that saw it, and
-// by what those entries believed at the time: the upstreams it was sent to, the
-// configuration, the roll-outs, the store. Lines may be missing, since a process
-// was killed or left lines out; whoever reads a story must know where.
+// The reconstruction consists of the lines with the request's id, from every entry that received
+// it, and of the lines about the state of those entries at that time: the upstreams that the request
+// was sent to, the configuration, the roll-outs, the store. Lines may be missing because a process
+// was killed or dropped lines; the reader must learn where.
 //
 // # Usage
 //
--- a/core/story/log.go
+++ b/core/story/log.go
@@ -12,7 +12,7 @@
 	"github.com/rotisserie/eris"
 )
 
-// Attr is an attribute of a line, with its value as JSON.
+// Attr is an attribute of a log line, with its value as JSON.
 type Attr struct {
 	Name  string
 	Value json.RawMessage
@@ -24,12 +24,12 @@
 	Event string
 	// Process is the id of the process that wrote the line.
 	Process string
-	// Source is the file it stood in.
+	// Source is the file that contains the line.
 	Source string
 	Attrs  []Attr
 }
 
-// Get returns an attribute as text; empty is none.
+// Get returns an attribute as text, or an empty string if the line does not have it.
 func (li *Line) Get(name string) string {
 	for _, at := range li.Attrs {
 		if at.Name == name {
@@ -39,7 +39,7 @@
 	return ""
 }
 
-// text renders a value without the quotes of a string.
+// text returns a JSON value as text, strings without their quotes.
 func text(raw json.RawMessage) string {
 	var str string
 	if json.Unmarshal(raw, &str) == nil {
@@ -48,19 +48,18 @@
 	return string(raw)
 }
 
-// Log is the lines of any number of files.
+// Log holds the lines of any number of log files.
 type Log struct {
 	lines []Line
-	// unread counts the lines that are none of a process, by file.
-	unread map[string]int
+	// unparsed counts the lines that are not log lines of a process, by file.
+	unparsed map[string]int
 }
 
-// Lines returns the lines in the order of their files. They are shared and must
-// not be changed.
+// Lines returns the lines in the order of their files. The slice is shared and must not be changed.
 func (lo *Log) Lines() []Line { return lo.lines }
 
-// Read takes in a file. Lines that cannot be read are counted and passed over:
-// a platform may write its own between them, and the last one may be cut.
+// Read adds the lines of a file. Lines that cannot be parsed are counted and skipped: the platform
+// may write its own lines in between, and the last line may be incomplete.
 func (lo *Log) Read(source string, rd io.Reader) error {
 	br := bufio.NewReader(rd)
 	for {
@@ -80,36 +79,36 @@
 func (lo *Log) add(source string, row []byte) {
 	li, err := parse(row)
 	if err != nil {
-		if lo.unread == nil {
-			lo.unread = map[string]int{}
+		if lo.unparsed == nil {
+			lo.unparsed = map[string]int{}
 		}
-		lo.unread[source]++
+		lo.unparsed[source]++
 		return
 	}
 	li.Source = source
 	lo.lines = append(lo.lines, li)
 }
 
-// parse reads a line. What stands before the first brace is passed over:
-// collectors put their own time and the host's name there.
+// parse parses a line. The text before the first brace is skipped: log collectors put their own
+// timestamp and the host's name there.
 func parse(row []byte) (Line, error) {
 	var li Line
 	at := bytes.IndexByte(row, '{')
 	if at < 0 {
-		return li, eris.New("the line is not JSON")
+		return li, eris.New("the line contains no JSON object")
 	}
 	dec := json.NewDecoder(bytes.NewReader(row[at:]))
 	if _, err := dec.Token(); err != nil {
-		return li, eris.Wrap(err, "line")
+		return li, eris.Wrap(err, "parse line")
 	}
 	for dec.More() {
 		name, err := dec.Token()
 		if err != nil {
-			return li, eris.Wrap(err, "line")
+			return li, eris.Wrap(err, "parse line")
 		}
 		var val json.RawMessage
 		if err := dec.Decode(&val); err != nil {
-			return li, eris.Wrap(err, "line")
+			return li, eris.Wrap(err, "parse line")
 		}
 		key, _ := name.(string)
 		if err := li.set(key, val); err != nil {
@@ -117,7 +116,7 @@
 		}
 	}
 	if li.Event == "" || li.At.IsZero() {
-		return li, eris.New("the line has no time or no event")
+		return li, eris.New("the line has no \"time\" or no \"msg\"")
 	}
 	return li, nil
 }
@@ -131,27 +130,28 @@
 	case "process":
 		li.Process = text(val)
 	case "level", "event":
-		// The catalogue has both by the event's name.
+		// Both follow from the event's name, by the catalogue.
 	default:
 		li.Attrs = append(li.Attrs, Attr{name, val})
 	}
 	return nil
 }
 
-// who names the process of a line: by its id where it says it, or by its file.
-func (li *Line) who() string {
+// processName returns the id of the process that wrote the line, or the file name if the line has
+// no process id.
+func (li *Line) processName() string {
 	if li.Process == "" {
 		return li.Source
 	}
 	return li.Process
 }
 
-// short cuts ids of processes to the part that tells those of a deployment
-// apart; ids are ordered by time, so that they differ at the end.
-func short(who string) string {
+// shortName returns the end of a process id, which distinguishes the processes of a deployment: ids
+// are ordered by time, so they differ at the end.
+func shortName(process string) string {
 	const tail = 6
-	if at := strings.LastIndexByte(who, '-'); at >= 0 && len(who)-at > tail {
-		return who[len(who)-tail:]
+	if at := strings.LastIndexByte(process, '-'); at >= 0 && len(process)-at > tail {
+		return process[len(process)-tail:]
 	}
-	return who
+	return process
 }
--- a/core/story/page.go
+++ b/core/story/page.go
@@ -11,18 +11,18 @@
 	"github.com/rotisserie/eris"
 )
 
-// clock renders the time of a line.
+// clock formats the time of a line.
 func clock(at time.Time) string { return at.UTC().Format("15:04:05.000") }
 
-// Write prints a story: its lines, how others fared, and what is missing. The
-// request's own lines are marked.
+// Write prints a story: its lines, counts of other requests at the same entries and upstreams, and
+// what is missing. The request's own lines are marked with an asterisk.
 func (st *Story) Write(w io.Writer) error {
 	var sb strings.Builder
 	fmt.Fprintf(&sb, "request %s\n", st.Request)
 	for i := range st.Lines {
-		st.line(&sb, &st.Lines[i])
+		st.writeLine(&sb, &st.Lines[i])
 	}
-	st.others(&sb)
+	st.writeOthers(&sb)
 	if len(st.Missing) == 0 {
 		sb.WriteString("nothing is missing\n")
 	}
@@ -30,15 +30,15 @@
 		fmt.Fprintf(&sb, "missing: %s\n", text)
 	}
 	_, err := io.WriteString(w, sb.String())
-	return eris.Wrap(err, "story")
+	return eris.Wrap(err, "write the story of the request")
 }
 
-func (st *Story) line(sb *strings.Builder, li *Line) {
+func (st *Story) writeLine(sb *strings.Builder, li *Line) {
 	mark := " "
 	if li.Get("request") == string(st.Request) {
 		mark = "*"
 	}
-	fmt.Fprintf(sb, "%s %s %-8s %-20s", mark, clock(li.At), short(li.who()), li.Event)
+	fmt.Fprintf(sb, "%s %s %-8s %-20s", mark, clock(li.At), shortName(li.processName()), li.Event)
 	for _, at := range li.Attrs {
 		val := text(at.Value)
 		if at.Name == "zone" || val == "" || at.Name == "request" && mark == "*" {
@@ -52,20 +52,20 @@
 	sb.WriteByte('\n')
 }
 
-// others tells how other requests fared at the same entries and upstreams.
-func (st *Story) others(sb *strings.Builder) {
+// writeOthers prints counts of the other requests at the same entries and upstreams.
+func (st *Story) writeOthers(sb *strings.Builder) {
 	for _, tr := range st.Entries {
-		tally(sb, short(tr.Process), tr.Begun, tr.Refused, " refused as ")
+		writeCounts(sb, shortName(tr.Process), tr.Begun, tr.Refused, " refused as ")
 	}
 	for _, ne := range st.Neighbours {
-		tally(sb, ne.Upstream, ne.Begun, ne.Ended, " ")
+		writeCounts(sb, ne.Upstream, ne.Begun, ne.Ended, " ")
 	}
 }
 
-func tally(sb *strings.Builder, where string, begun int, counts map[string]int, word string) {
-	fmt.Fprintf(sb, "others at %s around that time: %d attempts begun", where, begun)
+func writeCounts(sb *strings.Builder, place string, begun int, counts map[string]int, separator string) {
+	fmt.Fprintf(sb, "other requests at %s around that time: %d attempts begun", place, begun)
 	for _, name := range slices.Sorted(maps.Keys(counts)) {
-		fmt.Fprintf(sb, ", %d%s%s", counts[name], word, name)
+		fmt.Fprintf(sb, ", %d%s%s", counts[name], separator, name)
 	}
 	sb.WriteByte('\n')
 }
--- a/core/story/story.go
+++ b/core/story/story.go
@@ -13,40 +13,38 @@
 )
 
 const (
-	// before and after bound the time around a request whose beliefs belong to
-	// its story: a change of the configuration or of an upstream's line is in
-	// force within seconds.
-	before = 10 * time.Second
-	after  = time.Second
-	// silent is how much later the whole log must end than a process's lines for
-	// the process to have ended. One that lives writes a line for each attempt.
-	silent = 2 * time.Second
+	// timeBefore and timeAfter are the time span around a request from which the lines about the
+	// state of its entries are included: a change of the configuration or of an upstream's list
+	// entry is in force within seconds.
+	timeBefore = 10 * time.Second
+	timeAfter  = time.Second
+	// endedAfter is how much earlier than the whole log the lines of a process must stop for the
+	// process to be considered ended. A running process logs a line for each attempt.
+	endedAfter = 2 * time.Second
 )
 
-// Story is what is known of one request.
+// Story holds the reconstruction of one request.
 type Story struct {
 	Request core.RequestID
-	// Lines are the request's own and those about what its entries believed, by
-	// time.
+	// Lines are the request's own lines and those about the state of its entries, ordered by time.
 	Lines []Line
-	// Neighbours tells how the attempts of other requests ended at the
-	// request's upstreams around its time.
+	// Neighbours counts the attempts of other requests at the request's upstreams around its time.
 	Neighbours []Neighbour
-	// Entries tells what else came to the request's entries around its time.
+	// Entries counts the other requests at the request's entries around its time.
 	Entries []Traffic
-	// Missing says what is not known, and why.
+	// Missing lists what is missing from the logs, and why.
 	Missing []string
 }
 
-// Traffic is what else came to an entry.
+// Traffic counts the other requests at an entry.
 type Traffic struct {
 	Process string
-	// Begun counts attempts, Refused the requests that were turned away, by code.
+	// Begun counts the attempts, Refused the refused requests by code.
 	Begun   int
 	Refused map[string]int
 }
 
-// Neighbour is what came of other requests' attempts at an upstream.
+// Neighbour counts the attempts of other requests at an upstream.
 type Neighbour struct {
 	Upstream string
 	Begun    int
@@ -54,15 +52,15 @@
 	Ended map[string]int
 }
 
-// ends are the events that end a request whose attempts began.
-var ends = names(event.ExchangeEnded, event.ExchangeCut, event.ExchangeFailed)
+// endEvents are the events that end a request with attempts.
+var endEvents = nameSet(event.ExchangeEnded, event.ExchangeCut, event.ExchangeFailed)
 
-// wide are the events that concern all requests of a process.
-var wide = names(event.Started, event.Stopping, event.Stopped, event.DrainCut, event.Reloaded, event.ReloadRefused, event.DutyFailed,
+// processEvents are the events that concern all requests of a process.
+var processEvents = nameSet(event.Started, event.Stopping, event.Stopped, event.DrainCut, event.Reloaded, event.ReloadRefused, event.DutyFailed,
 	event.ConfigAdopted, event.ConfigBroken, event.StoreDown, event.StoreBack, event.MirrorListed, event.MirrorBySibling,
 	event.LogDropped, event.StoreWriteLate)
 
-func names(evs ...*event.Event) map[string]bool {
+func nameSet(evs ...*event.Event) map[string]bool {
 	out := map[string]bool{}
 	for _, ev := range evs {
 		out[ev.Name] = true
@@ -70,31 +68,31 @@
 	return out
 }
 
-// Tell puts a request's story together.
+// Tell reconstructs a request.
 func (lo *Log) Tell(id core.RequestID) Story {
 	st := Story{Request: id}
-	own := lo.own(id)
+	own := lo.requestLines(id)
 	if len(own) == 0 {
-		st.Missing = lo.nothing()
+		st.Missing = lo.explainNoLines()
 		return st
 	}
-	sc := newScene(own)
+	sc := newScope(own)
 	st.Lines = own
 	for i := range lo.lines {
-		if li := &lo.lines[i]; li.Get("request") != string(id) && sc.concerns(li) {
+		if li := &lo.lines[i]; li.Get("request") != string(id) && sc.includes(li) {
 			st.Lines = append(st.Lines, *li)
 		}
 	}
-	st.Lines = append(st.Lines, lo.standing(sc)...)
+	st.Lines = append(st.Lines, lo.initialState(sc)...)
 	slices.SortStableFunc(st.Lines, func(a, b Line) int { return a.At.Compare(b.At) })
-	st.Neighbours = lo.neighbours(id, sc)
-	st.Entries = lo.traffic(id, sc)
+	st.Neighbours = lo.upstreamTraffic(id, sc)
+	st.Entries = lo.entryTraffic(id, sc)
 	st.Missing = lo.missing(sc, own)
 	return st
 }
 
-// own lists the lines with a request's id.
-func (lo *Log) own(id core.RequestID) []Line {
+// requestLines lists the lines with a request's id, ordered by time.
+func (lo *Log) requestLines(id core.RequestID) []Line {
 	var out []Line
 	for i := range lo.lines {
 		if lo.lines[i].Get("request") == string(id) {
@@ -105,22 +103,22 @@
 	return out
 }
 
-// scene is what a request touched.
-type scene struct {
+// scope is the time span of a request, and the processes, upstreams and services that it involved.
+type scope struct {
 	from, to  time.Time
 	processes map[string]bool
 	upstreams map[string]bool
 	services  map[string]bool
 }
 
-func newScene(own []Line) scene {
-	sc := scene{
+func newScope(own []Line) scope {
+	sc := scope{
 		from: own[0].At, to: own[len(own)-1].At,
 		processes: map[string]bool{}, upstreams: map[string]bool{}, services: map[string]bool{},
 	}
 	for i := range own {
 		li := &own[i]
-		sc.processes[li.who()] = true
+		sc.processes[li.processName()] = true
 		sc.upstreams[li.Get("upstream")] = true
 		sc.services[li.Get("service")] = true
 	}
@@ -129,54 +127,54 @@
 	return sc
 }
 
-// near reports whether a line is of a process that took part, around the time.
-func (sc scene) near(li *Line) bool {
-	return sc.processes[li.who()] && !li.At.Before(sc.from.Add(-before)) && !li.At.After(sc.to.Add(after))
+// covers reports whether a line was written by one of the processes around the time of the request.
+func (sc scope) covers(li *Line) bool {
+	return sc.processes[li.processName()] && !li.At.Before(sc.from.Add(-timeBefore)) && !li.At.After(sc.to.Add(timeAfter))
 }
 
-// concerns reports whether a line of another matter belongs to the story.
-func (sc scene) concerns(li *Line) bool {
-	if !sc.near(li) {
+// includes reports whether a line without the request's id belongs to the story.
+func (sc scope) includes(li *Line) bool {
+	if !sc.covers(li) {
 		return false
 	}
-	if wide[li.Event] {
+	if processEvents[li.Event] {
 		return true
 	}
 	if li.Get("request") != "" && li.Event != event.UpstreamAvoided.Name {
-		return false // Another request's.
+		return false // The line concerns another request.
 	}
 	return sc.upstreams[li.Get("upstream")] || strings.HasPrefix(li.Event, "canary-") && sc.services[li.Get("service")]
 }
 
-// standing lists, for each process, the last line before the scene that says
-// which configuration was in force, and each upstream's line of the list.
-func (lo *Log) standing(sc scene) []Line {
+// initialState returns, for each process, the last lines before the scope about its start, the
+// configuration in force and the list entry of each upstream.
+func (lo *Log) initialState(sc scope) []Line {
 	last := map[string]Line{}
 	for i := range lo.lines {
 		li := &lo.lines[i]
-		if !sc.processes[li.who()] || !li.At.Before(sc.from.Add(-before)) {
+		if !sc.processes[li.processName()] || !li.At.Before(sc.from.Add(-timeBefore)) {
 			continue
 		}
 		switch {
 		case li.Event == event.ConfigAdopted.Name, li.Event == event.Started.Name:
-			last[li.who()+li.Event] = *li
+			last[li.processName()+li.Event] = *li
 		case li.Event == event.UpstreamListed.Name && sc.upstreams[li.Get("upstream")]:
-			last[li.who()+li.Get("upstream")] = *li
+			last[li.processName()+li.Get("upstream")] = *li
 		}
 	}
 	return slices.Collect(maps.Values(last))
 }
 
-// neighbours counts what came of other requests at the same upstreams.
-func (lo *Log) neighbours(id core.RequestID, sc scene) []Neighbour {
-	found := map[string]*Neighbour{}
+// upstreamTraffic counts the attempts of other requests at the same upstreams.
+func (lo *Log) upstreamTraffic(id core.RequestID, sc scope) []Neighbour {
+	counts := map[string]*Neighbour{}
 	for name := range sc.upstreams {
-		found[name] = &Neighbour{Upstream: name, Ended: map[string]int{}}
+		counts[name] = &Neighbour{Upstream: name, Ended: map[string]int{}}
 	}
 	for i := range lo.lines {
 		li := &lo.lines[i]
-		ne := found[li.Get("upstream")]
-		if ne == nil || li.Get("request") == string(id) || li.At.Before(sc.from.Add(-before)) || li.At.After(sc.to.Add(after)) {
+		ne := counts[li.Get("upstream")]
+		if ne == nil || li.Get("request") == string(id) || li.At.Before(sc.from.Add(-timeBefore)) || li.At.After(sc.to.Add(timeAfter)) {
 			continue
 		}
 		switch li.Event {
@@ -187,95 +185,96 @@
 		}
 	}
 	var out []Neighbour
-	for _, ne := range found {
+	for _, ne := range counts {
 		out = append(out, *ne)
 	}
 	slices.SortFunc(out, func(a, b Neighbour) int { return cmp.Compare(a.Upstream, b.Upstream) })
 	return out
 }
 
-// traffic counts what else came to the request's entries.
-func (lo *Log) traffic(id core.RequestID, sc scene) []Traffic {
-	found := map[string]*Traffic{}
-	for who := range sc.processes {
-		found[who] = &Traffic{Process: who, Refused: map[string]int{}}
+// entryTraffic counts the other requests at the request's entries.
+func (lo *Log) entryTraffic(id core.RequestID, sc scope) []Traffic {
+	counts := map[string]*Traffic{}
+	for process := range sc.processes {
+		counts[process] = &Traffic{Process: process, Refused: map[string]int{}}
 	}
 	for i := range lo.lines {
 		li := &lo.lines[i]
-		if li.Get("request") == string(id) || !sc.near(li) {
+		if li.Get("request") == string(id) || !sc.covers(li) {
 			continue
 		}
 		switch li.Event {
 		case event.AttemptBegun.Name:
-			found[li.who()].Begun++
+			counts[li.processName()].Begun++
 		case event.ExchangeRefused.Name:
-			found[li.who()].Refused[li.Get("code")]++
+			counts[li.processName()].Refused[li.Get("code")]++
 		}
 	}
 	var out []Traffic
-	for _, tr := range found {
+	for _, tr := range counts {
 		out = append(out, *tr)
 	}
 	slices.SortFunc(out, func(a, b Traffic) int { return cmp.Compare(a.Process, b.Process) })
 	return out
 }
 
-// nothing says why no line has the id.
-func (lo *Log) nothing() []string {
-	out := []string{"no line has this id: the request did not come to any of these processes, or its lines were left out"}
-	out = append(out, lo.leftOut(func(*Line) bool { return true })...)
-	return append(out, lo.unreadable()...)
+// explainNoLines lists the possible reasons why no line has the request's id.
+func (lo *Log) explainNoLines() []string {
+	out := []string{"no line has this id: the request did not reach any of these processes, or its lines were dropped"}
+	out = append(out, lo.droppedLines(func(*Line) bool { return true })...)
+	return append(out, lo.unparsedLines()...)
 }
 
-// missing says what the lines do not tell.
-func (lo *Log) missing(sc scene, own []Line) []string {
+// missing lists what is missing from the logs around the request.
+func (lo *Log) missing(sc scope, own []Line) []string {
 	var out []string
-	for who := range sc.processes {
-		out = append(out, lo.unended(who, own)...)
+	for process := range sc.processes {
+		out = append(out, lo.missingEnd(process, own)...)
 	}
-	out = append(out, lo.leftOut(sc.near)...)
-	out = append(out, lo.unreadable()...)
+	out = append(out, lo.droppedLines(sc.covers)...)
+	out = append(out, lo.unparsedLines()...)
 	slices.Sort(out)
 	return out
 }
 
-// unended tells of a process that took the request and never says how it ended.
-func (lo *Log) unended(who string, own []Line) []string {
+// missingEnd explains why a process that accepted the request has not logged how it ended. It
+// returns nothing if the process has.
+func (lo *Log) missingEnd(process string, own []Line) []string {
 	begun, ended := 0, 0
 	var last *Line
 	for i := range own {
 		li := &own[i]
-		if li.who() != who {
+		if li.processName() != process {
 			continue
 		}
 		last = li
 		if li.Event == event.AttemptBegun.Name && li.Get("attempt") == "1" {
 			begun++
 		}
-		if ends[li.Event] && li.Get("attempts") != "0" {
+		if endEvents[li.Event] && li.Get("attempts") != "0" {
 			ended++
 		}
 	}
 	if begun <= ended {
 		return nil
 	}
-	end := lo.last(func(li *Line) bool { return li.who() == who })
-	all := lo.last(func(*Line) bool { return true })
+	end := lo.lastLine(func(li *Line) bool { return li.processName() == process })
+	all := lo.lastLine(func(*Line) bool { return true })
 	var why string
 	switch {
 	case end.Event == event.Stopped.Name:
 		why = "its planned stop cut the request off"
-	case all.At.Sub(end.At) > silent:
-		why = "others wrote on, so it was killed, or its host lost power or was paused"
+	case all.At.Sub(end.At) > endedAfter:
+		why = "other processes kept logging, so it was killed, or its host lost power or was paused"
 	default:
-		why = "the line was left out, or the request was still under way when the log ends"
+		why = "the line was dropped, or the request was still in flight when the log ended"
 	}
-	return []string{fmt.Sprintf("%s does not say how the request ended: its last line about it is %s at %s, its last line of all %s at %s: %s",
-		short(who), last.Event, clock(last.At), end.Event, clock(end.At), why)}
+	return []string{fmt.Sprintf("%s did not log how the request ended: its last line about it is %s at %s, its last line of all is %s at %s: %s",
+		shortName(process), last.Event, clock(last.At), end.Event, clock(end.At), why)}
 }
 
-// last returns the last line of those that match.
-func (lo *Log) last(match func(*Line) bool) Line {
+// lastLine returns the latest line that matches.
+func (lo *Log) lastLine(match func(*Line) bool) Line {
 	var out Line
 	for i := range lo.lines {
 		if li := &lo.lines[i]; match(li) && !li.At.Before(out.At) {
@@ -285,22 +284,22 @@
 	return out
 }
 
-// leftOut tells of the lines that processes left out.
-func (lo *Log) leftOut(near func(*Line) bool) []string {
+// droppedLines lists the reports of dropped lines that match.
+func (lo *Log) droppedLines(match func(*Line) bool) []string {
 	var out []string
 	for i := range lo.lines {
-		if li := &lo.lines[i]; li.Event == event.LogDropped.Name && near(li) {
-			out = append(out, fmt.Sprintf("%s left out %s lines of %s in the second or so before %s",
-				short(li.who()), li.Get("lines"), li.Get("of"), clock(li.At)))
+		if li := &lo.lines[i]; li.Event == event.LogDropped.Name && match(li) {
+			out = append(out, fmt.Sprintf("%s dropped %s lines of %s in about the second before %s",
+				shortName(li.processName()), li.Get("lines"), li.Get("of"), clock(li.At)))
 		}
 	}
 	return out
 }
 
-func (lo *Log) unreadable() []string {
+func (lo *Log) unparsedLines() []string {
 	var out []string
-	for source, n := range lo.unread {
-		out = append(out, fmt.Sprintf("%d lines of %s are not a process's", n, source))
+	for source, n := range lo.unparsed {
+		out = append(out, fmt.Sprintf("%d lines of %s are not log lines of a process", n, source))
 	}
 	slices.Sort(out)
 	return out
--- a/core/story/story_test.go
+++ b/core/story/story_test.go
@@ -13,10 +13,10 @@
 	"skylarkstand/core/story"
 )
 
-// The logs in testdata are of two entries: the first is killed with a request in
-// hand, which the caller then sends to the second; there the configuration has
-// just changed and an upstream fails.
-func tell(t *testing.T, id core.RequestID) string {
+// explain returns what is printed about a request from the logs in testdata. They come from two
+// entries: the first is killed with a request in flight, which the caller then sends to the second;
+// there, the configuration has just changed and an upstream fails.
+func explain(t *testing.T, id core.RequestID) string {
 	t.Helper()
 	var lo story.Log
 	for _, name := range []string{"gateway-1.log", "gateway-2.log"} {
@@ -31,11 +31,11 @@
 	return sb.String()
 }
 
-// A user complains of a request that went to two entries, of which one was
-// killed. The story has the lines of both in order, what they believed, how
-// others fared at the upstream, and says that the first one's end is missing.
-func TestStoryOverTwoEntries(t *testing.T) { golden.Assert(t, tell(t, "r1"), "two-entries.txt") }
+// A request was sent to two entries, one of which was killed. The output must contain the lines of
+// both in order, the state of the entries, the counts of other requests, and a note that the first
+// entry did not log the end of the request.
+func TestRequestAtTwoEntries(t *testing.T) { golden.Assert(t, explain(t, "r1"), "two-entries.txt") }
 
-// Nobody has a line about a request. The story says that lines were left out at
-// the time, so that nobody takes it for certain that the request never came.
-func TestStoryOfAnUnknownRequest(t *testing.T) { golden.Assert(t, tell(t, "r7"), "unknown.txt") }
+// No process has logged a line about a request. The output must mention the lines that were dropped
+// at the time, so that an operator does not conclude that the request was never received.
+func TestUnknownRequest(t *testing.T) { golden.Assert(t, explain(t, "r7"), "unknown.txt") }
