--- a/core/losses/cause.go
+++ b/core/losses/cause.go
@@ -9,83 +9,84 @@
 	"skylarkstand/core/event"
 )
 
-// Cause is why a request earned less than it could.
+// Cause is the reason why a request got no answer, or a worse one than possible.
 type Cause string
 
 // The causes.
 const (
-	// OnTime is no loss.
+	// OnTime is an answer without a loss.
 	OnTime Cause = "on time"
-	// NotAllowed: no route, or a key that belongs to nobody.
+	// NotAllowed is a request without a route or with an unknown API key.
 	NotAllowed Cause = "not allowed"
-	// Unconfigured: the entry had no configuration, or an old one.
+	// Unconfigured is a request to an entry without a configuration, or with an outdated one.
 	Unconfigured Cause = "refused: no configuration"
-	// Overloaded: turned away at the gate, or by all upstreams.
+	// Overloaded is a request that the admission control or all upstreams refused.
 	Overloaded Cause = "refused: overloaded"
-	// Stopping: turned away or cut off by a planned stop.
+	// Stopping is a request that was refused or cut off by a planned stop.
 	Stopping Cause = "planned stop"
-	// ProcessEnded: the entry's process ended, and the request with it.
+	// ProcessEnded is a request that was lost when the process of its entry ended.
 	ProcessEnded Cause = "process ended"
-	// CallerGone: its caller left.
+	// CallerGone is a request whose caller disconnected.
 	CallerGone Cause = "caller gone"
-	// OverDeadline: nothing came before the deadline.
+	// OverDeadline is a request without an answer before its deadline.
 	OverDeadline Cause = "over the deadline"
-	// NoUpstream: no upstream took it.
+	// NoUpstream is a request that no upstream accepted.
 	NoUpstream Cause = "no upstream"
-	// LostAtUpstream: the answer was lost or broken off and could not be repeated.
+	// LostAtUpstream is an answer that was lost or broken off, and a request that could not be
+	// retried.
 	LostAtUpstream Cause = "lost at an upstream"
-	// UpstreamError: an upstream answered with an error of its own.
+	// UpstreamError is an error that an upstream returned itself.
 	UpstreamError Cause = "error of an upstream"
-	// LateByUpstream: late, since an upstream failed or was silent first.
+	// LateByUpstream is an answer that was late because another upstream failed or did not respond
+	// before.
 	LateByUpstream Cause = "late: upstream failed first"
-	// LateByClimb: late, since a smaller model's answer was doubted first.
+	// LateByClimb is an answer that was late because the request was escalated from a smaller model.
 	LateByClimb Cause = "late: smaller model first"
-	// LateByQueue: late, since other prompts were read before it.
-	LateByQueue Cause = "late: queue and reading"
-	// LateAtUpstream: late at an upstream that was expected to be quick.
+	// LateByQueue is an answer that was late because of the prefill of other prompts before it.
+	LateByQueue Cause = "late: queue and prefill"
+	// LateAtUpstream is an answer that was late at an upstream that was expected to be fast.
 	LateAtUpstream Cause = "late: slow upstream"
-	// Paused: too long between two events.
+	// Paused is an answer with too much time between two events.
 	Paused Cause = "paused"
-	// Doubtful: answered by a model that was not sure, though there are larger. The
-	// others say why none of these was asked.
+	// Doubtful is an answer of low confidence although a larger model exists. The other Doubtful
+	// causes are the known reasons why the request was not escalated.
 	Doubtful          Cause = "doubtful answer"
 	DoubtfulSufficed  Cause = "doubtful: sufficed under load"
 	DoubtfulTooLate   Cause = "doubtful: a larger model would be late"
 	DoubtfulAttempts  Cause = "doubtful: attempts used up"
-	DoubtfulNoRepeats Cause = "doubtful: no repeats left"
-	// Unknown: an end that none of the others describes.
+	DoubtfulNoRepeats Cause = "doubtful: no retries left"
+	// Unknown is an end that none of the other causes describes.
 	Unknown Cause = "unknown"
 )
 
-// doubtfulBelow is the confidence below which an answer is more likely wrong
-// than right: that of answers to what a model is just able to, by its own
-// opinion.
-const doubtfulBelow = 50
+// minConfidence is the confidence, out of 100, below which an answer is more likely wrong than
+// right. Models report it for answers to tasks that they are only just capable of.
+const minConfidence = 50
 
-// byCode are the causes of refusals and failures.
-var byCode = map[core.Code]Cause{
+// causesByCode maps the codes of refusals and failures to their causes.
+var causesByCode = map[core.Code]Cause{
 	core.CodeNoConfig: Unconfigured, core.CodeStaleConfig: Unconfigured,
 	core.CodeUnknownRoute: NotAllowed, core.CodeUnauthorized: NotAllowed,
 	core.CodeOverloaded: Overloaded, core.CodeLeaving: Stopping, core.CodeDeadline: OverDeadline,
 	core.CodeCallerGone: CallerGone, core.CodeNoUpstream: NoUpstream, core.CodeNoRegion: NoUpstream, core.CodeEvacuated: NoUpstream, core.CodeOutcomeLost: LostAtUpstream,
 }
 
-// byKept are the causes of doubtful answers by why they were given.
-var byKept = map[string]Cause{
+// causesByReason maps the reasons for returning a doubtful answer to its causes.
+var causesByReason = map[string]Cause{
 	"sufficed": DoubtfulSufficed, "too-late": DoubtfulTooLate, "attempts": DoubtfulAttempts, "repeats": DoubtfulNoRepeats,
 }
 
-// cause returns why a request earned less than it could.
+// cause returns the cause of the request's loss, or [OnTime].
 func (rq *request) cause() Cause {
 	switch {
 	case rq.end == nil:
 		return ProcessEnded
 	case rq.end.Event != event.ExchangeEnded.Name:
-		if ca, ok := byCode[core.Code(rq.end.Get("code"))]; ok {
+		if ca, ok := causesByCode[core.Code(rq.end.Get("code"))]; ok {
 			return ca
 		}
 		return Unknown
-	case number(rq.end.Get("status")) >= errorStatus:
+	case number(rq.end.Get("status")) >= minErrorStatus:
 		return UpstreamError
 	}
 	first, aim := seconds(rq.end.Get("first")), seconds(rq.end.Get("aim"))
@@ -93,44 +94,44 @@
 	confidence := number(rq.end.Get("confidence"))
 	switch {
 	case aim > 0 && first > aim:
-		return rq.late(first)
+		return rq.latenessCause(first)
 	case gap > 0 && pause > gap:
 		return Paused
-	case confidence >= 0 && confidence < doubtfulBelow && number(rq.end.Get("larger")) > 0:
-		return cmp.Or(byKept[rq.end.Get("kept-answer")], Doubtful)
+	case confidence >= 0 && confidence < minConfidence && number(rq.end.Get("larger")) > 0:
+		return cmp.Or(causesByReason[rq.end.Get("kept-answer")], Doubtful)
 	}
 	return OnTime
 }
 
-const errorStatus = 500
+const minErrorStatus = 500
 
-// late returns what took most of the time before the first piece: attempts whose
-// answer was lost, attempts whose answer was doubted, or the last one.
-func (rq *request) late(first time.Duration) Cause {
-	var failed, doubted time.Duration
+// latenessCause returns the cause of a late first piece by what took most of the time before it:
+// failed attempts, attempts whose answer was dropped for a larger model's, or the last attempt.
+func (rq *request) latenessCause(first time.Duration) Cause {
+	var failed, escalated time.Duration
 	for _, at := range rq.attempts {
 		switch at.verdict {
 		case "":
 		case "unsure":
-			doubted += at.took
+			escalated += at.took
 		default:
 			failed += at.took
 		}
 	}
-	last := first - failed - doubted
+	last := first - failed - escalated
 	switch {
-	case failed >= max(doubted, last):
+	case failed >= max(escalated, last):
 		return LateByUpstream
-	case doubted >= last:
+	case escalated >= last:
 		return LateByClimb
-	case len(rq.attempts) > 0 && rq.attempts[len(rq.attempts)-1].read >= last/2:
+	case len(rq.attempts) > 0 && rq.attempts[len(rq.attempts)-1].prefillWait >= last/2:
 		return LateByQueue
 	}
 	return LateAtUpstream
 }
 
-// number and seconds read a value of a line; one that is not there is 0. Lines
-// are written by the product, so that another value is none.
+// number parses the value of an attribute, seconds a duration in seconds. A missing or malformed
+// value is 0: only this program writes the lines, so that a malformed value is treated as missing.
 func number(text string) float64 {
 	val, err := strconv.ParseFloat(text, 64)
 	if err != nil {
--- a/core/losses/count.go
+++ b/core/losses/count.go
@@ -10,26 +10,25 @@
 	"skylarkstand/core/story"
 )
 
-// request is one request as the lines of its entry tell it.
+// request is one request, reconstructed from the lines of its entry.
 type request struct {
 	at    time.Time
 	route string
-	// prompt is the tokens of its prompt.
+	// prompt is the size of the prompt.
 	prompt   core.Tokens
 	attempts []*attempt
 	end      *story.Line
 }
 
-// attempt is one attempt at an upstream. A verdict is set only when its answer
-// was not used.
+// attempt is one attempt at an upstream. The verdict is set only if its answer was not used.
 type attempt struct {
-	model      string
-	kept       core.Tokens
-	read, took time.Duration
-	verdict    string
+	model             string
+	cached            core.Tokens
+	prefillWait, took time.Duration
+	verdict           string
 }
 
-// Row sums the requests of one route, or of one span of time.
+// Row counts the requests of one route, or of one time span.
 type Row struct {
 	Name     string
 	Requests int
@@ -37,43 +36,42 @@
 	Lost map[Cause]int
 }
 
-// Work is what one model was asked for.
+// Work is the load of one model.
 type Work struct {
 	Model string
-	// Attempts counts those that began, and Doubted those whose answer was
-	// dropped for a larger model's.
+	// Attempts counts the attempts, and Doubted those whose answer was dropped for a larger model's.
 	Attempts, Doubted int
-	// Read is the tokens that had to be read, and Kept those that were thought
-	// to be in memory.
+	// Read counts the tokens that had to be prefilled, and Kept those that were assumed to be in the
+	// prefix cache.
 	Read, Kept core.Tokens
 }
 
-// Table is what callers lost, and why.
+// Table holds the losses by cause.
 type Table struct {
 	Total Row
-	// Routes are by name, with the requests that no route is known of under an
-	// empty one; Spans by time, from the first request.
+	// Routes are ordered by name; requests without a known route are counted under an empty name.
+	// Spans are ordered by time, from the first request on.
 	Routes, Spans []Row
 	Work          []Work
-	// Dropped counts the lines that processes left out.
+	// Dropped counts the log lines that processes dropped.
 	Dropped int
 }
 
-// Count sums the requests that lines tell of, over spans of time.
+// Count counts the requests in log lines, by time spans of the given length.
 func Count(lines []story.Line, span time.Duration) Table {
-	rqs, dropped := gather(lines)
+	rqs, dropped := collect(lines)
 	ta := Table{Total: newRow("all"), Dropped: dropped}
 	if len(rqs) == 0 {
 		return ta
 	}
 	routes, work := map[string]*Row{}, map[string]*Work{}
-	began := rqs[0].at
+	start := rqs[0].at
 	for _, rq := range rqs {
 		ca := rq.cause()
 		ta.Total.add(ca)
 		routeRow(routes, rq.route).add(ca)
-		ta.span(rq.at.Sub(began), span).add(ca)
-		rq.work(work)
+		ta.spanRow(rq.at.Sub(start), span).add(ca)
+		rq.addWork(work)
 	}
 	ta.Routes = sorted(routes, func(ro *Row) string { return ro.Name })
 	ta.Work = sorted(work, func(wo *Work) string { return wo.Model })
@@ -90,13 +88,13 @@
 	return rows[route]
 }
 
-// span returns the row of a time since the first request.
-func (ta *Table) span(since, span time.Duration) *Row {
-	at := int(since / span)
-	for len(ta.Spans) <= at {
+// spanRow returns the row for a time since the first request, and adds the rows up to it.
+func (ta *Table) spanRow(since, span time.Duration) *Row {
+	ix := int(since / span)
+	for len(ta.Spans) <= ix {
 		ta.Spans = append(ta.Spans, newRow((time.Duration(len(ta.Spans)) * span).String()))
 	}
-	return &ta.Spans[at]
+	return &ta.Spans[ix]
 }
 
 func (ro *Row) add(ca Cause) {
@@ -106,7 +104,7 @@
 	}
 }
 
-func (rq *request) work(work map[string]*Work) {
+func (rq *request) addWork(work map[string]*Work) {
 	for _, at := range rq.attempts {
 		if at.model == "" {
 			continue
@@ -120,8 +118,8 @@
 		if at.verdict == "unsure" {
 			wo.Doubted++
 		}
-		wo.Kept += min(at.kept, rq.prompt)
-		wo.Read += max(rq.prompt-at.kept, 0)
+		wo.Kept += min(at.cached, rq.prompt)
+		wo.Read += max(rq.prompt-at.cached, 0)
 	}
 }
 
@@ -134,42 +132,43 @@
 	return out
 }
 
-// key tells requests apart: the same one may come to several entries.
+// key identifies a request at an entry: several entries may receive the same request.
 type key struct{ process, request string }
 
-// gather puts the lines of each request together, by their first line's time.
-func gather(lines []story.Line) (rqs []*request, dropped int) {
-	known := map[key]*request{}
+// collect groups the lines by request, ordered by the time of each request's first line, and counts
+// the dropped lines.
+func collect(lines []story.Line) (rqs []*request, dropped int) {
+	byKey := map[key]*request{}
 	for i := range lines {
 		li := &lines[i]
 		if li.Event == event.LogDropped.Name {
 			dropped += int(number(li.Get("lines")))
 		}
 		id := li.Get("request")
-		if id == "" || !tells[li.Event] {
+		if id == "" || !requestEvents[li.Event] {
 			continue
 		}
 		ke := key{li.Process, id}
-		rq := known[ke]
+		rq := byKey[ke]
 		if rq == nil {
 			rq = &request{at: li.At}
-			known[ke] = rq
+			byKey[ke] = rq
 			rqs = append(rqs, rq)
 		}
-		rq.take(li)
+		rq.addLine(li)
 	}
 	slices.SortStableFunc(rqs, func(a, b *request) int { return a.at.Compare(b.at) })
 	return rqs, dropped
 }
 
-// tells are the events that tell of a request's way.
-var tells = map[string]bool{
+// requestEvents are the events of a request's attempts and of its end.
+var requestEvents = map[string]bool{
 	event.AttemptBegun.Name: true, event.AttemptEnded.Name: true, event.ExchangeEnded.Name: true,
 	event.ExchangeFailed.Name: true, event.ExchangeRefused.Name: true, event.ExchangeCut.Name: true,
 }
 
-// take takes in one of the request's lines, in their order.
-func (rq *request) take(li *story.Line) {
+// addLine applies one of the request's lines. The lines must be added in their order.
+func (rq *request) addLine(li *story.Line) {
 	if route := li.Get("route"); route != "" {
 		rq.route = route
 	}
@@ -177,7 +176,7 @@
 	case event.AttemptBegun.Name:
 		rq.prompt = core.Tokens(number(li.Get("prompt")))
 		rq.attempts = append(rq.attempts, &attempt{
-			model: li.Get("model"), kept: core.Tokens(number(li.Get("kept"))), read: seconds(li.Get("read")),
+			model: li.Get("model"), cached: core.Tokens(number(li.Get("kept"))), prefillWait: seconds(li.Get("read")),
 		})
 	case event.AttemptEnded.Name:
 		if n := int(number(li.Get("attempt"))); n >= 1 && n <= len(rq.attempts) {
--- a/core/losses/doc.go
+++ b/core/losses/doc.go
@@ -1,16 +1,15 @@
-// Package losses says why callers got less than they could, from the log lines
-// of gateways alone: for each request one cause out of a closed list, summed by
-// route and by time.
+// Package losses classifies why callers got no answer, or a worse one than possible, from the log
+// lines of gateways alone: each request has one cause out of a fixed list, and the causes are
+// counted by route and by time.
 //
-// It is made for the engineer who asks what to mend first, and for whoever
-// changes a decision and wants to know what that moved. A request counts once
-// for each time that its caller sends it, since nothing in a log joins the two.
+// It shows an engineer what to fix first, and what a change of the decision logic has changed. A
+// request counts once for each time that its caller sends it, because nothing in a log connects the
+// two.
 //
-// What a log does not say: whether a model's answer was right, what an answer is
-// worth to its caller, and what became of callers that found no entry. A request
-// whose lines stop without an end is put down to the end of its process; where a
-// process left lines out, some of these are only its log's, and the table says
-// how many lines lack.
+// A log does not contain whether a model's answer was right, what an answer is worth to its caller,
+// and what happened to callers that reached no entry. A request without a line about its end is
+// attributed to the end of its process. If a process dropped log lines, some of these requests did
+// end, and only the line is missing; the table shows the number of dropped lines.
 //
 // # Usage
 //
--- a/core/losses/losses_test.go
+++ b/core/losses/losses_test.go
@@ -12,7 +12,7 @@
 	"skylarkstand/core/story"
 )
 
-// count reads lines as a gateway writes them. The time and the process are added.
+// count counts the requests in lines of a gateway. It adds the time and the process to each line.
 func count(t *testing.T, rows ...string) losses.Table {
 	t.Helper()
 	var lo story.Log
@@ -29,40 +29,40 @@
 	second = `"msg":"attempt-begun","request":"r1","route":"draft","attempt":2,"model":"large","prompt":5000,"kept":0,"read":2`
 )
 
-// answered is a line of an answer, with changes.
-func answered(changes ...string) string {
+// answered returns the line of a complete answer, with replacements.
+func answered(replacements ...string) string {
 	row := `"msg":"exchange-ended","request":"r1","route":"draft","status":200,"confidence":80,"larger":0,"first":1,"aim":3,"pause":0.2,"gap":1`
-	return strings.NewReplacer(changes...).Replace(row)
+	return strings.NewReplacer(replacements...).Replace(row)
 }
 
 func ended(verdict, took string) string {
 	return `"msg":"attempt-ended","request":"r1","attempt":1,"verdict":"` + verdict + `","took":` + took
 }
 
-// An engineer looks for what to mend first. Each request that was refused, cut,
-// late or answered badly must be put down to one cause, and to the right one.
+// Each request that was refused, cut off, late or badly answered must be attributed to exactly one
+// cause, and to the right one. Otherwise, an engineer would fix the wrong thing first.
 func TestCauses(t *testing.T) {
 	scenarios := []struct {
 		testName string
 		rows     []string
 		want     losses.Cause
 	}{
-		{"in time", []string{begun, answered()}, losses.OnTime},
+		{"on time", []string{begun, answered()}, losses.OnTime},
 		{"doubtful", []string{begun, answered(`"confidence":80`, `"confidence":30`, `"larger":0`, `"larger":1`)}, losses.Doubtful},
-		{"doubtful for want of repeats", []string{begun, answered(`"confidence":80`, `"confidence":30,"kept-answer":"repeats"`, `"larger":0`, `"larger":1`)}, losses.DoubtfulNoRepeats},
+		{"doubtful without retries left", []string{begun, answered(`"confidence":80`, `"confidence":30,"kept-answer":"repeats"`, `"larger":0`, `"larger":1`)}, losses.DoubtfulNoRepeats},
 		{"doubtful under load", []string{begun, answered(`"confidence":80`, `"confidence":30,"kept-answer":"sufficed"`, `"larger":0`, `"larger":1`)}, losses.DoubtfulSufficed},
-		{"doubtful by the largest", []string{begun, answered(`"confidence":80`, `"confidence":30`)}, losses.OnTime},
+		{"doubtful by the largest model", []string{begun, answered(`"confidence":80`, `"confidence":30`)}, losses.OnTime},
 		{"paused", []string{begun, answered(`"pause":0.2`, `"pause":1.2`)}, losses.Paused},
-		{"an upstream's error", []string{begun, answered(`"status":200`, `"status":500`)}, losses.UpstreamError},
-		{"late by a climb", []string{begun, ended("unsure", "2.5"), second, answered(`"first":1`, `"first":3.2`)}, losses.LateByClimb},
+		{"error of an upstream", []string{begun, answered(`"status":200`, `"status":500`)}, losses.UpstreamError},
+		{"late by escalation", []string{begun, ended("unsure", "2.5"), second, answered(`"first":1`, `"first":3.2`)}, losses.LateByClimb},
 		{"late by a lost answer", []string{begun, ended("lost", "2.5"), second, answered(`"first":1`, `"first":3.2`)}, losses.LateByUpstream},
 		{"late in the queue", []string{begun, ended("unsure", "0.1"), second, answered(`"first":1`, `"first":3.2`)}, losses.LateByQueue},
 		{"late at a slow upstream", []string{begun, answered(`"first":1`, `"first":3.2`)}, losses.LateAtUpstream},
 		{"no end", []string{begun}, losses.ProcessEnded},
 		{"no configuration", []string{`"msg":"exchange-refused","request":"r1","code":"no-configuration"`}, losses.Unconfigured},
 		{"no route", []string{`"msg":"exchange-refused","request":"r1","code":"unknown-route"`}, losses.NotAllowed},
-		{"full", []string{`"msg":"exchange-refused","request":"r1","code":"overloaded"`}, losses.Overloaded},
-		{"cut by a stop", []string{begun, `"msg":"exchange-cut","request":"r1","code":"leaving"`}, losses.Stopping},
+		{"overloaded", []string{`"msg":"exchange-refused","request":"r1","code":"overloaded"`}, losses.Overloaded},
+		{"cut off by a planned stop", []string{begun, `"msg":"exchange-cut","request":"r1","code":"leaving"`}, losses.Stopping},
 		{"over the deadline", []string{begun, `"msg":"exchange-failed","request":"r1","code":"deadline"`}, losses.OverDeadline},
 		{"caller gone", []string{begun, `"msg":"exchange-cut","request":"r1","code":"caller-gone"`}, losses.CallerGone},
 		{"lost", []string{begun, `"msg":"exchange-failed","request":"r1","code":"outcome-unknown"`}, losses.LostAtUpstream},
@@ -81,7 +81,7 @@
 	}
 }
 
-// The page that an engineer reads, of the lines of one entry.
+// The printed table for the lines of one entry.
 func TestTable(t *testing.T) {
 	rows := []string{begun, ended("unsure", "0.1"), second, answered()}
 	for _, row := range []string{begun, ended("unsure", "0.1"), second} {
--- a/core/losses/write.go
+++ b/core/losses/write.go
@@ -11,7 +11,7 @@
 	"github.com/rotisserie/eris"
 )
 
-// Write prints the table, the largest losses first.
+// Write prints the table, the most frequent causes first.
 func (ta *Table) Write(w io.Writer) error {
 	tw := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(tw, "why\trequests\tin 100\n")
@@ -20,32 +20,32 @@
 		fmt.Fprintf(tw, "%s\t%d\t%.1f\n", ca, n, 100*float64(n)/float64(ta.Total.Requests))
 	}
 	fmt.Fprintf(tw, "all requests\t%d\t\n", ta.Total.Requests)
-	rows(tw, "route", ta.Routes)
-	rows(tw, "from", ta.Spans)
+	writeRows(tw, "route", ta.Routes)
+	writeRows(tw, "from", ta.Spans)
 	fmt.Fprintf(tw, "\nmodel\tattempts\tdoubted\ttokens read\ttokens kept\n")
 	for _, wo := range ta.Work {
 		fmt.Fprintf(tw, "%s\t%d\t%d\t%d\t%d\n", wo.Model, wo.Attempts, wo.Doubted, wo.Read, wo.Kept)
 	}
 	if ta.Dropped > 0 {
-		fmt.Fprintf(tw, "\n%d lines were left out by processes; some requests without an end are only theirs.\n", ta.Dropped)
+		fmt.Fprintf(tw, "\n%d log lines were dropped by processes; some requests without a logged end only lack that line.\n", ta.Dropped)
 	}
-	return eris.Wrap(tw.Flush(), "write")
+	return eris.Wrap(tw.Flush(), "write the table of losses")
 }
 
-func rows(w io.Writer, head string, rows []Row) {
+func writeRows(w io.Writer, head string, rows []Row) {
 	fmt.Fprintf(w, "\n%s\trequests\tlost\twhy\n", head)
 	for _, ro := range rows {
-		var why []string
+		var causes []string
 		lost := 0
 		for _, ca := range ro.causes() {
 			lost += ro.Lost[ca]
-			why = append(why, fmt.Sprintf("%s %d", ca, ro.Lost[ca]))
+			causes = append(causes, fmt.Sprintf("%s %d", ca, ro.Lost[ca]))
 		}
-		fmt.Fprintf(w, "%s\t%d\t%d\t%s\n", cmp.Or(ro.Name, "(none)"), ro.Requests, lost, strings.Join(why, ", "))
+		fmt.Fprintf(w, "%s\t%d\t%d\t%s\n", cmp.Or(ro.Name, "(none)"), ro.Requests, lost, strings.Join(causes, ", "))
 	}
 }
 
-// causes lists what was lost by, the largest first.
+// causes lists the causes of the lost requests, the most frequent first.
 func (ro *Row) causes() []Cause {
 	var out []Cause
 	for ca := range ro.Lost {
