--- a/core/losses/write.go
+++ b/core/losses/write.go
@@ -29,7 +29,7 @@
 	if ta.Dropped > 0 {
 		fmt.Fprintf(tw, "\n%d log lines were dropped by processes; some requests without a logged end only lack that line.\n", ta.Dropped)
 	}
-	return eris.Wrap(tw.Flush(), "write the table of losses")
+	return eris.Wrap(tw.Flush(), "write")
 }
 
 func writeRows(w io.Writer, head string, rows []Row) {
--- a/core/story/log.go
+++ b/core/story/log.go
@@ -99,16 +99,16 @@
 	}
 	dec := json.NewDecoder(bytes.NewReader(row[at:]))
 	if _, err := dec.Token(); err != nil {
-		return li, eris.Wrap(err, "parse line")
+		return li, eris.Wrap(err, "line")
 	}
 	for dec.More() {
 		name, err := dec.Token()
 		if err != nil {
-			return li, eris.Wrap(err, "parse line")
+			return li, eris.Wrap(err, "line")
 		}
 		var val json.RawMessage
 		if err := dec.Decode(&val); err != nil {
-			return li, eris.Wrap(err, "parse line")
+			return li, eris.Wrap(err, "line")
 		}
 		key, _ := name.(string)
 		if err := li.set(key, val); err != nil {
--- a/core/story/page.go
+++ b/core/story/page.go
@@ -30,7 +30,7 @@
 		fmt.Fprintf(&sb, "missing: %s\n", text)
 	}
 	_, err := io.WriteString(w, sb.String())
-	return eris.Wrap(err, "write the story of the request")
+	return eris.Wrap(err, "story")
 }
 
 func (st *Story) writeLine(sb *strings.Builder, li *Line) {
