--- a/core/dispatch/chat.go
+++ b/core/dispatch/chat.go
@@ -20,25 +20,25 @@
 		return nil, err
 	}
 	out := &Outcome{dis: dis, rq: rq, Cascade: pd.plan.Cascade}
-	wk := &walk{dis: dis, planned: pd, rq: rq, out: out, began: time.Now(), ran: make([]bool, len(pd.plan.Stages))}
+	wk := &stageRunner{dis: dis, planned: pd, rq: rq, out: out, began: time.Now(), ran: make([]bool, len(pd.plan.Stages))}
 	if err := wk.run(ctx); err != nil {
 		return nil, out.fail(err)
 	}
 	return out, nil
 }
 
-// planned is what was decided of a request by one configuration.
+// planned is the plan of a request under one configuration, and the stage that it starts with.
 type planned struct {
 	sn   *declaration.Snapshot
 	plan routing.Plan
-	// qu is nil for a plan of one stage: there is nothing to decide.
+	// qu is nil for a plan with one stage, which leaves nothing to decide.
 	qu    *cascade.Question
 	start cascade.Decision
 }
 
-// First decides what a chat request begins on and returns that version, so that
-// it is admitted to the upstreams that it will use. Chat keeps to the decision
-// unless the configuration changed meanwhile.
+// First plans a chat request and returns the version that it starts with, so that the
+// request is admitted to the upstreams it will use. Chat uses the same plan unless the
+// configuration has changed or a version of the plan was halted in the meantime.
 func (dis *Dispatcher) First(rq *Request) (core.ModelVersion, error) {
 	pd, err := dis.plan(rq)
 	if err != nil {
@@ -56,35 +56,35 @@
 		return rq.planned, nil
 	}
 	se := rq.Session
-	se.Halted = dis.judge.guard.Halted
+	se.Halted = dis.eval.guard.Halted
 	plan, err := routing.Resolve(sn, rq.Workspace, rq.Model, se)
 	if err != nil {
 		return nil, err
 	}
 	rq.planned = &planned{sn: sn, plan: plan, start: cascade.Decision{Final: true}}
 	if len(plan.Stages) > 1 {
-		rq.planned.qu = question(sn, rq, plan)
-		rq.planned.start = dis.judge.start(rq.planned.qu)
+		rq.planned.qu = cascadeRequest(sn, rq, plan)
+		rq.planned.start = dis.eval.start(rq.planned.qu)
 	}
 	return rq.planned, nil
 }
 
-// halted reports whether a version that the plan joins was halted since. A
-// request may wait for its admission much longer than a halt takes to spread.
+// halted reports whether a version that the plan assigned to a new session has been halted
+// since. A request may wait for admission much longer than a halt takes to propagate.
 func (dis *Dispatcher) halted(plan routing.Plan) bool {
 	return slices.ContainsFunc(plan.Stages, func(st routing.Stage) bool {
-		return st.Joined && dis.judge.guard.Halted(st.Target)
+		return st.Joined && dis.eval.guard.Halted(st.Target)
 	})
 }
 
-// assumedTokens is the length of an answer before any was seen, for the order
-// of the stages' prices only.
+// assumedTokens is the assumed answer length. It is used only to compare the costs of the
+// stages before any answer has been measured.
 const assumedTokens = 256
 
-// bytesPerToken turns a prompt's length into tokens, roughly.
+// bytesPerToken converts the length of a prompt to an approximate number of tokens.
 const bytesPerToken = 4
 
-func question(sn *declaration.Snapshot, rq *Request, plan routing.Plan) *cascade.Question {
+func cascadeRequest(sn *declaration.Snapshot, rq *Request, plan routing.Plan) *cascade.Question {
 	ws := sn.Workspace(rq.Workspace)
 	qu := &cascade.Question{
 		Workspace: rq.Workspace, Cascade: plan.Cascade, Class: cascade.ClassOf(len(rq.Prompt)),
@@ -97,32 +97,32 @@
 	return qu
 }
 
-// walk takes one request through the stages of its plan.
-type walk struct {
+// stageRunner runs the stages of a request's plan.
+type stageRunner struct {
 	*planned
 	dis   *Dispatcher
 	rq    *Request
 	out   *Outcome
 	began time.Time
-	// ran marks the stages that were run; kept is the last whole answer.
-	ran  []bool
-	kept *kept
-	// handed tells that some stage's work may have run before it failed.
-	handed bool
+	// ran marks the stages that were attempted; saved is the last complete answer.
+	ran   []bool
+	saved *savedAnswer
+	// mayHaveRun is set when a stage failed after its work may have run on an upstream.
+	mayHaveRun bool
 }
 
-// kept is a whole answer that was rated too low to stop at, and is given when
-// the stage after it fails.
-type kept struct {
+// savedAnswer is a complete answer that was rated too low to stop at. It is returned if the
+// following stage fails.
+type savedAnswer struct {
 	ans      core.Answer
-	held     *bytes.Buffer
+	buffered *bytes.Buffer
 	lines    int
 	target   core.ModelVersion
 	repinned bool
 	quality  core.Quality
 }
 
-func (wk *walk) run(ctx context.Context) error {
+func (wk *stageRunner) run(ctx context.Context) error {
 	de := wk.start
 	for {
 		more, next, err := wk.step(ctx, de)
@@ -130,8 +130,8 @@
 			return nil
 		}
 		if err != nil {
-			fl := wk.failed(err)
-			if more, next = wk.instead(ctx, fl); !more {
+			fl := wk.recordFailure(err)
+			if more, next = wk.alternative(ctx, fl); !more {
 				return fl
 			}
 		}
@@ -142,20 +142,20 @@
 	}
 }
 
-// failed notes a stage's failure. "Not run" is true of the request only if no
-// stage of it was handed to an upstream.
-func (wk *walk) failed(err error) *core.Failure {
+// recordFailure records the failure of a stage and returns the failure of the request. The
+// request as a whole was not run only if no stage of it was sent to an upstream.
+func (wk *stageRunner) recordFailure(err error) *core.Failure {
 	fl := asFailure(err)
 	if fl.Ran != core.NotRun {
-		wk.handed = true
-	} else if wk.handed {
+		wk.mayHaveRun = true
+	} else if wk.mayHaveRun {
 		return &core.Failure{Code: fl.Code, Ran: core.RanUnknown, Message: fl.Message, RetryAfter: fl.RetryAfter}
 	}
 	return fl
 }
 
-// start decides with which stage a cascade begins.
-func (jd *judge) start(qu *cascade.Question) cascade.Decision {
+// start decides which stage a cascade starts with.
+func (jd *evaluator) start(qu *cascade.Question) cascade.Decision {
 	now := time.Now()
 	if !jd.health.Ask(now) {
 		return cascade.Decision{Stage: qu.Fallback(), Final: true}
@@ -163,27 +163,27 @@
 	return jd.learner.Start(now, qu, rand.Float64())
 }
 
-// step runs one stage and decides what comes after it.
-func (wk *walk) step(ctx context.Context, de cascade.Decision) (bool, cascade.Decision, error) {
+// step runs one stage and decides which stage follows, if any.
+func (wk *stageRunner) step(ctx context.Context, de cascade.Decision) (bool, cascade.Decision, error) {
 	err := wk.stage(ctx, de)
 	if err != nil || de.Final {
 		return false, de, err
 	}
-	if err := wk.out.hold(maxHeld); err != nil {
-		// A stage whose answer was cut is not billed.
+	if err := wk.out.buffer(maxBufferedBytes); err != nil {
+		// A stage whose answer was cut off is not billed.
 		wk.out.lines = wk.out.lines[:len(wk.out.lines)-1]
 		return false, de, err
 	}
-	return wk.goOn(ctx, de)
+	return wk.rateAndDecide(ctx, de)
 }
 
-// stage runs one stage on some upstream.
-func (wk *walk) stage(ctx context.Context, de cascade.Decision) error {
+// stage runs one stage on an upstream.
+func (wk *stageRunner) stage(ctx context.Context, de cascade.Decision) error {
 	st := wk.plan.Stages[de.Stage]
-	place := wk.place()
+	pos := wk.position()
 	wk.ran[de.Stage] = true
 	if st.Joined {
-		wk.dis.judge.guard.Reach(st.Target)
+		wk.dis.eval.guard.Reach(st.Target)
 	}
 	at := core.Attempt{Target: st.Target, Stream: wk.rq.Stream}
 	ans, line, err := wk.dis.try(ctx, wk.sn, wk.rq, at, true)
@@ -193,95 +193,95 @@
 	line.price = func(us core.Usage) core.Millicents { return cost(st.Version, us) }
 	line.Target = st.Target.String()
 	wk.out.Target, wk.out.Repinned = st.Target, st.Repinned
-	wk.out.take(wk.listen(ctx, ans, de, place), line)
+	wk.out.setAnswer(wk.observe(ctx, ans, de, pos), line)
 	return nil
 }
 
-func (wk *walk) place() cascade.Place {
-	if wk.kept != nil {
+func (wk *stageRunner) position() cascade.Place {
+	if wk.saved != nil {
 		return cascade.After
 	}
 	return cascade.First
 }
 
-// sampleShare is the share of answers of a cascade's last stage that are rated
-// although nothing depends on it. The learner needs them: without any it could
-// not tell what the costly stage is worth.
+// sampleShare is the fraction of the answers of a cascade's last stage that are rated although
+// no decision depends on the rating. Without these ratings, the learner could not estimate
+// the quality of the expensive stage.
 const sampleShare = 0.3
 
-// listen returns an answer that teaches the learner when it ends, and that is
-// rated in the background if nothing waits for its rating and it is drawn.
-func (wk *walk) listen(ctx context.Context, ans core.Answer, de cascade.Decision, place cascade.Place) core.Answer {
-	st, jd := wk.plan.Stages[de.Stage], wk.dis.judge
+// observe wraps an answer so that the learner records its cost at the end. A sample of the
+// answers whose rating no decision depends on is also rated in the background.
+func (wk *stageRunner) observe(ctx context.Context, ans core.Answer, de cascade.Decision, pos cascade.Place) core.Answer {
+	st, jd := wk.plan.Stages[de.Stage], wk.dis.eval
 	share := jd.guard.RateShare(st.Target)
 	if wk.qu != nil {
 		share = max(share, sampleShare)
 	}
-	li := &listened{Answer: ans}
+	li := &observedAnswer{Answer: ans}
 	if de.Final && rand.Float64() < share {
 		li.copied = new(bytes.Buffer)
 	}
 	began := time.Now()
 	li.ended = func(us core.Usage, text []byte) {
-		learn := wk.ended(de, place, cost(st.Version, us), time.Since(began), share)
+		learn := wk.recordAnswer(de, pos, cost(st.Version, us), time.Since(began), share)
 		if text != nil {
-			jd.rate(ctx, jd.aside, specimen{target: st.Target, prompt: wk.rq.Prompt, answer: text, learn: learn})
+			jd.rate(ctx, jd.background, ratingJob{target: st.Target, prompt: wk.rq.Prompt, answer: text, learn: learn})
 		}
 	}
 	return li
 }
 
-// ended teaches the learner what a whole answer has cost and returns what
-// takes its rating, if one comes.
-func (wk *walk) ended(de cascade.Decision, place cascade.Place, paid core.Millicents, took time.Duration, share float64) func(core.Quality) {
+// recordAnswer records the cost and duration of a complete answer with the learner. It returns
+// the function that receives its rating, if the answer is rated.
+func (wk *stageRunner) recordAnswer(de cascade.Decision, pos cascade.Place, paid core.Millicents, took time.Duration, share float64) func(core.Quality) {
 	if wk.qu == nil {
 		return nil
 	}
-	le, now := wk.dis.judge.learner, time.Now()
+	le, now := wk.dis.eval.learner, time.Now()
 	le.Ran(now, wk.qu, de.Stage, paid, took)
 	if !de.Final {
 		return nil
 	}
-	expected := le.Expected(now, wk.qu, de.Stage, place)
+	expected := le.Expected(now, wk.qu, de.Stage, pos)
 	le.Done(wk.qu, expected, now.Sub(wk.began))
 	return func(got core.Quality) {
-		le.Rated(time.Now(), wk.qu, de.Stage, place, got)
+		le.Rated(time.Now(), wk.qu, de.Stage, pos, got)
 		le.Sampled(wk.qu, expected, got, share)
 	}
 }
 
-// maxHeld bounds the answer of a cascade's stage that is held until it is
-// rated, so that one long answer cannot take the process's memory.
-const maxHeld = 4 << 20
+// maxBufferedBytes limits the answer of a cascade's stage that is buffered until it is rated, so
+// that one long answer cannot exhaust the memory of the process.
+const maxBufferedBytes = 4 << 20
 
-// goOn has the held answer rated and decides whether the request goes on.
-func (wk *walk) goOn(ctx context.Context, de cascade.Decision) (bool, cascade.Decision, error) {
-	out, jd, place := wk.out, wk.dis.judge, wk.place()
-	got, ok := jd.await(ctx, specimen{
-		target: out.Target, prompt: wk.rq.Prompt, answer: out.held.Bytes(),
-		learn: func(got core.Quality) { jd.learner.Rated(time.Now(), wk.qu, de.Stage, place, got) },
+// rateAndDecide has the buffered answer rated and decides whether another stage follows.
+func (wk *stageRunner) rateAndDecide(ctx context.Context, de cascade.Decision) (bool, cascade.Decision, error) {
+	out, jd, pos := wk.out, wk.dis.eval, wk.position()
+	got, ok := jd.await(ctx, ratingJob{
+		target: out.Target, prompt: wk.rq.Prompt, answer: out.buffered.Bytes(),
+		learn: func(got core.Quality) { jd.learner.Rated(time.Now(), wk.qu, de.Stage, pos, got) },
 	})
 	if err := ctx.Err(); err != nil {
 		return false, de, core.Lost("the caller is gone or its deadline has passed")
 	}
 	now := time.Now()
-	next, more := wk.unrated(de)
+	next, more := wk.decideUnrated(de)
 	if ok {
 		next, more = jd.learner.Next(now, wk.qu, de.Stage, got, now.Sub(wk.began))
 	} else {
-		got = jd.learner.Expected(now, wk.qu, de.Stage, place)
+		got = jd.learner.Expected(now, wk.qu, de.Stage, pos)
 	}
 	if !more {
 		jd.learner.Done(wk.qu, got, now.Sub(wk.began))
 		return false, de, nil
 	}
-	wk.kept = &kept{out.ans, out.held, len(out.lines), out.Target, out.Repinned, got}
+	wk.saved = &savedAnswer{out.ans, out.buffered, len(out.lines), out.Target, out.Repinned, got}
 	return true, next, nil
 }
 
-// unrated decides on an answer whose rating did not come: what is declared
-// counts.
-func (wk *walk) unrated(de cascade.Decision) (cascade.Decision, bool) {
+// decideUnrated decides on an answer without a rating in time, by the declared quality of its
+// stage.
+func (wk *stageRunner) decideUnrated(de cascade.Decision) (cascade.Decision, bool) {
 	if wk.qu.Stages[de.Stage].Declared >= wk.qu.Target {
 		return de, false
 	}
@@ -289,26 +289,24 @@
 	return cascade.Decision{Stage: next, Final: true}, next > de.Stage
 }
 
-// restore puts the last whole answer back in place of a stage that failed, and
-// reports whether there was one. An answer that is not good enough is more use
-// to a caller than none.
-func (wk *walk) restore(ctx context.Context) bool {
-	ke, out := wk.kept, wk.out
+// restore replaces a failed stage by the saved answer, and reports whether there was one: a
+// caller is better served by an answer below the target quality than by none.
+func (wk *stageRunner) restore(ctx context.Context) bool {
+	ke, out := wk.saved, wk.out
 	if ke == nil || ctx.Err() != nil {
 		return false
 	}
-	out.ans, out.held, out.ended = ke.ans, ke.held, true
+	out.ans, out.buffered, out.ended = ke.ans, ke.buffered, true
 	out.lines = out.lines[:ke.lines]
 	out.Target, out.Repinned = ke.target, ke.repinned
-	wk.dis.judge.learner.Done(wk.qu, ke.quality, time.Since(wk.began))
+	wk.dis.eval.learner.Done(wk.qu, ke.quality, time.Since(wk.began))
 	return true
 }
 
-// instead names a stage to run in place of one that failed, so that a pool
-// that has run out or a version that breaks does not take the cascade down:
-// the next better one, or else the next cheaper one. The mix makes up for a
-// worse answer later.
-func (wk *walk) instead(ctx context.Context, fl *core.Failure) (bool, cascade.Decision) {
+// alternative returns a stage to run in place of a failed one: the next more expensive stage, or
+// else the next cheaper one. So an exhausted pool or a broken version does not make the whole
+// cascade fail. The learner later offsets an answer of lower quality within the mix.
+func (wk *stageRunner) alternative(ctx context.Context, fl *core.Failure) (bool, cascade.Decision) {
 	if ctx.Err() != nil || !replaceable(fl) {
 		return false, cascade.Decision{}
 	}
@@ -326,8 +324,8 @@
 	return false, cascade.Decision{}
 }
 
-// replaceable reports whether another model may do better than one that failed
-// so. What is wrong with the request itself is wrong for every model.
+// replaceable reports whether another model may succeed after a failure. A fault in the request
+// itself fails on every model.
 func replaceable(fl *core.Failure) bool {
 	switch fl.Code {
 	case core.CodeOverloaded, core.CodeNoUpstream, core.CodeLeaving, core.CodeWithdrawn, core.CodeOutcomeLost, core.CodeUpstream, core.CodeTooLarge:
--- a/core/dispatch/chat_test.go
+++ b/core/dispatch/chat_test.go
@@ -18,10 +18,10 @@
 	"skylarkstand/core/routing"
 )
 
-// upstreams is a fake with one upstream a version.
+// upstreams is a fake with one upstream per version.
 type upstreams struct {
 	core.Upstreams
-	// fail ends the attempts on a version; cut ends them in the middle.
+	// fail refuses the attempts on a model; cut ends their answers in the middle.
 	fail, cut map[core.ModelID]*core.Failure
 	ran       []core.ModelVersion
 }
@@ -63,24 +63,24 @@
 func (an *answer) Close()                   {}
 func (an *answer) ReplayOf() core.AttemptID { return "" }
 
-// rater is a fake that rates each model alike.
+// rater is a fake with a fixed rating per model.
 type rater struct {
 	rates map[core.ModelID]core.Quality
-	late  time.Duration
-	away  bool
+	delay time.Duration
+	down  bool
 }
 
 func (ra *rater) Rate(_ context.Context, mv core.ModelVersion, _, _ []byte) (core.Quality, error) {
-	time.Sleep(ra.late)
-	if ra.away {
-		return 0, errors.New("away")
+	time.Sleep(ra.delay)
+	if ra.down {
+		return 0, errors.New("the rating service is down")
 	}
 	return ra.rates[mv.Model], nil
 }
 
-type bills struct{ all []ledger.Bill }
+type billRecorder struct{ all []ledger.Bill }
 
-func (bi *bills) Add(one ledger.Bill) { bi.all = append(bi.all, one) }
+func (bi *billRecorder) Add(one ledger.Bill) { bi.all = append(bi.all, one) }
 
 func inForce(t *testing.T, ros ...declaration.RollOut) *declaration.InForce {
 	t.Helper()
@@ -104,7 +104,7 @@
 	return inf
 }
 
-func ask(t *testing.T, dis *dispatch.Dispatcher, model string, se routing.Session) (string, error) {
+func chat(t *testing.T, dis *dispatch.Dispatcher, model string, se routing.Session) (string, error) {
 	t.Helper()
 	out, err := dis.Chat(context.Background(), &dispatch.Request{ID: core.RequestID(core.NewID()), Workspace: "ws", Model: model, Session: se, Prompt: []byte("which lamp?")})
 	if err != nil {
@@ -126,11 +126,11 @@
 	}
 }
 
-// A stage's pool runs out, its engine breaks in the middle of an answer, or
-// nobody can say whether an answer is good. The caller gets the best answer
-// that can be had and one bill for what was run whole, or is told the truth.
+// A stage's pool is full, its engine fails in the middle of an answer, or no rating arrives. The
+// caller must get the best available answer and one bill for the stages that ran completely,
+// or a failure that correctly reports whether the request ran.
 func TestCascadeUnderFaults(t *testing.T) {
-	full, broke := core.Refuse(core.CodeOverloaded, time.Second, "full"), core.Lost("broke")
+	full, brokenOff := core.Refuse(core.CodeOverloaded, time.Second, "full"), core.Lost("broke")
 	type failures = map[core.ModelID]*core.Failure
 	for _, sc := range []struct {
 		testName  string
@@ -143,20 +143,20 @@
 	}{
 		{testName: "cheap answer is good", ra: rater{rates: map[core.ModelID]core.Quality{"desk": 1}}, want: "desk@v1", lines: 1},
 		{testName: "cheap answer is bad", ra: rater{rates: map[core.ModelID]core.Quality{"drafter": 1}}, want: "drafter@v1", lines: 2},
-		{testName: "ratings are away", ra: rater{away: true}, want: "drafter@v1", lines: 2},
-		{testName: "ratings are late", ra: rater{late: 3 * time.Second}, want: "drafter@v1", lines: 2, wait: 300 * time.Millisecond},
+		{testName: "rating service is down", ra: rater{down: true}, want: "drafter@v1", lines: 2},
+		{testName: "ratings are late", ra: rater{delay: 3 * time.Second}, want: "drafter@v1", lines: 2, wait: 300 * time.Millisecond},
 		{testName: "cheap pool is full", fail: failures{"desk": full}, want: "drafter@v1", lines: 1},
-		{testName: "cheap answer is cut", cut: failures{"desk": broke}, want: "drafter@v1", lines: 1},
+		{testName: "cheap answer is cut off", cut: failures{"desk": brokenOff}, want: "drafter@v1", lines: 1},
 		{testName: "costly pool is full after a bad answer", fail: failures{"drafter": full}, want: "desk@v1", lines: 1},
 		{testName: "all pools are full", fail: failures{"desk": full, "drafter": full}, ran: core.NotRun},
-		{testName: "cheap answer is cut and the costly pool is full", cut: failures{"desk": broke}, fail: failures{"drafter": full}, ran: core.RanUnknown},
+		{testName: "cheap answer is cut off and the costly pool is full", cut: failures{"desk": brokenOff}, fail: failures{"drafter": full}, ran: core.RanUnknown},
 	} {
 		t.Run(sc.testName, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				bi := &bills{}
+				bi := &billRecorder{}
 				dis := dispatch.New(core.NewDeps(), inForce(t), &upstreams{fail: sc.fail, cut: sc.cut}, &sc.ra, bi)
 				began := time.Now()
-				got, err := ask(t, dis, "quick", routing.Session{})
+				got, err := chat(t, dis, "quick", routing.Session{})
 				assert.Equal(t, time.Since(began), sc.wait)
 				if sc.want == "" {
 					var fl *core.Failure
@@ -169,22 +169,22 @@
 				assert.Equal(t, got, sc.want)
 				assert.Equal(t, len(bi.all), 1)
 				assert.Equal(t, len(bi.all[0].Lines), sc.lines)
-				time.Sleep(sc.ra.late) // The late rating is still taken in.
+				time.Sleep(sc.ra.delay) // The late rating is still recorded.
 			})
 		})
 	}
 }
 
-// The rating service is away for a while. After a few requests none runs the
-// cheap stage in vain or waits any more: callers get answers from the stage
-// that was declared good enough, and no later than always.
-func TestNobodyWaitsForRatingsThatAreAway(t *testing.T) {
+// The rating service is down for a while. After a few requests, the cascade must not run the
+// cheap stage in vain or wait for ratings any more: callers get answers from the stage whose
+// declared quality meets the target, without further delay.
+func TestRequestsDoNotWaitForUnavailableRater(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ups := &upstreams{}
-		dis := dispatch.New(core.NewDeps(), inForce(t), ups, &rater{late: time.Hour}, &bills{})
+		dis := dispatch.New(core.NewDeps(), inForce(t), ups, &rater{delay: time.Hour}, &billRecorder{})
 		began := time.Now()
 		for range 20 {
-			got, err := ask(t, dis, "quick", routing.Session{})
+			got, err := chat(t, dis, "quick", routing.Session{})
 			assert.NilError(t, err)
 			assert.Equal(t, got, "drafter@v1")
 		}
@@ -194,11 +194,11 @@
 	})
 }
 
-// The configuration may be outdated, or the guard has just halted a version
-// that the configuration still rolls out. New sessions must get the stable
-// version at once, or callers meet a bad one for as long as the store is away.
-// Sessions that are on the new version keep it.
-func TestNewSessionsLeaveARollOut(t *testing.T) {
+// The configuration may be outdated, or the guard has just halted a version that the configuration
+// still rolls out. New sessions must get the stable version at once; otherwise callers would
+// get a bad version for as long as the store is unavailable. Sessions that are pinned to the new
+// version keep it.
+func TestNewSessionsGetStableVersionWhenStaleOrHalted(t *testing.T) {
 	ro := declaration.RollOut{Model: "desk", Version: "v2", Percent: 50}
 	pinned := routing.Session{Draw: 0.1, Stale: true, Pins: map[core.ModelID]core.VersionID{"desk": "v2"}}
 	for _, sc := range []struct {
@@ -215,15 +215,15 @@
 			synctest.Test(t, func(t *testing.T) {
 				inf, gu := inForce(t, ro), rollout.New()
 				gu.Follow(inf.Current())
-				dis := dispatch.New(core.NewDeps(), inf, &upstreams{}, &rater{rates: map[core.ModelID]core.Quality{"desk": 1}}, &bills{}, dispatch.Guard(gu))
+				dis := dispatch.New(core.NewDeps(), inf, &upstreams{}, &rater{rates: map[core.ModelID]core.Quality{"desk": 1}}, &billRecorder{}, dispatch.Guard(gu))
 				for i := 0; sc.halt && i < 200; i++ {
 					gu.Observe(rollout.Outcome{Version: core.ModelVersion{Model: "desk", Version: "v1"}, Kind: rollout.Rating})
 					gu.Observe(rollout.Outcome{Version: core.ModelVersion{Model: "desk", Version: "v2"}, Kind: rollout.Rating, Bad: true})
 				}
-				got, err := ask(t, dis, "desk", routing.Session{Draw: 0.1, Stale: sc.stale})
+				got, err := chat(t, dis, "desk", routing.Session{Draw: 0.1, Stale: sc.stale})
 				assert.NilError(t, err)
 				assert.Equal(t, got, sc.want)
-				got, err = ask(t, dis, "desk", pinned)
+				got, err = chat(t, dis, "desk", pinned)
 				assert.NilError(t, err)
 				assert.Equal(t, got, "desk@v2")
 			})
@@ -231,13 +231,13 @@
 	}
 }
 
-// A request of a new session waits half a minute for its admission, and the
-// version that was planned for it is halted meanwhile. It must not be the next
-// caller that meets the bad version.
-func TestHaltReachesARequestThatWaits(t *testing.T) {
+// A request of a new session waits half a minute for admission, and the version that was planned
+// for it is halted in the meantime. The request must be planned again, so that it does not run on
+// the bad version.
+func TestHaltAppliesToWaitingRequest(t *testing.T) {
 	inf, gu := inForce(t, declaration.RollOut{Model: "desk", Version: "v2", Percent: 50}), rollout.New()
 	gu.Follow(inf.Current())
-	dis := dispatch.New(core.NewDeps(), inf, &upstreams{}, &rater{}, &bills{}, dispatch.Guard(gu))
+	dis := dispatch.New(core.NewDeps(), inf, &upstreams{}, &rater{}, &billRecorder{}, dispatch.Guard(gu))
 	rq := &dispatch.Request{ID: "r1", Workspace: "ws", Model: "desk", Session: routing.Session{Draw: 0.1}}
 	first, err := dis.First(rq)
 	assert.NilError(t, err)
@@ -249,32 +249,31 @@
 	assert.Equal(t, out.Target.Version, core.VersionID("v1"))
 }
 
-// A version under roll-out answers badly. Its answers are rated although it
-// stands in no cascade, the caller does not wait for that, and the roll-out
-// ends.
-func TestSingleModelAnswersAreRatedAside(t *testing.T) {
+// A version under roll-out gives bad answers. Its answers must be rated although it is in no
+// cascade, without a delay for the caller, and the roll-out must be halted.
+func TestSingleModelAnswersAreRatedInBackground(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		inf, gu := inForce(t, declaration.RollOut{Model: "desk", Version: "v2", Percent: 50}), rollout.New()
 		gu.Follow(inf.Current())
 		ra := &byVersion{}
-		dis := dispatch.New(core.NewDeps(), inf, &upstreams{}, ra, &bills{}, dispatch.Guard(gu))
-		reached := 0
+		dis := dispatch.New(core.NewDeps(), inf, &upstreams{}, ra, &billRecorder{}, dispatch.Guard(gu))
+		exposed := 0
 		for i := range 400 {
 			began := time.Now()
-			got, err := ask(t, dis, "desk", routing.Session{Draw: float64(i%10) / 10})
+			got, err := chat(t, dis, "desk", routing.Session{Draw: float64(i%10) / 10})
 			assert.NilError(t, err)
 			assert.Equal(t, time.Since(began), time.Duration(0))
 			if got == "desk@v2" {
-				reached++
+				exposed++
 			}
 			time.Sleep(time.Second)
 		}
 		assert.Assert(t, gu.Halted(core.ModelVersion{Model: "desk", Version: "v2"}))
-		assert.Assert(t, reached < 40, "%d callers", reached)
+		assert.Assert(t, exposed < 40, "%d callers got the bad version", exposed)
 	})
 }
 
-// byVersion rates v2 badly and takes its time.
+// byVersion rates v2 badly and takes 100 ms.
 type byVersion struct{}
 
 func (*byVersion) Rate(_ context.Context, mv core.ModelVersion, _, _ []byte) (core.Quality, error) {
--- a/core/dispatch/dispatch.go
+++ b/core/dispatch/dispatch.go
@@ -1,16 +1,15 @@
-// Package dispatch takes an admitted request through its stages to an answer:
-// it chooses upstreams, tries again where that is safe, asks for ratings in a
-// cascade and files the one bill.
+// Package dispatch runs an admitted request: it selects upstreams, retries where that is safe,
+// has the answers of cascades rated, and files one bill per request.
 //
 // # Usage
 //
 //	dis := dispatch.New(deps, inForce, upstreams, rater, ledger)
 //	out, err := dis.Chat(ctx, rq)
 //	io.Copy(w, out)        // out.Next until io.EOF
-//	out.Settle()           // bills; before the caller gets the end
+//	out.Settle()           // bills; before the end is sent to the caller
 //
-// Errors are [core.Failure]s. A failure that says it was not run is true: no
-// stage of the request reached an upstream.
+// Errors are [core.Failure]s. A failure with [core.NotRun] guarantees that no stage of the
+// request reached an upstream.
 package dispatch
 
 import (
@@ -29,56 +28,56 @@
 	"skylarkstand/core/routing"
 )
 
-// Biller files bills. It does not block.
+// Biller files bills. Add does not block.
 type Biller interface{ Add(ledger.Bill) }
 
-// Dispatcher is safe for concurrent use.
+// Dispatcher runs admitted requests. It is safe for concurrent use.
 type Dispatcher struct {
 	deps   core.Deps
 	inf    *declaration.InForce
 	ups    core.Upstreams
 	biller Biller
-	judge  *judge
-	pl     *placer
+	eval   *evaluator
+	pl     *sharedPicker
 	budget *retry.Budget
 }
 
-// Option changes a Dispatcher at construction.
+// Option configures a Dispatcher at construction.
 type Option func(*Dispatcher)
 
-// Guard sets the guard of roll-outs.
-func Guard(gu *rollout.Guard) Option { return func(dis *Dispatcher) { dis.judge.guard = gu } }
+// Guard sets the guard that halts roll-outs.
+func Guard(gu *rollout.Guard) Option { return func(dis *Dispatcher) { dis.eval.guard = gu } }
 
-// Placement sets options of the choice of upstreams.
+// Placement sets options of the selection of upstreams.
 func Placement(opts ...placement.Option) Option {
 	return func(dis *Dispatcher) { dis.pl.pk = placement.New(dis.deps.Zone, dis.deps.Region, opts...) }
 }
 
-// Candidates sets what lists the upstreams to choose from.
+// Candidates sets the source of the upstreams to select from.
 func Candidates(li Lister) Option { return func(dis *Dispatcher) { dis.pl.list = li } }
 
-// Draw sets the random numbers that upstreams are drawn by: from 0 to n-1, one
-// caller at a time.
+// Draw sets the source of random numbers for the selection of upstreams. The function returns a
+// number from 0 to n-1 and is never called concurrently.
 func Draw(fn func(n int) int) Option { return func(dis *Dispatcher) { dis.pl.draw = fn } }
 
-// New returns a dispatcher.
+// New returns a Dispatcher.
 func New(deps core.Deps, inf *declaration.InForce, ups core.Upstreams, ra core.Rater, bi Biller, opts ...Option) *Dispatcher {
 	dis := &Dispatcher{
-		deps: deps, inf: inf, biller: bi, judge: newJudge(deps, ra),
-		pl: newPlacer(deps, ups), budget: retry.NewBudget(),
+		deps: deps, inf: inf, biller: bi, eval: newEvaluator(deps, ra),
+		pl: newSharedPicker(deps, ups), budget: retry.NewBudget(),
 	}
 	for _, opt := range opts {
 		opt(dis)
 	}
-	dis.ups = rollout.Watch(ups, dis.judge.guard)
+	dis.ups = rollout.Watch(ups, dis.eval.guard)
 	return dis
 }
 
-// Request is a caller's request after its workspace is known.
+// Request is a caller's request whose workspace has been identified.
 type Request struct {
 	ID        core.RequestID
 	Workspace core.WorkspaceID
-	// Model names a model or a cascade, for chat requests.
+	// Model is the name of a model or cascade, for chat requests.
 	Model   string
 	Session routing.Session
 	// Service and Operation are set for plain services.
@@ -87,15 +86,15 @@
 	IdempotencyKey string
 	Deadline       time.Duration
 	Priority       int
-	// Crossing says that the request was admitted to another region.
+	// Crossing reports that the request was admitted to another region.
 	Crossing bool
 	Stream   bool
 	Prompt   []byte
 	Body     []byte
 
-	// planned is set once it is decided what a chat request begins on.
+	// planned is set once the plan of a chat request has been made.
 	planned *planned
-	// claim is set for an operation that runs at most once.
+	// claim is set for an at-most-once operation.
 	claim *claim.Key
 }
 
@@ -126,7 +125,7 @@
 	line.price = func(core.Usage) core.Millicents { return op.Price }
 	line.Target = string(rq.Service) + "/" + string(rq.Operation)
 	out := &Outcome{dis: dis, rq: rq}
-	out.take(ans, line)
+	out.setAnswer(ans, line)
 	return out, nil
 }
 
@@ -135,7 +134,7 @@
 	return core.Millicents((total + 999) / 1000)
 }
 
-var errHeldTooLarge = core.Failure{Code: core.CodeTooLarge, Ran: core.RanFailed, Message: "a cascade's answer is too large to be rated"}
+var errAnswerTooLarge = core.Failure{Code: core.CodeTooLarge, Ran: core.RanFailed, Message: "a cascade's answer is too large to be rated"}
 
-// isEnd reports the regular end of an answer.
-func isEnd(err error) bool { return errors.Is(err, io.EOF) }
+// isEOF reports whether an answer ended regularly.
+func isEOF(err error) bool { return errors.Is(err, io.EOF) }
--- a/core/dispatch/judge.go
+++ b/core/dispatch/judge.go
@@ -11,66 +11,67 @@
 	"skylarkstand/core/rollout"
 )
 
-// judge has answers rated and keeps what follows from the ratings: the
-// cascades' learner and the guard of roll-outs.
-type judge struct {
+// evaluator has answers rated and passes the ratings to the learner of the cascades and to the
+// guard of roll-outs.
+type evaluator struct {
 	deps    core.Deps
 	rater   core.Rater
 	learner *cascade.Learner
 	health  *cascade.Health
 	guard   *rollout.Guard
-	// waited and aside bound the ratings under way, of answers that a caller
-	// waits for and of others. Each has its own places: ratings that nobody
-	// waits for must not take those that somebody does.
-	waited, aside chan struct{}
+	// foreground and background are semaphores that limit the ratings in flight: of answers that a
+	// caller waits for, and of all others. They are separate so that background ratings cannot
+	// take the slots of those that callers wait for.
+	foreground, background chan struct{}
 }
 
 const (
-	// rateLimit bounds the wait of a caller for a rating. Beyond it the
-	// declared quality counts. Raters answer in some tens of milliseconds; a
-	// cascade that waited much longer would lose what its cheap stage won.
-	rateLimit = 300 * time.Millisecond
-	// lateLimit bounds a rating that nobody waits for any more. It still
-	// teaches; but a rater that is stuck must not hold its places for good.
-	lateLimit = 10 * time.Second
-	// maxWaited bounds the ratings that callers wait for: about what one entry
-	// has in flight at its limit. maxAside bounds the others, and maxCopied
-	// the copy of each answer: together 16 MiB. What has no place goes
-	// unrated, which makes the learner and the guard slower, never wrong.
-	maxWaited = 1024
-	maxAside  = 64
-	maxCopied = 256 << 10
+	// ratingWait is how long a caller waits for a rating; after that the declared quality is used.
+	// Ratings take some tens of milliseconds. A much longer wait would use up the time that the
+	// cheap stage of a cascade saves.
+	ratingWait = 300 * time.Millisecond
+	// ratingTimeout limits a call for a rating that no caller waits for any more. A late rating
+	// still improves the estimates, but a rating service that hangs must not hold its slot
+	// forever.
+	ratingTimeout = 10 * time.Second
+	// maxForeground limits the ratings that callers wait for to about the number of requests that
+	// an entry has in flight at its limit. maxBackground limits the others and maxCopyBytes the
+	// copy of each answer, 16 MiB in total. Answers beyond these limits stay unrated, which makes
+	// the learner and the guard slower but never incorrect.
+	maxForeground = 1024
+	maxBackground = 64
+	maxCopyBytes  = 256 << 10
 )
 
-func newJudge(deps core.Deps, ra core.Rater) *judge {
-	return &judge{
+func newEvaluator(deps core.Deps, ra core.Rater) *evaluator {
+	return &evaluator{
 		deps: deps, rater: ra, learner: cascade.NewLearner(), health: &cascade.Health{}, guard: rollout.New(),
-		waited: make(chan struct{}, maxWaited), aside: make(chan struct{}, maxAside),
+		foreground: make(chan struct{}, maxForeground), background: make(chan struct{}, maxBackground),
 	}
 }
 
-// specimen is an answer to be rated.
-type specimen struct {
+// ratingJob is an answer to be rated.
+type ratingJob struct {
 	target         core.ModelVersion
 	prompt, answer []byte
-	// learn takes the rating, also a late one. It may be nil.
+	// learn receives the rating, even a late one. It may be nil.
 	learn func(core.Quality)
 }
 
-// rate asks for a rating in a goroutine of its own and hands it on. It returns
-// nil when the places are taken.
-func (jd *judge) rate(ctx context.Context, places chan struct{}, sp specimen) <-chan core.Quality {
+// rate requests a rating in a separate goroutine and returns a channel that receives it. It
+// returns nil if the semaphore has no free slot.
+func (jd *evaluator) rate(ctx context.Context, sem chan struct{}, sp ratingJob) <-chan core.Quality {
 	select {
-	case places <- struct{}{}:
+	case sem <- struct{}{}:
 	default:
 		meter.RatingsSkipped.Inc(jd.deps.Metrics)
 		return nil
 	}
-	came := make(chan core.Quality, 1)
+	result := make(chan core.Quality, 1)
 	go func() {
-		defer func() { <-places }()
-		defer close(came)
-		rctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), lateLimit)
+		defer func() { <-sem }()
+		defer close(result)
+		rctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), ratingTimeout)
 		defer cancel()
 		began := time.Now()
 		got, err := jd.rater.Rate(rctx, sp.target, sp.prompt, sp.answer)
@@ -78,29 +79,29 @@
 			return
 		}
 		now := time.Now()
-		if now.Sub(began) <= rateLimit {
+		if now.Sub(began) <= ratingWait {
 			jd.health.Note(now, true)
 		}
 		jd.guard.Observe(rollout.Outcome{Version: sp.target, Kind: rollout.Rating, Bad: got < rollout.GoodFrom, At: now})
 		if sp.learn != nil {
 			sp.learn(got)
 		}
-		came <- got
+		result <- got
 	}()
-	return came
+	return result
 }
 
-// await returns a rating that a caller waits for, or false when there is none
-// in time.
-func (jd *judge) await(ctx context.Context, sp specimen) (core.Quality, bool) {
-	came := jd.rate(ctx, jd.waited, sp)
-	if came == nil {
+// await returns a rating that a caller waits for, or false if there is none within
+// ratingWait.
+func (jd *evaluator) await(ctx context.Context, sp ratingJob) (core.Quality, bool) {
+	result := jd.rate(ctx, jd.foreground, sp)
+	if result == nil {
 		return 0, false
 	}
-	limit := time.NewTimer(rateLimit)
+	limit := time.NewTimer(ratingWait)
 	defer limit.Stop()
 	select {
-	case got, ok := <-came:
+	case got, ok := <-result:
 		if ok {
 			return got, true
 		}
--- a/core/dispatch/listen.go
+++ b/core/dispatch/listen.go
@@ -6,27 +6,27 @@
 	"skylarkstand/core"
 )
 
-// listened is an answer that tells when it has ended whole, and that keeps a
-// copy for its rating where one is wanted.
-type listened struct {
+// observedAnswer is an answer that calls a function when it has ended regularly, and that keeps a
+// copy if it is to be rated.
+type observedAnswer struct {
 	core.Answer
 	copied *bytes.Buffer
-	// ended gets the copy, or nil when none was wanted or the answer was too
-	// long: a part of an answer would be rated as a bad one.
+	// ended receives the copy, or nil if the answer is not to be rated or exceeds maxCopyBytes: a
+	// truncated answer would get a bad rating.
 	ended func(us core.Usage, text []byte)
 }
 
 // Next implements [core.Answer].
-func (li *listened) Next() ([]byte, error) {
+func (li *observedAnswer) Next() ([]byte, error) {
 	data, err := li.Answer.Next()
 	if li.copied != nil {
-		if li.copied.Len()+len(data) > maxCopied {
+		if li.copied.Len()+len(data) > maxCopyBytes {
 			li.copied = nil
 		} else {
 			li.copied.Write(data)
 		}
 	}
-	if isEnd(err) && li.ended != nil {
+	if isEOF(err) && li.ended != nil {
 		var text []byte
 		if li.copied != nil {
 			text = li.copied.Bytes()
--- a/core/dispatch/outcome.go
+++ b/core/dispatch/outcome.go
@@ -10,54 +10,54 @@
 	"skylarkstand/core/ledger"
 )
 
-// Outcome is the answer of a request, piece by piece. It belongs to one
-// goroutine.
+// Outcome is the answer to a request, read piece by piece. It must not be used by several
+// goroutines at the same time.
 type Outcome struct {
-	// Target is the version that answers; Cascade is set when the request
-	// named one. Repinned tells that the session had to leave its version.
+	// Target is the version that answers; Cascade is set if the request named a cascade. Repinned
+	// reports that the session could not stay on its version.
 	Target   core.ModelVersion
 	Cascade  core.CascadeID
 	Repinned bool
 
-	dis   *Dispatcher
-	rq    *Request
-	ans   core.Answer
-	lines []*line
-	held  *bytes.Buffer
-	ended bool
-	bill  ledger.Bill
+	dis      *Dispatcher
+	rq       *Request
+	ans      core.Answer
+	lines    []*lineItem
+	buffered *bytes.Buffer
+	ended    bool
+	bill     ledger.Bill
 }
 
-// line is a bill's line that is still open.
-type line struct {
+// lineItem is a line of a bill whose usage and cost are not known yet.
+type lineItem struct {
 	ledger.Line
 	upstream core.UpstreamID
 	price    func(core.Usage) core.Millicents
 }
 
-func (out *Outcome) take(ans core.Answer, li *line) {
-	out.ans, out.held, out.ended = ans, nil, false
+func (out *Outcome) setAnswer(ans core.Answer, li *lineItem) {
+	out.ans, out.buffered, out.ended = ans, nil, false
 	out.lines = append(out.lines, li)
 }
 
-// Status and ContentType describe the answer.
+// Status is the HTTP status of the answer.
 func (out *Outcome) Status() int { return out.ans.Status() }
 
-// ContentType is the media type that the upstream gave.
+// ContentType is the media type that the upstream set.
 func (out *Outcome) ContentType() string { return out.ans.ContentType() }
 
-// Next returns the next piece of the answer, io.EOF after the whole of it, or
-// a [core.Failure]. The bytes are valid until the next call.
+// Next returns the next piece of the answer, io.EOF after the last one, or a [core.Failure]. The
+// bytes are valid until the next call.
 func (out *Outcome) Next() ([]byte, error) {
-	if out.held != nil {
-		if out.held.Len() > 0 {
-			return out.held.Next(out.held.Len()), nil
+	if out.buffered != nil {
+		if out.buffered.Len() > 0 {
+			return out.buffered.Next(out.buffered.Len()), nil
 		}
 		return nil, io.EOF
 	}
 	data, err := out.ans.Next()
-	if isEnd(err) {
-		out.close()
+	if isEOF(err) {
+		out.recordUsage()
 		return nil, io.EOF
 	}
 	if err != nil {
@@ -66,8 +66,8 @@
 	return data, nil
 }
 
-// close notes the usage of the stage that ended whole.
-func (out *Outcome) close() {
+// recordUsage records the usage and cost of the current stage after its answer ended regularly.
+func (out *Outcome) recordUsage() {
 	if out.ended {
 		return
 	}
@@ -77,13 +77,13 @@
 	li.Cost = li.price(li.Usage)
 }
 
-// hold reads the whole answer of the present stage into memory.
-func (out *Outcome) hold(limit int) error {
+// buffer reads the whole answer of the current stage into memory, up to a limit.
+func (out *Outcome) buffer(limit int) error {
 	buf := new(bytes.Buffer)
 	for {
 		data, err := out.Next()
-		if isEnd(err) {
-			out.held = buf
+		if isEOF(err) {
+			out.buffered = buf
 			return nil
 		}
 		if err != nil {
@@ -91,21 +91,21 @@
 		}
 		if buf.Len()+len(data) > limit {
 			out.ans.Close()
-			return &errHeldTooLarge
+			return &errAnswerTooLarge
 		}
 		buf.Write(data)
 	}
 }
 
-// Settle files the request's one bill and gives the agent a copy. It is called
-// when the whole answer was read and before the caller gets its end: an entry
-// that dies before it leaves the request unbilled, never billed for nothing.
+// Settle files the request's one bill and sends a copy to the agent. It is called after the whole
+// answer has been read and before its end is sent to the caller: if the entry dies in
+// between, the request stays unbilled rather than billed without an answer.
 //
-// The bill waits at the ledger before the agent has the copy: a successor that
-// files the copy in an entry which the ledger has read already would bill the
-// request twice. The bill of an operation's stored answer names the attempt that
-// ran it, and the ledger charges for one of the two: the first may never have
-// been billed, because its caller went away or its entry died.
+// The bill is queued at the ledger before the copy is sent to the agent. In the reverse order,
+// a successor entry could file the copy in an entry of the ledger that has already been read,
+// and the request would be billed twice. The bill for a replayed answer of an operation names
+// the attempt that ran it, and the ledger charges only one of the two: the first may never have
+// been billed, because its caller disconnected or its entry died.
 func (out *Outcome) Settle() ledger.Bill {
 	if out.bill.Request != "" {
 		return out.bill
@@ -117,7 +117,7 @@
 	}
 	out.bill = bi
 	var floor ledger.Floor
-	if fl, ok := out.dis.biller.(floorer); ok {
+	if fl, ok := out.dis.biller.(floorProvider); ok {
 		floor = fl.Floor()
 	}
 	out.dis.biller.Add(bi)
@@ -129,23 +129,23 @@
 	return bi
 }
 
-// digest tells a request that is sent again from another one under its id.
+// digest distinguishes a retry of a request from a different request with the same id.
 func (rq *Request) digest() string {
 	return ledger.Digest(rq.Body, string(rq.Service), string(rq.Operation), rq.IdempotencyKey)
 }
 
-// floorer is a biller that knows where the next bill can stand.
-type floorer interface{ Floor() ledger.Floor }
+// floorProvider is a biller that knows the lowest position at which the next bill can be stored.
+type floorProvider interface{ Floor() ledger.Floor }
 
-// Close gives the answer up.
+// Close aborts the answer.
 func (out *Outcome) Close() {
 	if out.ans != nil {
 		out.ans.Close()
 	}
 }
 
-// fail turns a stage's failure into the request's: once a stage has run, the
-// request as a whole was not "not run".
+// fail converts the failure of a stage to that of the request: once a stage has run, the request
+// as a whole cannot be reported as not run.
 func (out *Outcome) fail(err error) error {
 	fl := asFailure(err)
 	if fl.Ran == core.NotRun && len(out.lines) > 0 {
--- a/core/dispatch/placer.go
+++ b/core/dispatch/placer.go
@@ -14,45 +14,45 @@
 	"skylarkstand/core/placement"
 )
 
-// Lister lists the upstreams of an entry into a buffer, so that a decision
-// need not allocate.
+// Lister appends the upstreams of an entry to a buffer, so that a selection does not have to
+// allocate.
 type Lister interface {
 	AppendServing(buf []core.Upstream, mv core.ModelVersion) []core.Upstream
 	AppendOffering(buf []core.Upstream, sv core.ServiceID) []core.Upstream
-	// Entries returns how many entries share them, this one included.
+	// Entries returns how many entries share the upstreams, including this one.
 	Entries() int
 }
 
-// lone lists what [core.Upstreams] does, for an entry that knows of no other.
-type lone struct{ core.Upstreams }
+// singleEntry adapts [core.Upstreams] to Lister for an entry without siblings.
+type singleEntry struct{ core.Upstreams }
 
-func (lo lone) AppendServing(buf []core.Upstream, mv core.ModelVersion) []core.Upstream {
+func (lo singleEntry) AppendServing(buf []core.Upstream, mv core.ModelVersion) []core.Upstream {
 	return append(buf, lo.Serving(mv)...)
 }
 
-func (lo lone) AppendOffering(buf []core.Upstream, sv core.ServiceID) []core.Upstream {
+func (lo singleEntry) AppendOffering(buf []core.Upstream, sv core.ServiceID) []core.Upstream {
 	return append(buf, lo.Offering(sv)...)
 }
 
-func (lo lone) Entries() int { return 1 }
+func (lo singleEntry) Entries() int { return 1 }
 
-// placer lets goroutines share one picker.
-type placer struct {
+// sharedPicker makes a Picker safe for concurrent use.
+type sharedPicker struct {
 	list Lister
 	draw func(n int) int
 
 	mu sync.Mutex
 	pk *placement.Picker
-	// buf is reused between decisions, which read it under the lock.
+	// buf is reused by all selections; mu guards it.
 	buf []core.Upstream
 }
 
-func newPlacer(deps core.Deps, ups core.Upstreams) *placer {
-	return &placer{list: lone{ups}, draw: rand.IntN, pk: placement.New(deps.Zone, deps.Region)}
+func newSharedPicker(deps core.Deps, ups core.Upstreams) *sharedPicker {
+	return &sharedPicker{list: singleEntry{ups}, draw: rand.IntN, pk: placement.New(deps.Zone, deps.Region)}
 }
 
-// candidates is called with the lock held.
-func (pl *placer) candidates(mv core.ModelVersion, sv core.ServiceID) []core.Upstream {
+// candidates lists the upstreams to select from. The caller holds mu.
+func (pl *sharedPicker) candidates(mv core.ModelVersion, sv core.ServiceID) []core.Upstream {
 	if sv != "" {
 		pl.buf = pl.list.AppendOffering(pl.buf[:0], sv)
 	} else {
@@ -61,12 +61,12 @@
 	return pl.buf
 }
 
-// allowed returns the candidates that may get new work of a workspace, in place.
+// allowed filters, in place, the candidates on which new work of a workspace may be placed.
 func allowed(sn *declaration.Snapshot, ws core.WorkspaceID, cands []core.Upstream) []core.Upstream {
 	return slices.DeleteFunc(cands, func(up core.Upstream) bool { return !sn.MayPlace(ws, up.Host) })
 }
 
-func (pl *placer) pick(sn *declaration.Snapshot, rq *Request, at *core.Attempt, tried []core.UpstreamID) (placement.Choice, bool) {
+func (pl *sharedPicker) pick(sn *declaration.Snapshot, rq *Request, at *core.Attempt, tried []core.UpstreamID) (placement.Choice, bool) {
 	pl.mu.Lock()
 	defer pl.mu.Unlock()
 	cands := allowed(sn, rq.Workspace, pl.candidates(at.Target, at.Service))
@@ -82,8 +82,8 @@
 	return placement.Pool{Target: at.Target, Service: at.Service, Whole: !at.Stream}
 }
 
-// send hands an attempt over and notes how soon its answer begins.
-func (pl *placer) send(ctx context.Context, ups core.Upstreams, ch placement.Choice, at *core.Attempt) (core.Answer, error) {
+// send dispatches an attempt and records the time until its answer starts.
+func (pl *sharedPicker) send(ctx context.Context, ups core.Upstreams, ch placement.Choice, at *core.Attempt) (core.Answer, error) {
 	sent := time.Now()
 	pl.mu.Lock()
 	pl.pk.Sent(sent, ch.ID)
@@ -97,14 +97,14 @@
 	}
 	now := time.Now()
 	pl.pk.Heard(now, poolOf(at), ch.ID, sent)
-	return &watched{Answer: ans, pl: pl, po: poolOf(at), ch: ch, sent: sent, began: now}, nil
+	return &measuredAnswer{Answer: ans, pl: pl, po: poolOf(at), ch: ch, sent: sent, began: now}, nil
 }
 
-// watched is an answer whose pace and, over the link between regions, size
-// the placement learns.
-type watched struct {
+// measuredAnswer is an answer whose throughput the picker records, and also its size if it comes
+// from another region.
+type measuredAnswer struct {
 	core.Answer
-	pl          *placer
+	pl          *sharedPicker
 	po          placement.Pool
 	ch          placement.Choice
 	sent, began time.Time
@@ -112,7 +112,7 @@
 }
 
 // Next implements [core.Answer].
-func (wa *watched) Next() ([]byte, error) {
+func (wa *measuredAnswer) Next() ([]byte, error) {
 	data, err := wa.Answer.Next()
 	wa.pieces++
 	switch {
@@ -122,23 +122,23 @@
 		wa.pl.mu.Unlock()
 	case errors.Is(err, io.EOF) && wa.po.Whole:
 		if out := int(wa.Usage().Generated); out >= placement.PaceTokens {
-			wa.paced(time.Since(wa.sent), out)
+			wa.recordPieces(time.Since(wa.sent), out)
 		}
 	}
 	if err == nil && !wa.po.Whole && wa.pieces == placement.PacePieces+1 {
-		wa.paced(time.Since(wa.began), placement.PacePieces)
+		wa.recordPieces(time.Since(wa.began), placement.PacePieces)
 	}
 	return data, err
 }
 
-func (wa *watched) paced(took time.Duration, pieces int) {
+func (wa *measuredAnswer) recordPieces(took time.Duration, pieces int) {
 	wa.pl.mu.Lock()
 	defer wa.pl.mu.Unlock()
 	wa.pl.pk.Paced(wa.po, wa.ch.ID, took, pieces)
 }
 
-// Room returns what the upstreams of a model version, or of a plain service,
-// take: in the own region, or in the others.
+// Room returns the capacity of the upstreams of a model version or plain service, in the local
+// region or, if far is set, in the other regions.
 func (dis *Dispatcher) Room(mv core.ModelVersion, sv core.ServiceID, far bool) placement.Room {
 	dis.pl.mu.Lock()
 	defer dis.pl.mu.Unlock()
--- a/core/dispatch/preferred.go
+++ b/core/dispatch/preferred.go
@@ -10,14 +10,14 @@
 	"skylarkstand/core/rendezvous"
 )
 
-// preferred narrows the candidates of a claimed operation to the one that its
-// bucket prefers among those that were not tried.
+// preferred reduces the candidates for an at-most-once operation to the one that its bucket of
+// claims prefers among those that were not tried yet.
 //
-// All entries so send the keys of one bucket to one agent, by rendezvous over
-// the upstreams that are up. The load it is made for is thousands of claims a
-// second: two agents that write one bucket make each other's writes fail and
-// read again, and share no group. An entry that sees other upstreams than the
-// rest costs such clashes, never a second run: that rests on the claim alone.
+// So all entries send the keys of one bucket to the same agent, by rendezvous hashing over the
+// upstreams that are up. This is meant for thousands of claims per second: two agents that
+// write the same bucket cause each other write conflicts and repeated reads, and their claims
+// cannot be grouped into one write. An entry with a different view of the upstreams causes
+// such conflicts but never a second run: the claim alone guarantees that.
 func preferred(ke claim.Key, cands []core.Upstream, tried []core.UpstreamID) []core.Upstream {
 	ups := slices.DeleteFunc(slices.Clone(cands), func(up core.Upstream) bool {
 		return !up.Up || up.Leaving || slices.Contains(tried, up.Host.ID)
--- a/core/dispatch/region_test.go
+++ b/core/dispatch/region_test.go
@@ -14,7 +14,7 @@
 	"skylarkstand/core/declaration"
 )
 
-// regions is an upstream in each of two zones of two regions.
+// regions is a fake with one upstream in each of two zones of two regions.
 type regions struct{ script }
 
 func (re *regions) Serving(core.ModelVersion) []core.Upstream {
@@ -27,26 +27,26 @@
 	return ups
 }
 
-// TestTriesStayInTheAllowedRegionsAndZones guards against a try of whatever number
+// TestAttemptsStayInAllowedRegionsAndZones guards against an attempt, the first or a retry,
 // outside the workspace's regions or in an evacuated zone.
-func TestTriesStayInTheAllowedRegionsAndZones(t *testing.T) {
+func TestAttemptsStayInAllowedRegionsAndZones(t *testing.T) {
 	leaving := core.Refuse(core.CodeLeaving, time.Second, "leaving")
 	scenarios := []struct {
 		testName  string
 		regions   []core.Region
 		evacuated core.Zone
-		want      []core.UpstreamID // those that are asked, in order of name
+		want      []core.UpstreamID // the upstreams tried, sorted by name
 		code      core.Code
 	}{
 		{"nothing is restricted", nil, "", []core.UpstreamID{"muc-a", "muc-b", "nue-a"}, core.CodeLeaving},
-		{"the own region", []core.Region{"muc"}, "", []core.UpstreamID{"muc-a", "muc-b"}, core.CodeLeaving},
+		{"the local region", []core.Region{"muc"}, "", []core.UpstreamID{"muc-a", "muc-b"}, core.CodeLeaving},
 		{"another region", []core.Region{"nue"}, "", []core.UpstreamID{"nue-a", "nue-b"}, core.CodeLeaving},
 		{"an evacuated zone", []core.Region{"muc"}, "muc-a", []core.UpstreamID{"muc-b"}, core.CodeLeaving},
 		{"nothing is left", []core.Region{"ber"}, "", nil, core.CodeNoRegion},
 	}
 	for _, sc := range scenarios {
 		t.Run(sc.testName, func(t *testing.T) {
-			ups := &regions{script{ends: []*core.Failure{leaving, leaving, leaving, leaving}}}
+			ups := &regions{script{results: []*core.Failure{leaving, leaving, leaving, leaving}}}
 			deps := core.NewDeps()
 			deps.Zone, deps.Region = "muc-a", "muc"
 			doc := declaration.Document{Workspaces: []declaration.Workspace{{ID: "court", Regions: sc.regions}}}
@@ -54,14 +54,14 @@
 				doc.Zones = []declaration.AvailabilityZone{{ID: sc.evacuated, Evacuated: "power works"}}
 			}
 			sn := declaration.NewSnapshot(&declaration.Generation{Document: doc}, nil)
-			dis := New(deps, declaration.NewInForce(), ups, nil, noBills{}, Draw(rand.New(rand.NewPCG(1, 1)).IntN))
+			dis := New(deps, declaration.NewInForce(), ups, nil, noBiller{}, Draw(rand.New(rand.NewPCG(1, 1)).IntN))
 			ctx, cancel := context.WithTimeout(t.Context(), time.Hour)
 			defer cancel()
 			_, _, err := dis.try(ctx, sn, &Request{Workspace: "court"}, core.Attempt{}, true)
 			assert.Equal(t, asFailure(err).Code, sc.code)
 			assert.Equal(t, asFailure(err).Ran, core.NotRun)
-			slices.Sort(ups.asked)
-			assert.DeepEqual(t, ups.asked, sc.want)
+			slices.Sort(ups.tried)
+			assert.DeepEqual(t, ups.tried, sc.want)
 		})
 	}
 }
--- a/core/dispatch/try.go
+++ b/core/dispatch/try.go
@@ -11,9 +11,9 @@
 	"skylarkstand/core/retry"
 )
 
-// try offers one piece of work to upstreams until one takes it. After an
-// unknown outcome it goes on only with repeatable work.
-func (dis *Dispatcher) try(ctx context.Context, sn *declaration.Snapshot, rq *Request, at core.Attempt, repeatable bool) (core.Answer, *line, error) {
+// try sends an attempt to one upstream after another until one accepts it. After an attempt with
+// an unknown outcome, it continues only if the work is repeatable.
+func (dis *Dispatcher) try(ctx context.Context, sn *declaration.Snapshot, rq *Request, at core.Attempt, repeatable bool) (core.Answer, *lineItem, error) {
 	at.Request, at.Workspace, at.Generation, at.Body = rq.ID, rq.Workspace, sn.Number, rq.Body
 	at.Priority = rq.Priority
 	tries := retry.NewTries(dis.budget)
@@ -36,7 +36,7 @@
 		ans, err := dis.pl.send(ctx, dis.ups, ch, &at)
 		if err == nil {
 			dis.budget.Succeeded()
-			return ans, &line{upstream: ch.ID, Line: ledger.Line{Attempt: at.ID}}, nil
+			return ans, &lineItem{upstream: ch.ID, Line: ledger.Line{Attempt: at.ID}}, nil
 		}
 		last = asFailure(err)
 		ran = ran || last.Ran != core.NotRun
@@ -45,18 +45,18 @@
 		}
 	}
 	if last == nil {
-		last = dis.unplaced(sn, rq, &at)
+		last = dis.refuseUnplaced(sn, rq, &at)
 	}
 	if ran && last.Ran == core.NotRun {
-		// An earlier try reached an upstream, so the request as a whole may
-		// have run although the last try did not.
+		// An earlier attempt reached an upstream, so the request as a whole may have run although
+		// the last attempt did not.
 		last = &core.Failure{Code: last.Code, Ran: core.RanUnknown, Message: last.Message, RetryAfter: last.RetryAfter}
 	}
 	return nil, nil, last
 }
 
-// unplaced refuses work that no upstream was found for, with the reason.
-func (dis *Dispatcher) unplaced(sn *declaration.Snapshot, rq *Request, at *core.Attempt) *core.Failure {
+// refuseUnplaced returns the refusal, with its reason, of work for which no upstream was found.
+func (dis *Dispatcher) refuseUnplaced(sn *declaration.Snapshot, rq *Request, at *core.Attempt) *core.Failure {
 	dis.pl.mu.Lock()
 	defer dis.pl.mu.Unlock()
 	cands := dis.pl.candidates(at.Target, at.Service)
@@ -66,9 +66,9 @@
 	return core.Refuse(core.CodeNoUpstream, time.Second, "no upstream takes this work now")
 }
 
-// timeLeft returns what is left of a request's deadline, 0 when it has none,
-// or false when it has passed. The agent refuses by it; the time that went by
-// in the queue and in earlier tries is gone for it.
+// timeLeft returns the remaining time until a request's deadline, 0 if it has none, or false if
+// the deadline has passed. The agent refuses work by this time, so it excludes the time spent
+// in the queue and on earlier attempts.
 func timeLeft(ctx context.Context, rq *Request) (time.Duration, bool) {
 	end, ok := ctx.Deadline()
 	if !ok {
--- a/core/dispatch/try_test.go
+++ b/core/dispatch/try_test.go
@@ -16,12 +16,12 @@
 	"skylarkstand/core/ledger"
 )
 
-// script is upstreams of which each attempt meets the next ending.
+// script is a fake whose upstreams end each attempt with the next scripted result.
 type script struct {
 	core.Upstreams
-	ends  []*core.Failure
-	asked []core.UpstreamID
-	at    core.Attempt
+	results     []*core.Failure
+	tried       []core.UpstreamID
+	lastAttempt core.Attempt
 }
 
 func (sc *script) Serving(core.ModelVersion) []core.Upstream {
@@ -33,53 +33,52 @@
 }
 
 func (sc *script) Dispatch(_ context.Context, id core.UpstreamID, at *core.Attempt) (core.Answer, error) {
-	sc.at = *at
-	sc.asked = append(sc.asked, id)
-	fl := sc.ends[len(sc.asked)-1]
+	sc.lastAttempt = *at
+	sc.tried = append(sc.tried, id)
+	fl := sc.results[len(sc.tried)-1]
 	if fl == nil {
 		return nil, nil
 	}
 	return nil, fl
 }
 
-type noBills struct{}
+type noBiller struct{}
 
-func (noBills) Add(ledger.Bill) {}
+func (noBiller) Add(ledger.Bill) {}
 
-// A request is tried on several upstreams, which end it in different ways. A
-// caller that reads "not run" sends it again; if one of the tries had reached
-// an upstream, its work would then run twice.
-func TestTryEndsTruthfully(t *testing.T) {
+// A request is tried on several upstreams that end it in different ways. A caller that gets "not
+// run" retries; if one of the attempts had reached an upstream, the work would then run twice.
+func TestTryReportsWhetherWorkRan(t *testing.T) {
 	full := core.Refuse(core.CodeOverloaded, time.Second, "full")
 	leaving := core.Refuse(core.CodeLeaving, time.Second, "leaving")
 	lost := core.Lost("lost")
 	scenarios := []struct {
 		testName   string
-		ends       []*core.Failure
+		results    []*core.Failure
 		repeatable bool
-		asked      int
-		want       core.Ran // empty: answered
+		tried      int
+		want       core.Ran // empty if answered
 	}{
 		{"answered at once", []*core.Failure{nil}, true, 1, ""},
 		{"refused by a leaving one, then answered", []*core.Failure{leaving, leaving, nil}, false, 3, ""},
 		{"refused by all", []*core.Failure{leaving, leaving, leaving}, true, 3, core.NotRun},
-		{"an overloaded pool is asked twice", []*core.Failure{full, full}, true, 2, core.NotRun},
+		{"an overloaded pool is tried twice", []*core.Failure{full, full}, true, 2, core.NotRun},
 		{"lost, then refused", []*core.Failure{lost, full, full}, true, 3, core.RanUnknown},
 		{"lost and not repeatable", []*core.Failure{lost}, false, 1, core.RanUnknown},
 	}
 	for _, sc := range scenarios {
 		t.Run(sc.testName, func(t *testing.T) {
-			ups := &script{ends: sc.ends}
+			ups := &script{results: sc.results}
 			deps := core.NewDeps()
 			deps.Zone, deps.Region = "a", "muc"
-			dis := New(deps, declaration.NewInForce(), ups, nil, noBills{}, Draw(rand.New(rand.NewPCG(1, 1)).IntN))
+			dis := New(deps, declaration.NewInForce(), ups, nil, noBiller{}, Draw(rand.New(rand.NewPCG(1, 1)).IntN))
 			ctx, cancel := context.WithTimeout(t.Context(), time.Hour)
 			defer cancel()
 			_, _, err := dis.try(ctx, &declaration.Snapshot{}, &Request{Deadline: 2 * time.Hour, Priority: 1}, core.Attempt{}, sc.repeatable)
-			assert.Equal(t, len(ups.asked), sc.asked)
-			slices.Sort(ups.asked)
-			assert.Equal(t, len(slices.Compact(ups.asked)), sc.asked, "an upstream was asked twice")
-			assert.Assert(t, ups.at.Deadline <= time.Hour && ups.at.Priority == 1, "the agent is told what time is left")
+			assert.Equal(t, len(ups.tried), sc.tried)
+			slices.Sort(ups.tried)
+			assert.Equal(t, len(slices.Compact(ups.tried)), sc.tried, "an upstream was tried twice")
+			assert.Assert(t, ups.lastAttempt.Deadline <= time.Hour && ups.lastAttempt.Priority == 1, "the attempt must carry the remaining time and the priority")
 			if sc.want == "" {
 				assert.NilError(t, err)
 				return
@@ -89,55 +88,55 @@
 	}
 }
 
-// words is an answer in pieces that each take a while.
-type words struct {
+// pieces is an answer of several pieces with a fixed interval between them.
+type pieces struct {
 	core.Answer
-	left int
-	pace time.Duration
+	left     int
+	interval time.Duration
 }
 
-func (wo *words) Next() ([]byte, error) {
+func (wo *pieces) Next() ([]byte, error) {
 	if wo.left == 0 {
 		return nil, io.EOF
 	}
 	wo.left--
-	time.Sleep(wo.pace)
+	time.Sleep(wo.interval)
 	return []byte("word "), nil
 }
 
-func (wo *words) Usage() core.Usage { return core.Usage{Generated: 100} }
+func (wo *pieces) Usage() core.Usage { return core.Usage{Generated: 100} }
 
-// paced is four upstreams, the first of which is ten times slower.
-type paced struct {
+// unequal is a fake with four upstreams, the first of which is ten times slower.
+type unequal struct {
 	script
 	stream bool
 	got    map[core.UpstreamID]int
 }
 
-func (pa *paced) Dispatch(_ context.Context, id core.UpstreamID, _ *core.Attempt) (core.Answer, error) {
+func (pa *unequal) Dispatch(_ context.Context, id core.UpstreamID, _ *core.Attempt) (core.Answer, error) {
 	pa.got[id]++
-	pace := time.Millisecond
+	interval := time.Millisecond
 	if id == "one" {
-		pace *= 10
+		interval *= 10
 	}
 	if pa.stream {
-		return &words{left: 20, pace: pace}, nil
+		return &pieces{left: 20, interval: interval}, nil
 	}
-	time.Sleep(100 * pace)
-	return &words{left: 1}, nil
+	time.Sleep(100 * interval)
+	return &pieces{left: 1}, nil
 }
 
-// An engine is slow and says nothing of it. Callers whose streams or whole
-// answers it carries wait ten times as long; after the first few of them, it
-// must get no more than a probe now and then.
-func TestSlowEngineIsLearnedFromAnswers(t *testing.T) {
+// An engine is slow but does not report it. Callers whose streams or whole answers it produces
+// wait ten times as long. After its first few answers, it must get no more than an occasional
+// probe.
+func TestSlowEngineIsDetectedFromAnswers(t *testing.T) {
 	for seed := range uint64(20) {
 		stream := seed%2 == 0
 		synctest.Test(t, func(t *testing.T) {
-			ups := &paced{stream: stream, got: map[core.UpstreamID]int{}}
+			ups := &unequal{stream: stream, got: map[core.UpstreamID]int{}}
 			deps := core.NewDeps()
 			deps.Zone, deps.Region = "a", "muc"
-			dis := New(deps, declaration.NewInForce(), ups, nil, noBills{}, Draw(rand.New(rand.NewPCG(seed, 1)).IntN))
+			dis := New(deps, declaration.NewInForce(), ups, nil, noBiller{}, Draw(rand.New(rand.NewPCG(seed, 1)).IntN))
 			for range 300 {
 				ans, _, err := dis.try(t.Context(), &declaration.Snapshot{}, &Request{}, core.Attempt{Stream: stream}, true)
 				assert.NilError(t, err)
@@ -145,7 +144,7 @@
 					_, err = ans.Next()
 				}
 			}
-			assert.Assert(t, ups.got["one"] <= 10, "seed %d: %d of 300", seed, ups.got["one"])
+			assert.Assert(t, ups.got["one"] <= 10, "seed %d: the slow engine got %d of 300 requests", seed, ups.got["one"])
 			assert.Assert(t, ups.got["two"] > 30)
 		})
 	}
