--- a/core/execute/answer.go
+++ b/core/execute/answer.go
@@ -8,32 +8,34 @@
 	"skylarkstand/core/claim"
 )
 
-// held is an answer that gives its slot back.
-type held struct {
+// slotAnswer is an answer that frees its slot when it is closed.
+type slotAnswer struct {
 	core.Answer
 	exit func()
 }
 
-// Close gives the attempt up and frees the slot.
-func (he *held) Close() {
+// Close aborts the attempt and frees the slot.
+func (he *slotAnswer) Close() {
 	he.Answer.Close()
 	he.exit()
 }
 
-// stored is an answer that is whole in memory.
-type stored struct {
+// storedAnswer is an answer that is completely in memory.
+type storedAnswer struct {
 	ans  claim.Answer
 	read bool
-	// replayOf is set when another attempt ran the operation. The caller gets
-	// its answer, and the operation is charged once for both.
+	// replayOf is set if another attempt ran the operation. The caller gets that attempt's answer,
+	// and the operation is charged once for both.
 	replayOf core.AttemptID
 }
 
-func newStored(ans claim.Answer) *stored { return &stored{ans: ans} }
+func newStoredAnswer(ans claim.Answer) *storedAnswer { return &storedAnswer{ans: ans} }
 
-func newReplay(out claim.Outcome) *stored { return &stored{ans: out.Answer, replayOf: out.Attempt} }
+func newReplayAnswer(out claim.Outcome) *storedAnswer {
+	return &storedAnswer{ans: out.Answer, replayOf: out.Attempt}
+}
 
-func (st *stored) Next() ([]byte, error) {
+func (st *storedAnswer) Next() ([]byte, error) {
 	if st.read || len(st.ans.Body) == 0 {
 		return nil, io.EOF
 	}
@@ -41,16 +43,16 @@
 	return st.ans.Body, nil
 }
 
-func (st *stored) Usage() core.Usage   { return core.Usage{} }
-func (st *stored) Status() int         { return st.ans.Status }
-func (st *stored) ContentType() string { return st.ans.ContentType }
-func (st *stored) Close()              {}
+func (st *storedAnswer) Usage() core.Usage   { return core.Usage{} }
+func (st *storedAnswer) Status() int         { return st.ans.Status }
+func (st *storedAnswer) ContentType() string { return st.ans.ContentType }
+func (st *storedAnswer) Close()              {}
 
 // ReplayOf implements [core.Answer].
-func (st *stored) ReplayOf() core.AttemptID { return st.replayOf }
+func (st *storedAnswer) ReplayOf() core.AttemptID { return st.replayOf }
 
-// readStored reads a whole answer.
-func readStored(ans core.Answer, limit int) (claim.Answer, error) {
+// readAnswer reads a whole answer of at most limit bytes.
+func readAnswer(ans core.Answer, limit int) (claim.Answer, error) {
 	var body []byte
 	for {
 		data, err := ans.Next()
--- a/core/execute/bound.go
+++ b/core/execute/bound.go
@@ -10,46 +10,46 @@
 )
 
 const (
-	// firstHold is taken for the time an attempt holds a slot before the
-	// first one has ended.
-	firstHold = time.Second
-	// holdPart is the weight of the newest attempt in the learned hold time.
-	holdPart = 8
-	// minRetry is the shortest Retry-After with a refusal: below it the next
-	// try meets the same queue.
-	minRetry = time.Second
+	// defaultHold is the assumed time for which an attempt holds a slot until the first attempt has
+	// ended.
+	defaultHold = time.Second
+	// holdDivisor is the inverse of the newest attempt's weight in the moving average of the hold
+	// time.
+	holdDivisor = 8
+	// minRetryAfter is the shortest Retry-After of a refusal: a retry before it would meet the same
+	// queue.
+	minRetryAfter = time.Second
 )
 
-// Bound is the agent's own queue before its upstream: so many slots, so many
-// places to wait, the highest priority first. It is pure; time comes in as an
-// argument. It belongs to one goroutine at a time.
+// Bound is the agent's queue in front of its upstream: a limited number of slots and of waiting
+// attempts, ordered by priority. It performs no I/O and takes the time as an argument. It must
+// not be used by several goroutines at the same time.
 //
-// It is made for several entries that all saw the same old report of a free
-// upstream and come at once. Only the agent sees them together, so it has the
-// last word, and has it early: an attempt whose deadline would pass in the
-// queue is refused on arrival, while its entry still has time to go elsewhere.
+// Several entries may act on the same outdated report of a free upstream and send attempts at
+// once. Only the agent sees all of them, so it decides, and it decides early: an attempt whose
+// deadline would pass in the queue is refused on arrival, while its entry still has time to
+// try another upstream.
 type Bound struct {
 	slots, limit int
 	running      int
-	hold         time.Duration
+	meanHold     time.Duration
 	waiting      []*Place
 }
 
-// Place is an attempt's place in a Bound.
+// Place is an attempt that runs or waits in a Bound.
 type Place struct {
 	priority int
 	started  time.Time
 	ready    chan struct{}
 }
 
-// NewBound returns a bound of so many slots and waiting places.
+// NewBound returns a Bound with the given numbers of slots and of waiting attempts.
 func NewBound(slots, limit int) *Bound {
-	return &Bound{slots: max(slots, 1), limit: limit, hold: firstHold}
+	return &Bound{slots: max(slots, 1), limit: limit, meanHold: defaultHold}
 }
 
-// Enter takes a slot or a place in the queue, or returns the refusal. Left is
-// the time left to the caller; 0 is no deadline. Started is true when the
-// attempt has its slot.
+// Enter takes a slot or a place in the queue, or returns a refusal. Left is the time until the
+// caller's deadline, 0 if there is none. Started is true if the attempt has got its slot.
 func (bo *Bound) Enter(now time.Time, priority int, left time.Duration) (pl *Place, started bool, fl *core.Failure) {
 	pl = &Place{priority: priority, ready: make(chan struct{})}
 	if bo.running < bo.slots {
@@ -59,19 +59,19 @@
 	at := bo.position(priority)
 	wait := bo.wait(at)
 	if len(bo.waiting) >= bo.limit {
-		return nil, false, core.Refuse(core.CodeOverloaded, max(wait/2, minRetry), "the queue of the upstream is full")
+		return nil, false, core.Refuse(core.CodeOverloaded, max(wait/2, minRetryAfter), "the queue of the upstream is full")
 	}
-	// Half of the usual time is the least that the attempt itself will take;
-	// the usual time would turn short work away from an upstream that mostly
-	// has long work.
-	if need := wait + bo.hold/2; left > 0 && need > left {
-		return nil, false, core.Refuse(core.CodeOverloaded, max(need-left, minRetry), "the attempt would wait %s here, which its deadline does not allow", wait)
+	// The attempt itself is assumed to take at least half of the mean hold time. With the whole
+	// mean, short work would be refused by an upstream whose work is mostly long.
+	if need := wait + bo.meanHold/2; left > 0 && need > left {
+		return nil, false, core.Refuse(core.CodeOverloaded, max(need-left, minRetryAfter), "the attempt would wait %s here, which its deadline does not allow", wait)
 	}
 	bo.waiting = slices.Insert(bo.waiting, at, pl)
 	return pl, false, nil
 }
 
-// position is behind all of the same or a higher priority.
+// position returns the queue position of a new attempt: after all attempts of the same or a higher
+// priority.
 func (bo *Bound) position(priority int) int {
 	for ix, pl := range bo.waiting {
 		if pl.priority < priority {
@@ -81,10 +81,10 @@
 	return len(bo.waiting)
 }
 
-// wait is the time until the attempt at a position starts: the slots drain one
-// attempt each hold time.
+// wait returns the expected time until the attempt at a queue position starts: each slot starts a
+// new attempt once per hold time.
 func (bo *Bound) wait(at int) time.Duration {
-	return time.Duration(at+1) * bo.hold / time.Duration(bo.slots)
+	return time.Duration(at+1) * bo.meanHold / time.Duration(bo.slots)
 }
 
 func (bo *Bound) start(now time.Time, pl *Place) {
@@ -93,9 +93,9 @@
 	close(pl.ready)
 }
 
-// Exit frees a slot and returns the attempt that starts in it, or nil.
+// Exit frees a slot and returns the waiting attempt that starts in it, or nil.
 func (bo *Bound) Exit(now time.Time, pl *Place) *Place {
-	bo.hold += (now.Sub(pl.started) - bo.hold) / holdPart
+	bo.meanHold += (now.Sub(pl.started) - bo.meanHold) / holdDivisor
 	bo.running--
 	if len(bo.waiting) == 0 {
 		return nil
@@ -106,8 +106,7 @@
 	return next
 }
 
-// Cancel takes a waiting attempt out. It returns false when the attempt has
-// started already.
+// Cancel removes a waiting attempt. It returns false if the attempt has already started.
 func (bo *Bound) Cancel(pl *Place) bool {
 	ix := slices.Index(bo.waiting, pl)
 	if ix < 0 {
@@ -117,20 +116,20 @@
 	return true
 }
 
-// Load returns what runs and waits.
+// Load returns the numbers of running and waiting attempts.
 func (bo *Bound) Load() core.Load {
 	return core.Load{Running: bo.running, Queued: len(bo.waiting), Slots: bo.slots}
 }
 
-// bound lets the attempts' goroutines share a Bound.
-type bound struct {
+// sharedBound makes a Bound safe for concurrent use.
+type sharedBound struct {
 	mu sync.Mutex
 	bo *Bound
 }
 
-// enter waits for a slot and returns the function that frees it. That function
-// may be called more than once.
-func (bd *bound) enter(ctx context.Context, at *core.Attempt) (exit func(), err error) {
+// enter waits for a slot and returns the function that frees it, which may be called more than
+// once.
+func (bd *sharedBound) enter(ctx context.Context, at *core.Attempt) (exit func(), err error) {
 	bd.mu.Lock()
 	pl, _, fl := bd.bo.Enter(time.Now(), at.Priority, at.Deadline)
 	bd.mu.Unlock()
@@ -151,20 +150,20 @@
 	}), nil
 }
 
-// full reports whether an attempt would be refused for want of a place now.
-func (bd *bound) full() bool {
+// full reports whether a new attempt would be refused because the queue is full.
+func (bd *sharedBound) full() bool {
 	bd.mu.Lock()
 	defer bd.mu.Unlock()
 	return bd.bo.running >= bd.bo.slots && len(bd.bo.waiting) >= bd.bo.limit
 }
 
-func (bd *bound) cancel(pl *Place) bool {
+func (bd *sharedBound) cancel(pl *Place) bool {
 	bd.mu.Lock()
 	defer bd.mu.Unlock()
 	return bd.bo.Cancel(pl)
 }
 
-func (bd *bound) load() core.Load {
+func (bd *sharedBound) load() core.Load {
 	bd.mu.Lock()
 	defer bd.mu.Unlock()
 	return bd.bo.Load()
--- a/core/execute/bound_test.go
+++ b/core/execute/bound_test.go
@@ -10,11 +10,10 @@
 	"skylarkstand/core/execute"
 )
 
-// Several entries saw the same old report and all come to one upstream. What
-// cannot be served in time is told so on arrival; were it to wait, its entry
-// could no longer go elsewhere, and its caller would hear nothing until its
-// deadline.
-func TestBoundRefusesEarlyAndServesByPriority(t *testing.T) {
+// Several entries act on the same outdated report and send attempts to one upstream. An attempt
+// that cannot be served in time must be refused on arrival: if it waited, its entry would have no
+// time left to try another upstream, and its caller would get no answer before its deadline.
+func TestBoundRefusesOnArrivalAndOrdersByPriority(t *testing.T) {
 	now := time.Unix(0, 0)
 	bo := execute.NewBound(2, 4)
 	enter := func(priority int, left time.Duration) (*execute.Place, *core.Failure) {
@@ -23,7 +22,7 @@
 	}
 	first, _ := enter(0, 0)
 	second, _ := enter(0, 0)
-	now = now.Add(time.Second) // An attempt is taken to hold its slot for 1s.
+	now = now.Add(time.Second) // The assumed hold time is 1s.
 
 	_, fl := enter(0, 600*time.Millisecond)
 	assert.Equal(t, fl.Code, core.CodeOverloaded)
@@ -34,18 +33,18 @@
 	normal, fl := enter(0, 2*time.Second)
 	assert.Assert(t, fl == nil)
 	_, fl = enter(-1, 1500*time.Millisecond)
-	assert.Assert(t, fl != nil, "behind two others it would wait 1.5s")
+	assert.Assert(t, fl != nil, "behind two others, the attempt would wait 1.5s")
 	high, fl := enter(1, 1500*time.Millisecond)
-	assert.Assert(t, fl == nil, "before the others it waits 0.5s")
-	gone, _ := enter(0, 0)
+	assert.Assert(t, fl == nil, "ahead of the others, the attempt waits 0.5s")
+	canceled, _ := enter(0, 0)
 	_, fl = enter(0, 0)
 	assert.Equal(t, fl.Code, core.CodeOverloaded, "the queue is full")
 	assert.Equal(t, bo.Load(), core.Load{Running: 2, Queued: 4, Slots: 2})
 
-	assert.Assert(t, bo.Cancel(gone))
+	assert.Assert(t, bo.Cancel(canceled))
 	assert.Equal(t, bo.Exit(now, first), high)
 	assert.Equal(t, bo.Exit(now, second), normal)
-	assert.Assert(t, !bo.Cancel(normal), "it has started")
+	assert.Assert(t, !bo.Cancel(normal), "an attempt that has started cannot be canceled")
 	assert.Equal(t, bo.Exit(now, high), low)
 	assert.Assert(t, bo.Exit(now, low) == nil)
 }
--- a/core/execute/claimed.go
+++ b/core/execute/claimed.go
@@ -14,31 +14,30 @@
 )
 
 const (
-	// maxWhole bounds an answer that is read whole before it is stored.
-	maxWhole = 1 << 20
-	// runLimit bounds a call of an at-most-once operation, which goes on
-	// without its caller. A service that hangs would otherwise keep the slots
-	// for good; beyond it the outcome is unknown.
-	runLimit = 10 * time.Minute
-	// storeLimit bounds the wait until an answer or a release stands in the
-	// store. An answer is known by then, and during an outage of the store the
-	// caller must not wait for its end; storing goes on in the background.
-	storeLimit = time.Second
-	// retryStore is told when a claim could not be written.
-	retryStore = 2 * time.Second
-	// retryRoom is told when there is no room for a claim; only retention
-	// makes some.
-	retryRoom = 10 * time.Minute
-	// retryUnknown is told when another attempt has the key. Asking again with
-	// the same key is safe and brings the answer once it is stored.
-	retryUnknown = 2 * time.Second
-	// otherWait is how long a caller waits for the answer of another agent's
-	// attempt. Most operations take less; when that agent is gone, it is what its
-	// callers wait in vain.
-	otherWait = 5 * time.Second
-	// otherPause is the pause between two looks. All callers that wait for a bucket
-	// of claims share one read.
-	otherPause = 500 * time.Millisecond
+	// maxStoredBytes limits an answer that is read completely and stored.
+	maxStoredBytes = 1 << 20
+	// runTimeout limits a call of an at-most-once operation, which continues without its caller.
+	// Otherwise a service that hangs would hold its slots forever. After the timeout, the outcome
+	// is unknown.
+	runTimeout = 10 * time.Minute
+	// storeTimeout limits the wait until an answer or a release is stored. The answer is known by
+	// then, and the caller must not wait until an outage of the store ends; storing continues in
+	// the background.
+	storeTimeout = time.Second
+	// retryAfterStore is the Retry-After when a claim could not be written.
+	retryAfterStore = 2 * time.Second
+	// retryAfterFull is the Retry-After when there is no room for another claim. Only claims whose
+	// retention ends make room.
+	retryAfterFull = 10 * time.Minute
+	// retryAfterUnknown is the Retry-After when another attempt has the key. A retry with the same
+	// key is safe and returns the answer once it is stored.
+	retryAfterUnknown = 2 * time.Second
+	// otherAgentWait is how long a caller waits for the answer of an attempt at another agent. Most
+	// operations take less. If that agent is gone, its callers wait this long in vain.
+	otherAgentWait = 5 * time.Second
+	// otherAgentPoll is the interval between two reads of the claim during that wait. All callers
+	// that wait for the same bucket of claims share one read.
+	otherAgentPoll = 500 * time.Millisecond
 )
 
 // atMostOnce reports whether the attempt's operation may run at most once.
@@ -50,25 +49,25 @@
 	return op != nil && op.AtMostOnce
 }
 
-// runClaimed runs the attempt under a claim. It takes no slot of the upstream
-// before the claim is owned: under load a claim waits for its group's write
-// much longer than most calls run.
+// runClaimed runs the attempt under a claim. It takes a slot of the upstream only after the claim
+// is owned: under load, a claim waits for the write of its group for much longer than most
+// calls run.
 func (ex *Executor) runClaimed(ctx context.Context, at *core.Attempt) (core.Answer, error) {
 	if at.IdempotencyKey == "" {
-		// The entry decided by a configuration in which the operation could
-		// still be repeated.
+		// The entry used a configuration in which the operation was not yet an at-most-once
+		// operation.
 		return nil, core.Refuse(core.CodeBadRequest, 0, "operation %s runs at most once and needs an Idempotency-Key header", at.Operation)
 	}
 	if ex.bound.full() {
-		// Refused before the claim: a burst of calls that cannot run must not
-		// wait for two group writes each to hear it.
-		return nil, core.Refuse(core.CodeOverloaded, minRetry, "the queue of upstream %s is full", ex.host.ID)
+		// Refuse before the claim, so that a burst of calls that cannot run does not wait for two
+		// group writes per call before it is refused.
+		return nil, core.Refuse(core.CodeOverloaded, minRetryAfter, "the queue of upstream %s is full", ex.host.ID)
 	}
 	req := claim.Request{
 		Key:    claim.Key{Workspace: at.Workspace, Service: at.Service, Operation: at.Operation, Idempotency: at.IdempotencyKey},
 		Digest: digest(at.Body), Attempt: at.ID,
 	}
-	out, err := ex.claim(ctx, req)
+	out, err := ex.acquireClaim(ctx, req)
 	if err != nil {
 		return nil, refuseClaim(err)
 	}
@@ -76,22 +75,22 @@
 	case claim.Owned:
 		return ex.runOwned(ctx, at, req, out.RunBefore)
 	case claim.Done:
-		return answered(out)
+		return replay(out)
 	default:
 		return ex.awaitOther(ctx, out)
 	}
 }
 
-// claim takes the key, or waits a little for the answer that another agent is
-// about to store.
+// acquireClaim claims the key, or waits up to otherAgentWait for the answer of another agent's
+// attempt.
 //
-// Callers of one key that come at once reach several agents. One of them runs
-// the operation, which mostly takes less than a second; those at the others had
-// their answer a moment later, and were told that its outcome is not known: with
-// 200 callers of one key at three agents, 53. A claim that the other agent gives
-// back meanwhile is taken over here.
-func (ex *Executor) claim(ctx context.Context, req claim.Request) (claim.Outcome, error) {
-	until := time.Now().Add(otherWait)
+// Simultaneous callers of one key may reach several agents. One of the agents runs the
+// operation, which mostly takes less than a second. Without the wait, callers at the other
+// agents would be told that the outcome is unknown although the answer is stored a moment
+// later: 53 of 200 callers of one key at three agents. If the other agent releases its claim
+// during the wait, this attempt takes it over.
+func (ex *Executor) acquireClaim(ctx context.Context, req claim.Request) (claim.Outcome, error) {
+	until := time.Now().Add(otherAgentWait)
 	for {
 		out, err := ex.claims.Claim(ctx, req)
 		if err != nil || out.State != claim.Claimed || out.Owner == ex.deps.Self || time.Now().After(until) {
@@ -100,14 +99,14 @@
 		select {
 		case <-ctx.Done():
 			return out, nil
-		case <-time.After(otherPause):
+		case <-time.After(otherAgentPoll):
 		}
 	}
 }
 
-// refuseClaim is always "not run": the claim of this attempt, written or not,
-// is never told as owned afterwards, and nothing runs without that. The table
-// releases what was written of it.
+// refuseClaim converts a claim error to a refusal, which is always "not run": the claim of this
+// attempt, whether written or not, is never reported as owned afterwards, and nothing runs
+// without an owned claim. The table releases a claim that was written.
 func refuseClaim(err error) *core.Failure {
 	switch {
 	case errors.Is(err, claim.ErrReused):
@@ -115,31 +114,31 @@
 	case errors.Is(err, claim.ErrExpired):
 		return core.Refuse(core.CodeKeyExpired, 0, "the time in the idempotency key is outside the retention")
 	case errors.Is(err, claim.ErrBusy):
-		return core.Refuse(core.CodeOverloaded, retryStore, "too many claims wait")
+		return core.Refuse(core.CodeOverloaded, retryAfterStore, "too many claims wait")
 	case errors.Is(err, claim.ErrUnsettled):
-		// Not a code for which the entry goes on to another agent: that one
-		// could meet this claim before it is released, and would have to say
-		// that the outcome is unknown.
-		return core.Refuse(core.CodeDeadline, retryStore, "the claim was not settled in time")
+		// This must not be a code on which the entry tries another agent: that agent could find
+		// this claim before it is released, and would have to report that the outcome is
+		// unknown.
+		return core.Refuse(core.CodeDeadline, retryAfterStore, "the claim was not settled in time")
 	case errors.Is(err, claim.ErrFull):
-		return core.Refuse(core.CodeOverloaded, retryRoom, "the claims within their retention leave no room for another")
+		return core.Refuse(core.CodeOverloaded, retryAfterFull, "the claims within their retention leave no room for another")
 	default:
-		return core.Refuse(core.CodeStoreDown, retryStore, "the claim could not be written")
+		return core.Refuse(core.CodeStoreDown, retryAfterStore, "the claim could not be written")
 	}
 }
 
-// answered tells the stored answer of an earlier attempt.
-func answered(out claim.Outcome) (core.Answer, error) {
+// replay returns the stored answer of an earlier attempt.
+func replay(out claim.Outcome) (core.Answer, error) {
 	if out.Answer.Dropped {
 		return nil, &core.Failure{Code: core.CodeTooLarge, Ran: core.RanFailed, Message: "the operation ran and was answered; the answer was too large to be kept"}
 	}
-	return newReplay(out), nil
+	return newReplayAnswer(out), nil
 }
 
-// awaitOther answers a caller whose key another attempt has. An attempt of
-// this agent that still runs is waited for. Of any other the outcome is not
-// known here: its agent may be gone, and may have called the upstream before
-// it went, so the operation is not run again whatever time passes.
+// awaitOther answers a caller whose key another attempt has. It waits for an attempt that still
+// runs at this agent. The outcome of any other attempt is unknown: its agent may be gone and
+// may have called the upstream before, so the operation is never run again, however long ago
+// that was.
 func (ex *Executor) awaitOther(ctx context.Context, out claim.Outcome) (core.Answer, error) {
 	if out.Owner == ex.deps.Self {
 		if en, ok := ex.claims.Await(ctx, out.Attempt); ok {
@@ -147,39 +146,39 @@
 				return nil, en.Failure
 			}
 			out.Answer = en.Answer
-			return newReplay(out), nil
+			return newReplayAnswer(out), nil
 		}
 	}
 	fl := core.Lost("the operation was handed to attempt %s, whose outcome is not known; ask again with the same key", out.Attempt)
-	fl.RetryAfter = retryUnknown
+	fl.RetryAfter = retryAfterUnknown
 	return nil, fl
 }
 
-// runOwned calls the upstream under an owned claim and stores the answer. It
-// goes on when the caller is gone: the operation has begun, and its answer is
-// what the caller's next try with the same key is told.
+// runOwned calls the upstream under an owned claim and stores the answer. It continues when the
+// caller disconnects: the operation has begun, and the caller's retry with the same key gets
+// its answer.
 func (ex *Executor) runOwned(ctx context.Context, at *core.Attempt, req claim.Request, before time.Time) (core.Answer, error) {
 	exit, err := ex.bound.enter(ctx, at)
 	if err != nil {
-		return nil, ex.giveBack(req, err)
+		return nil, ex.releaseClaim(req, err)
 	}
 	an, err := ex.callOnce(ctx, at, before)
 	exit()
 	if err != nil {
-		return nil, ex.failed(req, err)
+		return nil, ex.endFailed(req, err)
 	}
-	sctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), storeLimit)
+	sctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), storeTimeout)
 	defer cancel()
 	if err := ex.claims.Finish(sctx, req, an); err != nil {
 		meter.ClaimsUnfinished.Inc(ex.deps.Metrics)
 		event.Log(ex.deps.Log, event.ClaimUnfinished, "attempt", at.ID, "error", err)
 	}
-	return newStored(an), nil
+	return newStoredAnswer(an), nil
 }
 
-// callOnce makes the one call. The configuration may have changed while the
-// attempt waited for its claim and its slot, and the process may have been
-// paused for so long that others drop the claim.
+// callOnce makes the one call. It checks again first: the configuration may have changed while the
+// attempt waited for its claim and its slot, and the process may have been paused for so long
+// that other agents have dropped the claim.
 func (ex *Executor) callOnce(ctx context.Context, at *core.Attempt, before time.Time) (claim.Answer, error) {
 	if fl := ex.check(at); fl != nil {
 		return claim.Answer{}, fl
@@ -190,34 +189,34 @@
 	if ctx.Err() != nil {
 		return claim.Answer{}, core.Refuse(core.CodeCallerGone, 0, "the caller gave up while its claim was written")
 	}
-	rctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), runLimit)
+	rctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), runTimeout)
 	defer cancel()
 	ans, err := ex.runner.Run(rctx, at)
 	if err != nil {
 		return claim.Answer{}, err
 	}
 	defer ans.Close()
-	return readStored(ans, maxWhole)
+	return readAnswer(ans, maxStoredBytes)
 }
 
-// failed ends an owned claim without an answer. Only an attempt that certainly
-// never reached the upstream gives its key back.
-func (ex *Executor) failed(req claim.Request, err error) error {
+// endFailed ends an owned claim without an answer. It releases the key only if the attempt
+// certainly never reached the upstream.
+func (ex *Executor) endFailed(req claim.Request, err error) error {
 	var fl *core.Failure
 	if !errors.As(err, &fl) {
 		fl = core.Lost("%v", err)
 	}
 	if fl.Ran == core.NotRun {
-		return ex.giveBack(req, fl)
+		return ex.releaseClaim(req, fl)
 	}
 	ex.claims.Forget(req, fl)
 	return fl
 }
 
-// giveBack releases a claim before its refusal goes out, so that the entry's
-// next try elsewhere does not meet it.
-func (ex *Executor) giveBack(req claim.Request, cause error) error {
-	ctx, cancel := context.WithTimeout(context.Background(), storeLimit)
+// releaseClaim releases a claim before the refusal is sent, so that the entry's next attempt at
+// another agent does not find it.
+func (ex *Executor) releaseClaim(req claim.Request, cause error) error {
+	ctx, cancel := context.WithTimeout(context.Background(), storeTimeout)
 	defer cancel()
 	if err := ex.claims.Release(ctx, req); err != nil {
 		meter.ClaimsUnreleased.Inc(ex.deps.Metrics)
--- a/core/execute/claimed_test.go
+++ b/core/execute/claimed_test.go
@@ -52,8 +52,8 @@
 func (re *reply) Close()                   {}
 func (re *reply) ReplayOf() core.AttemptID { return "" }
 
-// rig is one agent beside the booking service.
-type rig struct {
+// fixture is one agent with the booking service as its upstream.
+type fixture struct {
 	t  *testing.T
 	st *fakestore.Store
 	bo *booking
@@ -62,10 +62,10 @@
 	inf *declaration.InForce
 }
 
-func newRig(t *testing.T) *rig {
-	ri := &rig{t: t, st: fakestore.New(), bo: &booking{}}
+func newFixture(t *testing.T) *fixture {
+	fx := &fixture{t: t, st: fakestore.New(), bo: &booking{}}
 	deps := core.NewDeps()
-	tbl, cleanup := claim.New(deps, ri.st)
+	tbl, cleanup := claim.New(deps, fx.st)
 	t.Cleanup(cleanup)
 	gen := declaration.Generation{Number: 1, Document: declaration.Document{
 		Services:   []declaration.Service{{ID: "booking", Operations: []declaration.Operation{{ID: "survey", AtMostOnce: true}}}},
@@ -76,188 +76,187 @@
 	inf := declaration.NewInForce()
 	_, err = inf.Adopt(raw)
 	assert.NilError(t, err)
-	ri.inf = inf
-	ri.ex = execute.New(deps, core.Host{ID: "booking-1", Service: "booking"}, inf, ri.bo, tbl, execute.Slots(1), execute.Queue(1))
-	return ri
+	fx.inf = inf
+	fx.ex = execute.New(deps, core.Host{ID: "booking-1", Service: "booking"}, inf, fx.bo, tbl, execute.Slots(1), execute.Queue(1))
+	return fx
 }
 
-// told is what a caller was told: an answer, or a code and whether it ran.
-type told struct {
+// result is what a caller received: an answer, or a code and whether the operation ran.
+type result struct {
 	ran  core.Ran
 	text string
 }
 
-func (ri *rig) call(ctx context.Context, key string) told {
+func (fx *fixture) call(ctx context.Context, key string) result {
 	at := &core.Attempt{
 		ID: core.AttemptID(core.NewID()), Workspace: "school", Service: "booking", Operation: "survey",
 		IdempotencyKey: key, Generation: 1, Body: []byte("{}"),
 	}
-	ans, err := ri.ex.Run(ctx, at)
+	ans, err := fx.ex.Run(ctx, at)
 	if err != nil {
 		var fl *core.Failure
-		assert.Assert(ri.t, errors.As(err, &fl), "%v", err)
-		return told{fl.Ran, string(fl.Code)}
+		assert.Assert(fx.t, errors.As(err, &fl), "%v", err)
+		return result{fl.Ran, string(fl.Code)}
 	}
 	defer ans.Close()
 	data, err := ans.Next()
-	assert.NilError(ri.t, err)
-	return told{"", string(data)}
+	assert.NilError(fx.t, err)
+	return result{"", string(data)}
 }
 
-// beside is another agent of the same service over the same store.
-func (ri *rig) beside() *rig {
-	other := newRig(ri.t)
-	other.st, other.bo = ri.st, ri.bo
-	tbl, cleanup := claim.New(core.NewDeps(), ri.st)
-	ri.t.Cleanup(cleanup)
-	other.ex = execute.New(core.NewDeps(), core.Host{ID: "booking-2", Service: "booking"}, other.inf, ri.bo, tbl, execute.Slots(1), execute.Queue(1))
+// secondAgent returns another agent of the same service with the same store.
+func (fx *fixture) secondAgent() *fixture {
+	other := newFixture(fx.t)
+	other.st, other.bo = fx.st, fx.bo
+	tbl, cleanup := claim.New(core.NewDeps(), fx.st)
+	fx.t.Cleanup(cleanup)
+	other.ex = execute.New(core.NewDeps(), core.Host{ID: "booking-2", Service: "booking"}, other.inf, fx.bo, tbl, execute.Slots(1), execute.Queue(1))
 	return other
 }
 
-// Many callers send one booking with one key at once, and reach two agents. One
-// of these runs it. The callers at the other one get the same answer, and not
-// the word that its outcome is unknown, which would have a clerk look into each.
-func TestCallersAtAnotherAgentGetTheAnswer(t *testing.T) {
+// Many callers send one booking with the same key at once and reach two agents, one of which runs
+// it. The callers at the other agent must get the same answer rather than an unknown outcome, which
+// a clerk would have to investigate for each caller.
+func TestCallersAtAnotherAgentGetAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		one := newRig(t)
-		two := one.beside()
+		one := newFixture(t)
+		two := one.secondAgent()
 		one.bo.hold = time.Second
-		got := make(chan told)
+		got := make(chan result)
 		for i := range 40 {
-			ri := []*rig{one, two}[i%2]
-			go func() { got <- ri.told("key") }()
+			fx := []*fixture{one, two}[i%2]
+			go func() { got <- fx.send("key") }()
 		}
 		for range 40 {
-			assert.Equal(t, <-got, told{"", "booked"})
+			assert.Equal(t, <-got, result{"", "booked"})
 		}
 		assert.Equal(t, one.bo.runs, 1)
 	})
 }
 
-// The agent that took a key is paused with its host. Callers at the other agent
-// hear after a few seconds that the outcome is not known, and nothing runs
-// twice.
-func TestCallersDoNotWaitForAPausedAgent(t *testing.T) {
+// The agent that claimed a key is paused with its host. Callers at the other agent must be told
+// within a few seconds that the outcome is unknown, and nothing may run twice.
+func TestCallersDoNotWaitForPausedAgent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		one := newRig(t)
-		two := one.beside()
+		one := newFixture(t)
+		two := one.secondAgent()
 		one.bo.hold = time.Hour
-		first := make(chan told)
-		go func() { first <- one.told("key") }()
+		first := make(chan result)
+		go func() { first <- one.send("key") }()
 		time.Sleep(time.Second)
 		began := time.Now()
-		assert.Equal(t, two.told("key"), told{core.RanUnknown, "outcome-unknown"})
+		assert.Equal(t, two.send("key"), result{core.RanUnknown, "outcome-unknown"})
 		took := time.Since(began)
-		assert.Assert(t, took > 4*time.Second && took < 7*time.Second, "%s", took)
-		assert.Equal(t, <-first, told{"", "booked"})
+		assert.Assert(t, took > 4*time.Second && took < 7*time.Second, "the caller waited %s", took)
+		assert.Equal(t, <-first, result{"", "booked"})
 		assert.Equal(t, one.bo.runs, 1)
 	})
 }
 
-// A caller sends one booking again and again: while it runs, after its answer
-// was lost, after the service could not be reached, while the store is down.
-// It must see one booking at most, and "not run" only when there is none.
-func TestRunsUnderClaim(t *testing.T) {
+// A caller sends one booking repeatedly: while it runs, after its answer was lost, after the service
+// was unreachable, or while the store is down. There must be at most one booking, and "not run"
+// only if there is none.
+func TestRunsAtMostOnceUnderClaim(t *testing.T) {
 	scenarios := []struct {
 		testName string
-		run      func(ri *rig) []told
-		want     []told
+		run      func(fx *fixture) []result
+		want     []result
 		runs     int
 	}{
-		{"again after the answer", func(ri *rig) []told {
-			return []told{ri.told("key"), ri.told("key"), ri.told("key")}
-		}, []told{{"", "booked"}, {"", "booked"}, {"", "booked"}}, 1},
-		{"again while it runs", func(ri *rig) []told {
-			ri.bo.hold = time.Minute
-			first := make(chan told)
-			go func() { first <- ri.told("key") }()
+		{"retry after the answer", func(fx *fixture) []result {
+			return []result{fx.send("key"), fx.send("key"), fx.send("key")}
+		}, []result{{"", "booked"}, {"", "booked"}, {"", "booked"}}, 1},
+		{"retry while the first attempt runs", func(fx *fixture) []result {
+			fx.bo.hold = time.Minute
+			first := make(chan result)
+			go func() { first <- fx.send("key") }()
 			time.Sleep(time.Second)
-			second := ri.told("key")
-			return []told{<-first, second}
-		}, []told{{"", "booked"}, {"", "booked"}}, 1},
-		{"the service lost the call", func(ri *rig) []told {
-			ri.bo.err = core.Lost("broken off")
-			first := ri.told("key")
-			ri.bo.err = nil
-			return []told{first, ri.told("key")}
-		}, []told{{core.RanUnknown, "outcome-unknown"}, {core.RanUnknown, "outcome-unknown"}}, 1},
-		{"the service could not be reached", func(ri *rig) []told {
-			ri.bo.err = core.Refuse(core.CodeNoUpstream, time.Second, "no way there")
-			first := ri.told("key")
-			ri.bo.err = nil
-			return []told{first, ri.told("key")}
-		}, []told{{core.NotRun, "no-upstream"}, {"", "booked"}}, 1},
-		{"the store is down and comes back", func(ri *rig) []told {
-			ri.st.Set(fakestore.Faults{Down: true})
-			first := ri.told("key")
-			ri.st.Set(fakestore.Faults{})
-			return []told{first, ri.told("key")}
-		}, []told{{core.NotRun, "store-unavailable"}, {"", "booked"}}, 1},
-		{"the store goes down while the service works", func(ri *rig) []told {
-			ri.bo.hold = time.Second
-			time.AfterFunc(time.Second/2, func() { ri.st.Set(fakestore.Faults{Down: true}) })
-			time.AfterFunc(time.Minute, func() { ri.st.Set(fakestore.Faults{}) })
-			first := ri.told("key")
-			second := ri.told("key")
+			second := fx.send("key")
+			return []result{<-first, second}
+		}, []result{{"", "booked"}, {"", "booked"}}, 1},
+		{"the connection to the service breaks off during the call", func(fx *fixture) []result {
+			fx.bo.err = core.Lost("broken off")
+			first := fx.send("key")
+			fx.bo.err = nil
+			return []result{first, fx.send("key")}
+		}, []result{{core.RanUnknown, "outcome-unknown"}, {core.RanUnknown, "outcome-unknown"}}, 1},
+		{"the service is unreachable", func(fx *fixture) []result {
+			fx.bo.err = core.Refuse(core.CodeNoUpstream, time.Second, "the service is unreachable")
+			first := fx.send("key")
+			fx.bo.err = nil
+			return []result{first, fx.send("key")}
+		}, []result{{core.NotRun, "no-upstream"}, {"", "booked"}}, 1},
+		{"the store is down and recovers", func(fx *fixture) []result {
+			fx.st.Set(fakestore.Faults{Down: true})
+			first := fx.send("key")
+			fx.st.Set(fakestore.Faults{})
+			return []result{first, fx.send("key")}
+		}, []result{{core.NotRun, "store-unavailable"}, {"", "booked"}}, 1},
+		{"the store goes down while the service works", func(fx *fixture) []result {
+			fx.bo.hold = time.Second
+			time.AfterFunc(time.Second/2, func() { fx.st.Set(fakestore.Faults{Down: true}) })
+			time.AfterFunc(time.Minute, func() { fx.st.Set(fakestore.Faults{}) })
+			first := fx.send("key")
+			second := fx.send("key")
 			time.Sleep(2 * time.Minute)
-			return []told{first, second, ri.told("key")}
-		}, []told{{"", "booked"}, {core.NotRun, "store-unavailable"}, {"", "booked"}}, 1},
-		{"the caller gives up before its claim stands", func(ri *rig) []told {
-			ri.st.Set(fakestore.Faults{Latency: time.Second})
-			ctx, cancel := context.WithTimeout(ri.t.Context(), time.Second/2)
+			return []result{first, second, fx.send("key")}
+		}, []result{{"", "booked"}, {core.NotRun, "store-unavailable"}, {"", "booked"}}, 1},
+		{"the caller gives up before its claim is written", func(fx *fixture) []result {
+			fx.st.Set(fakestore.Faults{Latency: time.Second})
+			ctx, cancel := context.WithTimeout(fx.t.Context(), time.Second/2)
 			defer cancel()
-			first := ri.call(ctx, "key")
-			ri.st.Set(fakestore.Faults{})
+			first := fx.call(ctx, "key")
+			fx.st.Set(fakestore.Faults{})
 			time.Sleep(10 * time.Second)
-			return []told{first, ri.told("key")}
-		}, []told{{core.NotRun, "deadline"}, {"", "booked"}}, 1},
-		{"a burst fills the queue", func(ri *rig) []told {
-			ri.bo.hold = time.Minute
+			return []result{first, fx.send("key")}
+		}, []result{{core.NotRun, "deadline"}, {"", "booked"}}, 1},
+		{"a burst fills the queue", func(fx *fixture) []result {
+			fx.bo.hold = time.Minute
 			for _, key := range []string{"runs", "waits"} {
-				go ri.told(key)
+				go fx.send(key)
 				time.Sleep(time.Second)
 			}
-			before := ri.st.Counts()
-			third := ri.told("key")
-			assert.Equal(ri.t, ri.st.Counts(), before)
+			before := fx.st.Counts()
+			third := fx.send("key")
+			assert.Equal(fx.t, fx.st.Counts(), before)
 			time.Sleep(time.Hour)
-			return []told{third, ri.told("key")}
-		}, []told{{core.NotRun, "overloaded"}, {"", "booked"}}, 3},
-		{"the upstream leaves while the claim is written", func(ri *rig) []told {
-			ri.st.Set(fakestore.Faults{Latency: time.Second})
-			time.AfterFunc(time.Second/2, ri.ex.Leave)
-			return []told{ri.told("key")}
-		}, []told{{core.NotRun, "leaving"}}, 0},
-		{"no key", func(ri *rig) []told { return []told{ri.told("")} }, []told{{core.NotRun, "bad-request"}}, 0},
+			return []result{third, fx.send("key")}
+		}, []result{{core.NotRun, "overloaded"}, {"", "booked"}}, 3},
+		{"the upstream leaves while the claim is written", func(fx *fixture) []result {
+			fx.st.Set(fakestore.Faults{Latency: time.Second})
+			time.AfterFunc(time.Second/2, fx.ex.Leave)
+			return []result{fx.send("key")}
+		}, []result{{core.NotRun, "leaving"}}, 0},
+		{"no key", func(fx *fixture) []result { return []result{fx.send("")} }, []result{{core.NotRun, "bad-request"}}, 0},
 	}
 	for _, sc := range scenarios {
 		t.Run(sc.testName, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				ri := newRig(t)
-				got := sc.run(ri)
+				fx := newFixture(t)
+				got := sc.run(fx)
 				assert.Equal(t, len(got), len(sc.want))
 				for i := range got {
 					assert.Equal(t, got[i], sc.want[i])
 				}
-				assert.Equal(t, ri.bo.runs, sc.runs)
-				assert.Equal(t, ri.ex.Load().Running, 0)
+				assert.Equal(t, fx.bo.runs, sc.runs)
+				assert.Equal(t, fx.ex.Load().Running, 0)
 			})
 		})
 	}
 }
 
-func (ri *rig) told(key string) told { return ri.call(context.Background(), key) }
+func (fx *fixture) send(key string) result { return fx.call(context.Background(), key) }
 
-// An attempt owns its claim and then stands still for two days, paused with its
-// host or behind a call that hangs. The others have dropped its claim by then
-// and the key may have run elsewhere, so it must not call when it goes on.
-func TestPausedBeyondRetention(t *testing.T) {
+// An attempt owns its claim and then stalls for two days, because its host is paused or a call
+// before it hangs. By then the other agents have dropped its claim and the key may have run
+// elsewhere, so the attempt must not call the upstream when it resumes.
+func TestAttemptPausedBeyondRetentionDoesNotRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		ri := newRig(t)
-		ri.bo.hold = 50 * time.Hour
-		go ri.told("hangs")
+		fx := newFixture(t)
+		fx.bo.hold = 50 * time.Hour
+		go fx.send("hangs")
 		time.Sleep(time.Minute)
-		assert.Equal(t, ri.told("waits"), told{core.NotRun, "deadline"})
-		assert.Equal(t, ri.bo.runs, 1)
+		assert.Equal(t, fx.send("waits"), result{core.NotRun, "deadline"})
+		assert.Equal(t, fx.bo.runs, 1)
 	})
 }
--- a/core/execute/execute.go
+++ b/core/execute/execute.go
@@ -1,13 +1,13 @@
-// Package execute is the agent's path of one attempt: the last check, the
-// local bound, the claim for what may run at most once, and the upstream.
+// Package execute runs an attempt at the agent: the final check, the local queue, the claim of an
+// at-most-once operation, and the call of the upstream.
 //
 // # Usage
 //
 //	ex := execute.New(deps, host, inForce, runner, claims, execute.Slots(8))
 //	ans, err := ex.Run(ctx, attempt)
 //
-// Errors are [core.Failure]s; one that says it was not run was refused before
-// any byte went to the upstream.
+// Errors are [core.Failure]s. An attempt that failed with [core.NotRun] was refused before any
+// byte was sent to the upstream.
 package execute
 
 import (
@@ -23,38 +23,38 @@
 	"skylarkstand/core/guard"
 )
 
-// Executor is safe for concurrent use.
+// Executor runs attempts on the agent's upstream. It is safe for concurrent use.
 type Executor struct {
 	deps   core.Deps
 	host   core.Host
 	inf    *declaration.InForce
 	runner core.Runner
 	claims *claim.Table
-	bound  bound
+	bound  sharedBound
 
-	gate    gate
+	gate    soloGate
 	leaving atomic.Bool
 }
 
-// Option changes an Executor at construction.
+// Option configures an Executor at construction.
 type Option func(*Executor)
 
-// Slots sets how many attempts the upstream runs at once.
+// Slots sets how many attempts run on the upstream at the same time.
 func Slots(n int) Option { return func(ex *Executor) { ex.bound.bo.slots = max(n, 1) } }
 
-// Queue sets how many attempts may wait for a slot. Beyond it the agent
-// refuses at once, so that the entry can still try elsewhere in time.
+// Queue sets how many attempts may wait for a slot. The agent refuses further attempts at once, so
+// that the entry still has time to try another upstream.
 func Queue(n int) Option { return func(ex *Executor) { ex.bound.bo.limit = n } }
 
 const (
 	defaultSlots = 16
 	defaultQueue = 32
-	// adoptLimit bounds the wait for the configuration that an entry decided
-	// by; it comes over the same link within milliseconds.
-	adoptLimit = 2 * time.Second
+	// adoptTimeout limits the wait for the configuration that the entry used. It arrives over the
+	// same link within milliseconds.
+	adoptTimeout = 2 * time.Second
 )
 
-// New returns an executor for the upstream beside the agent.
+// New returns an Executor for the agent's upstream.
 func New(deps core.Deps, ho core.Host, inf *declaration.InForce, ru core.Runner, tbl *claim.Table, opts ...Option) *Executor {
 	ex := &Executor{deps: deps, host: ho, inf: inf, runner: ru, claims: tbl}
 	ex.bound.bo = NewBound(defaultSlots, defaultQueue)
@@ -64,17 +64,17 @@
 	return ex
 }
 
-// Leave makes the executor refuse all new work from now on.
+// Leave makes the executor refuse all new work.
 func (ex *Executor) Leave() { ex.leaving.Store(true) }
 
 // Leaving reports whether Leave was called.
 func (ex *Executor) Leaving() bool { return ex.leaving.Load() }
 
-// Load returns what the upstream is doing now.
+// Load returns the current load of the upstream.
 func (ex *Executor) Load() core.Load { return ex.bound.load() }
 
-// Probe reports whether the upstream accepts connections, if its runner can
-// tell.
+// Probe returns an error if the upstream does not accept connections. It returns nil if the runner
+// has no probe.
 func (ex *Executor) Probe() error {
 	if pr, ok := ex.runner.(interface{ Probe() error }); ok {
 		return pr.Probe()
@@ -82,10 +82,10 @@
 	return nil
 }
 
-// ErrNoOrders tells that the upstream takes no orders.
-var ErrNoOrders = errors.New("execute: this upstream takes no orders")
+// ErrNoOrders is returned if the upstream accepts no orders.
+var ErrNoOrders = errors.New("execute: this upstream accepts no orders")
 
-// Order passes an order on to the upstream, if its runner takes any.
+// Order sends an order to the upstream, if its runner accepts orders.
 func (ex *Executor) Order(ctx context.Context, fence uint64, body []byte) error {
 	if or, ok := ex.runner.(interface {
 		Order(ctx context.Context, fence uint64, body []byte) error
@@ -95,7 +95,7 @@
 	return ErrNoOrders
 }
 
-// Run takes an attempt to the upstream.
+// Run runs an attempt on the upstream.
 func (ex *Executor) Run(ctx context.Context, at *core.Attempt) (core.Answer, error) {
 	ex.awaitGeneration(ctx, at.Generation)
 	if fl := ex.check(at); fl != nil {
@@ -110,10 +110,10 @@
 		exit()
 		return nil, err
 	}
-	return &held{Answer: ans, exit: exit}, nil
+	return &slotAnswer{Answer: ans, exit: exit}, nil
 }
 
-// runGated runs an attempt that has passed the gate.
+// runGated runs an attempt that has entered the solo gate.
 func (ex *Executor) runGated(ctx context.Context, at *core.Attempt) (core.Answer, error) {
 	if ex.atMostOnce(at) {
 		return ex.runClaimed(ctx, at)
@@ -132,20 +132,20 @@
 		exit()
 		return nil, err
 	}
-	return &held{Answer: ans, exit: exit}, nil
+	return &slotAnswer{Answer: ans, exit: exit}, nil
 }
 
 func (ex *Executor) check(at *core.Attempt) *core.Failure {
 	return guard.Check(ex.inf.Current(), ex.host, ex.leaving.Load(), at)
 }
 
-// awaitGeneration waits until the agent's configuration is as new as the
-// entry's, or a bound has passed; the check that follows refuses then.
+// awaitGeneration waits until the agent's configuration is at least as new as the entry's, up to
+// adoptTimeout. After a timeout, the check that follows refuses the attempt.
 func (ex *Executor) awaitGeneration(ctx context.Context, gen core.Generation) {
 	if ex.inf.Number() >= gen {
 		return
 	}
-	limit := time.NewTimer(adoptLimit)
+	limit := time.NewTimer(adoptTimeout)
 	defer limit.Stop()
 	for {
 		changed := ex.inf.Changed()
--- a/core/execute/solo.go
+++ b/core/execute/solo.go
@@ -8,23 +8,23 @@
 	"skylarkstand/core"
 )
 
-// gate lets one attempt run alone: a suspect runs with nothing else in flight,
-// so that a crash has one possible cause and takes no other request along.
-type gate struct {
+// soloGate lets a suspect request run alone: nothing else is in flight, so a crash has one possible
+// cause and loses no other request.
+type soloGate struct {
 	mu    sync.Mutex
 	count int
 	solo  bool
-	// emptied is closed when the last attempt goes, for a solo that waits.
-	emptied chan struct{}
+	// idle is closed when the last attempt exits while a solo attempt waits.
+	idle chan struct{}
 }
 
-// soloWait bounds how long a suspect waits for the upstream to empty. Until
-// then the upstream takes nothing new, so the bound is what a suspect may cost
-// the others; they are refused at once and go elsewhere.
+// soloWait limits how long a suspect waits until the upstream is idle. The upstream accepts no new
+// work during the wait, so this limits what a suspect costs other requests; they are refused at
+// once and their entries try other upstreams.
 const soloWait = 2 * time.Second
 
-// enter passes an attempt, or refuses it while a solo waits or runs.
-func (ga *gate) enter(ctx context.Context, ho core.Host, solo bool) *core.Failure {
+// enter admits an attempt, or refuses it while a solo attempt waits or runs.
+func (ga *soloGate) enter(ctx context.Context, ho core.Host, solo bool) *core.Failure {
 	ga.mu.Lock()
 	if ga.solo {
 		ga.mu.Unlock()
@@ -41,43 +41,43 @@
 		ga.mu.Unlock()
 		return nil
 	}
-	emptied := make(chan struct{})
-	ga.emptied = emptied
+	idle := make(chan struct{})
+	ga.idle = idle
 	ga.mu.Unlock()
 	limit := time.NewTimer(soloWait)
 	defer limit.Stop()
 	select {
-	case <-emptied:
+	case <-idle:
 		return nil
 	case <-limit.C:
 	case <-ctx.Done():
 	}
-	return ga.giveUp(emptied, ho)
+	return ga.withdraw(idle, ho)
 }
 
-// giveUp takes a waiting solo back, unless its turn has come meanwhile.
-func (ga *gate) giveUp(emptied chan struct{}, ho core.Host) *core.Failure {
+// withdraw ends the wait of a solo attempt, unless the upstream has become idle in the meantime.
+func (ga *soloGate) withdraw(idle chan struct{}, ho core.Host) *core.Failure {
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
 	select {
-	case <-emptied:
+	case <-idle:
 		return nil
 	default:
 	}
-	ga.solo, ga.emptied = false, nil
+	ga.solo, ga.idle = false, nil
 	return core.Refuse(core.CodeOverloaded, soloWait, "upstream %s did not become free for a request that must run alone", ho.ID)
 }
 
-func (ga *gate) exit(solo bool) {
+func (ga *soloGate) exit(solo bool) {
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
 	ga.count--
 	if solo {
 		ga.solo = false
 	}
-	if ga.count == 0 && ga.emptied != nil {
-		ga.count++ // The place of the solo that waited.
-		close(ga.emptied)
-		ga.emptied = nil
+	if ga.count == 0 && ga.idle != nil {
+		ga.count++ // Reserved for the solo attempt that waited.
+		close(ga.idle)
+		ga.idle = nil
 	}
 }
--- a/core/execute/solo_test.go
+++ b/core/execute/solo_test.go
@@ -10,12 +10,11 @@
 	"skylarkstand/core"
 )
 
-// A suspect runs while others do, and crashes the engine: the others would go
-// down with it and be suspected in turn. It waits for an empty upstream, and
-// nothing new starts beside it.
+// If a suspect ran beside other attempts and crashed the engine, the others would fail and become
+// suspects too. It must wait until the upstream is idle, and nothing may start while it runs.
 func TestSoloRunsAlone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var ga gate
+		var ga soloGate
 		ctx, ho := t.Context(), core.Host{ID: "desk-1"}
 		assert.Assert(t, ga.enter(ctx, ho, false) == nil)
 		entered := make(chan *core.Failure)
@@ -30,11 +29,11 @@
 	})
 }
 
-// A long answer keeps the upstream busy for longer than a suspect may wait. The
-// suspect is refused, and the upstream takes other work again.
-func TestSoloGivesUp(t *testing.T) {
+// A long answer keeps the upstream busy for longer than a suspect may wait. The suspect must be
+// refused, and the upstream must accept other work again.
+func TestSoloIsRefusedWhileUpstreamStaysBusy(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var ga gate
+		var ga soloGate
 		ho := core.Host{ID: "desk-1"}
 		assert.Assert(t, ga.enter(t.Context(), ho, false) == nil)
 		assert.Assert(t, ga.enter(context.Background(), ho, true) != nil)
