--- a/core/order/order.go
+++ b/core/order/order.go
@@ -1,12 +1,11 @@
-// Package order keeps orders to engines — to load a model, an adapter or a
-// version, or to change role — from being carried out late.
+// Package order prevents outdated orders to engines from being executed. An order loads a model, an
+// adapter or a version, or changes the engine's role.
 //
-// Whoever gives orders may be paused between deciding and sending; meanwhile
-// another one decides otherwise, and the late order would undo the newer one.
-// Some engines refuse an order with an old fencing number, others ignore it. So
-// the numbers are counted in the platform's store, one row a key for each
-// upstream, and the agent, the only way in to its engine, lets only the newest
-// number pass.
+// A process that gives orders may be paused between its decision and the sending; if another
+// process decides differently in the meantime, the late order would undo the newer one. Some
+// engines refuse an order with an old fencing number, others ignore the number. So the fencing
+// numbers are counted in the platform's store, under one key per upstream, and the agent, the only
+// way to reach its engine, sends only the order with the newest number.
 //
 // # Usage
 //
@@ -23,34 +22,34 @@
 	"skylarkstand/core"
 )
 
-// Fence numbers the orders to one upstream. The higher number wins.
+// Fence is the fencing number of an order to one upstream. The highest number wins.
 type Fence uint64
 
-// Errors of orders. After both nothing was sent to the engine.
+// Errors of orders. With either of them, nothing was sent to the engine.
 var (
-	// ErrOld: a newer order was given meanwhile.
-	ErrOld = errors.New("order: a newer order was given")
-	// ErrAway: the store cannot be reached, so it is unknown whether the order
-	// is the newest. An order can wait; a late one does harm.
-	ErrAway = errors.New("order: store away")
+	// ErrOld: a newer order has been given.
+	ErrOld = errors.New("order: a newer order has been given for this upstream; this one was not sent")
+	// ErrAway: the store is unavailable, so it is unknown whether the order is the newest. A
+	// delayed order does no harm, an outdated one does.
+	ErrAway = errors.New("order: the store is unavailable; the order was not sent, try again later")
 )
 
 func key(id core.UpstreamID) string { return "fences/" + string(id) }
 
-// Issuer counts fencing numbers.
+// Issuer issues fencing numbers.
 type Issuer struct{ store core.Store }
 
-// NewIssuer returns an issuer over a store.
+// NewIssuer returns an Issuer that counts in the given store.
 func NewIssuer(st core.Store) *Issuer { return &Issuer{store: st} }
 
-// races bounds how often a number that another took first is counted again.
-const races = 16
+// maxConflicts limits the retries after another process has taken the same number.
+const maxConflicts = 16
 
-// Next returns a number above all that were given for an upstream. A lost
-// reply costs a number, which may be skipped, never doubled: nobody else can
-// have got it, and the read that follows counts on from it.
+// Next returns a fencing number above all that were issued for an upstream. If the reply to a write
+// is lost, its number may be skipped but is never issued twice: no other process can have got it,
+// and the next read continues after it.
 func (is *Issuer) Next(ctx context.Context, id core.UpstreamID) (Fence, error) {
-	for range races {
+	for range maxConflicts {
 		it, err := is.store.Get(ctx, key(id))
 		if errors.Is(err, core.ErrNotFound) {
 			if _, err = is.store.Create(ctx, key(id), []byte("1"), ""); err == nil {
@@ -72,27 +71,26 @@
 	return 0, ErrAway
 }
 
-// Gate is an agent's check of the orders to its engine. It is safe for
-// concurrent use.
+// Gate is an agent's check of the orders to its engine. It is safe for concurrent use.
 type Gate struct {
 	store core.Store
 	id    core.UpstreamID
 
-	mu     sync.Mutex
-	passed Fence
+	mu         sync.Mutex
+	lastPassed Fence
 }
 
-// NewGate returns the gate of an upstream.
+// NewGate returns the Gate of an upstream.
 func NewGate(st core.Store, id core.UpstreamID) *Gate { return &Gate{store: st, id: id} }
 
-// Pass sends an order if its number is the newest that was given. Orders pass
-// one at a time: were two under way at once, the engine could take the older
-// one last. The store is read each time, because the agent forgets at a
-// restart what it let pass, and the newest number may not have come here yet.
+// Pass sends an order if its fencing number is the newest one issued. It sends one order at a time:
+// of two orders in flight, the engine could execute the older one last. It reads the store each
+// time, because the agent loses its state at a restart and because the newest number may not
+// have reached this agent yet.
 func (ga *Gate) Pass(ctx context.Context, fe Fence, send func(context.Context) error) error {
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
-	if fe < ga.passed {
+	if fe < ga.lastPassed {
 		return ErrOld
 	}
 	it, err := ga.store.Get(ctx, key(ga.id))
@@ -106,6 +104,6 @@
 	if uint64(fe) != newest {
 		return ErrOld
 	}
-	ga.passed = fe
+	ga.lastPassed = fe
 	return send(ctx)
 }
--- a/core/order/order_test.go
+++ b/core/order/order_test.go
@@ -12,14 +12,14 @@
 	"skylarkstand/core/order"
 )
 
-// row is a store of one key whose replies to writes can be lost.
+// row is a store with a single key that can lose the reply to a write.
 type row struct {
 	core.Store
-	mu       sync.Mutex
-	item     core.Item
-	lose     bool
-	down     bool
-	lostOnce int
+	mu          sync.Mutex
+	item        core.Item
+	loseReply   bool
+	down        bool
+	lostReplies int
 }
 
 func (ro *row) Get(_ context.Context, _ string) (core.Item, error) {
@@ -45,17 +45,17 @@
 		return 0, core.ErrConflict
 	}
 	ro.item = core.Item{Value: value, Revision: prev + 1}
-	if ro.lose && ro.lostOnce == 0 {
-		ro.lostOnce++
+	if ro.loseReply && ro.lostReplies == 0 {
+		ro.lostReplies++
 		return 0, core.ErrUncertain
 	}
 	return ro.item.Revision, nil
 }
 
-// Two operators order at once, and the store loses a reply. Were a number given
-// twice, the agent could not tell which order is the newer one.
-func TestNumbersAreNeverDoubled(t *testing.T) {
-	ro := &row{lose: true}
+// Several operators give orders at once, and the store loses a reply. If a number were issued twice,
+// the agent could not determine which order is newer.
+func TestFencingNumbersAreUnique(t *testing.T) {
+	ro := &row{loseReply: true}
 	var mu sync.Mutex
 	seen := map[order.Fence]bool{}
 	var wg sync.WaitGroup
@@ -65,7 +65,7 @@
 			mu.Lock()
 			defer mu.Unlock()
 			if err == nil {
-				assert.Check(t, !seen[fe], "number %d was given twice", fe)
+				assert.Check(t, !seen[fe], "fencing number %d was issued twice", fe)
 				seen[fe] = true
 			}
 		})
@@ -74,10 +74,10 @@
 	assert.Assert(t, len(seen) > 0)
 }
 
-// An operator's program decides, is paused, and wakes after another has ordered
-// otherwise. The engine ignores fencing numbers. The agent must not pass the
-// late order on, also when it was restarted meanwhile and remembers nothing.
-func TestLateOrderDoesNotPass(t *testing.T) {
+// An operator's program decides, is paused, and resumes after another one has given a different
+// order. The engine ignores fencing numbers. The agent must refuse the late order, even if it was
+// restarted in the meantime and has lost its state.
+func TestOutdatedOrderIsNotSent(t *testing.T) {
 	ro := new(row)
 	is := order.NewIssuer(ro)
 	old, err := is.Next(t.Context(), "desk-1")
