--- a/core/routing/routing.go
+++ b/core/routing/routing.go
@@ -1,9 +1,8 @@
-// Package routing decides which model versions a request may run on, and in
-// which order they are tried.
+// Package routing determines which model versions a request may run on, and in which order.
 //
-// The choice of a version is made once for each stage: what the workspace
-// allows and is not withdrawn, then the session's pin, then the roll-out's
-// share of new sessions, then the stable version.
+// The version is chosen once per stage, among those that the workspace allows and that are not
+// withdrawn: the session's pinned version, else the version under roll-out for its share of new
+// sessions, else the stable version.
 //
 // # Usage
 //
@@ -18,35 +17,34 @@
 	"skylarkstand/core/declaration"
 )
 
-// Session is what a request brings from its session.
+// Session is the state of a request's session.
 type Session struct {
-	// Pins are the versions that the session runs on, by model.
+	// Pins are the versions that the session is pinned to, by model.
 	Pins map[core.ModelID]core.VersionID
-	// Draw is a number from 0 to 1 that places a new session in or out of a
-	// roll-out's share. All requests of a session have the same one.
+	// Draw is a number from 0 to 1 that decides whether a new session belongs to the share of a
+	// roll-out. It is the same for all requests of a session.
 	Draw float64
-	// Stale says that the configuration may be outdated. A version under
-	// roll-out then gets no new sessions: the halt may not have arrived.
+	// Stale reports that the configuration may be outdated. A version under roll-out then gets no
+	// new sessions, because its halt may not have arrived yet.
 	Stale bool
-	// Halted reports the versions whose roll-out this entry has halted before
-	// the configuration says so. Nil is none.
+	// Halted reports whether this entry has halted the roll-out of a version before the
+	// configuration contains the halt. If it is nil, no version is halted.
 	Halted func(core.ModelVersion) bool
 }
 
-// mayJoin reports whether a new session may be given a version that is rolled
-// out to a share of sessions.
+// mayJoin reports whether a new session may be assigned a version that is rolled out to a share of
+// sessions.
 //
-// A configuration that may be outdated must not give it more sessions: the
-// halt or the withdrawal may be on its way. Callers of an entry that was cut
-// off would meet a bad version for as long as the cut lasts. Stable versions
-// and sessions that are on the new one go on as they are.
+// A configuration that may be outdated must not assign more sessions to the version, because its
+// halt or withdrawal may not have arrived. Otherwise callers of a partitioned entry would get a bad
+// version for as long as the partition lasts. Stable versions, and sessions that are pinned to the
+// new version, are not affected.
 func (se Session) mayJoin(mv core.ModelVersion, ro *declaration.RollOut) bool {
 	halted := ro.Halted != "" || (se.Halted != nil && se.Halted(mv))
 	return !halted && !se.Stale && se.Draw*100 < float64(ro.Percent)
 }
 
-// Plan is what a request runs on: one stage for a model, several for a
-// cascade.
+// Plan is what a request runs on: one stage for a model, one or more for a cascade.
 type Plan struct {
 	Cascade core.CascadeID
 	Stages  []Stage
@@ -56,15 +54,15 @@
 type Stage struct {
 	Target  core.ModelVersion
 	Version *declaration.Version
-	// Repinned tells that the session's pin could not be kept, because its
-	// version is withdrawn or no longer allowed. The caller is told.
+	// Repinned reports that the session had to leave its pinned version, which is withdrawn or no
+	// longer allowed. The caller is informed.
 	Repinned bool
-	// Joined tells that a new session was given a version under roll-out.
+	// Joined reports that a new session was assigned a version under roll-out.
 	Joined bool
 }
 
-// Resolve works out the plan for a name, which is a cascade's or a model's.
-// Errors are [core.Failure]s that were not run.
+// Resolve returns the plan for the name of a cascade or model. Errors are [core.Failure]s with
+// [core.NotRun].
 func Resolve(sn *declaration.Snapshot, ws core.WorkspaceID, name string, se Session) (Plan, error) {
 	if ca := sn.Cascade(core.CascadeID(name)); ca != nil {
 		return resolveCascade(sn, ws, ca, se)
@@ -73,7 +71,7 @@
 	if mo == nil {
 		return Plan{}, core.Refuse(core.CodeUnknownModel, 0, "there is no model or cascade %q", name)
 	}
-	st, ok := choose(sn, ws, mo, se)
+	st, ok := chooseVersion(sn, ws, mo, se)
 	if !ok {
 		return Plan{}, core.Refuse(core.CodeNotAllowed, 0, "the workspace may use no version of %q now", name)
 	}
@@ -86,9 +84,9 @@
 	}
 	plan := Plan{Cascade: ca.ID}
 	for _, id := range ca.Stages {
-		// A stage without an allowed version is passed over: the cascade's
-		// other stages can still answer.
-		if st, ok := choose(sn, ws, sn.Model(id), se); ok {
+		// A stage without an allowed version is skipped: the other stages of the cascade can still
+		// answer.
+		if st, ok := chooseVersion(sn, ws, sn.Model(id), se); ok {
 			plan.Stages = append(plan.Stages, st)
 		}
 	}
@@ -98,8 +96,8 @@
 	return plan, nil
 }
 
-// choose picks the version of one model, or reports that none may run.
-func choose(sn *declaration.Snapshot, ws core.WorkspaceID, mo *declaration.Model, se Session) (Stage, bool) {
+// chooseVersion selects the version of one model, or reports that none may run.
+func chooseVersion(sn *declaration.Snapshot, ws core.WorkspaceID, mo *declaration.Model, se Session) (Stage, bool) {
 	if mo == nil {
 		return Stage{}, false
 	}
@@ -121,7 +119,7 @@
 	return st, ok
 }
 
-// chooseNew picks the version of a session that has none.
+// chooseNew selects the version for a session without a usable pin.
 func chooseNew(sn *declaration.Snapshot, mo *declaration.Model, se Session, stage func(core.VersionID) (Stage, bool)) (Stage, bool) {
 	ro := sn.RollOut(mo.ID)
 	if ro != nil && se.mayJoin(core.ModelVersion{Model: mo.ID, Version: ro.Version}, ro) {
@@ -133,8 +131,8 @@
 	if st, ok := stage(mo.Stable); ok {
 		return st, true
 	}
-	// The stable version may not run here. The newest one that may and is not
-	// being tried out is the nearest to what the operators meant.
+	// The stable version may not run for this workspace. The newest allowed version that is not
+	// under roll-out is the closest to what the operators intended.
 	for _, ve := range slices.Backward(mo.Versions) {
 		if ro != nil && ro.Version == ve.ID {
 			continue
