--- a/core/claim/bucket.go
+++ b/core/claim/bucket.go
@@ -11,8 +11,8 @@
 	"skylarkstand/core/meter"
 )
 
-// bucket writes one bucket of the store, one write at a time. What is below
-// waiting and serving belongs to the serving goroutine.
+// bucket writes one bucket of the store, one write at a time. The fields after waiting and serving
+// belong to the serving goroutine.
 type bucket struct {
 	tbl  *Table
 	path path
@@ -21,51 +21,51 @@
 	waiting []*change
 	serving bool
 
-	// known tells that val and rev are what this process last saw; rev 0 is
-	// an absent key.
-	known bool
-	rev   core.Revision
-	val   *value
-	// doubt tells that a write from revision doubtRev may still take effect.
-	// It cannot once the revision has moved on.
-	doubt    bool
-	doubtRev core.Revision
-	seg      *segments
+	// loaded reports whether val and rev are the last state that this process read or wrote; rev 0
+	// means that the key is absent.
+	loaded bool
+	rev    core.Revision
+	val    *bucketValue
+	// inDoubt reports whether a write from revision inDoubtRev may still take effect. It cannot
+	// once the revision has changed.
+	inDoubt    bool
+	inDoubtRev core.Revision
+	seg        *segmentIndex
 }
 
 func newBucket(tbl *Table, pa path) *bucket {
-	return &bucket{tbl: tbl, path: pa, val: &value{}, seg: newSegments(tbl, pa)}
+	return &bucket{tbl: tbl, path: pa, val: &bucketValue{}, seg: newSegmentIndex(tbl, pa)}
 }
 
 const (
-	// firstPause and maxPause space the tries while the store fails. A claim
-	// that comes during an outage waits that long at most for its refusal.
-	firstPause = 20 * time.Millisecond
-	maxPause   = 500 * time.Millisecond
-	// callLimit bounds one call to the store.
-	callLimit = 2 * time.Second
+	// minBackoff and maxBackoff bound the backoff while the store fails. A claim that arrives
+	// during an outage waits at most maxBackoff to be refused.
+	minBackoff = 20 * time.Millisecond
+	maxBackoff = 500 * time.Millisecond
+	// callTimeout bounds one call to the store.
+	callTimeout = 2 * time.Second
 )
 
-// serve writes until nothing waits.
+// serve writes the queued changes until none is left.
 func (bu *bucket) serve() {
 	var open []*change
-	pause := firstPause
+	backoff := minBackoff
 	for bu.tbl.ctx.Err() == nil {
-		if len(open) == 0 && bu.idle() {
+		if len(open) == 0 && bu.stopIfIdle() {
 			return
 		}
 		if bu.tbl.budget.Wait(bu.tbl.ctx) != nil {
 			return
 		}
-		open = append(open, bu.take()...)
+		open = append(open, bu.takeWaiting()...)
 		var ok bool
-		open, ok = bu.round(open)
+		open, ok = bu.writeBatch(open)
 		if ok {
-			pause = firstPause
+			backoff = minBackoff
 			continue
 		}
-		bu.sleep(pause)
-		pause = min(2*pause, maxPause)
+		bu.sleep(backoff)
+		backoff = min(2*backoff, maxBackoff)
 	}
 }
 
@@ -76,23 +76,23 @@
 	}
 }
 
-// idle ends serving when nothing waits. A later change starts it again.
-func (bu *bucket) idle() bool {
+// stopIfIdle stops serving when no change waits. A later change starts it again.
+func (bu *bucket) stopIfIdle() bool {
 	bu.tbl.mu.Lock()
 	defer bu.tbl.mu.Unlock()
 	if len(bu.waiting) > 0 {
 		return false
 	}
 	bu.serving = false
-	bu.tbl.serving--
-	if bu.tbl.serving == 0 && bu.tbl.idle != nil {
+	bu.tbl.activeBuckets--
+	if bu.tbl.activeBuckets == 0 && bu.tbl.idle != nil {
 		close(bu.tbl.idle)
 		bu.tbl.idle = nil
 	}
 	return true
 }
 
-func (bu *bucket) take() []*change {
+func (bu *bucket) takeWaiting() []*change {
 	bu.tbl.mu.Lock()
 	defer bu.tbl.mu.Unlock()
 	took := bu.waiting
@@ -105,24 +105,23 @@
 	return took
 }
 
-// round makes one write of all open changes, after one read if need be. It
-// returns the changes that are still open and false when the store failed.
-func (bu *bucket) round(open []*change) ([]*change, bool) {
-	fresh := !bu.known
+// writeBatch writes all open changes in one write, after one read if needed. It returns the changes
+// that are still open, and false when the store failed.
+func (bu *bucket) writeBatch(open []*change) ([]*change, bool) {
+	justLoaded := !bu.loaded
 	ed, results, ok := bu.edit(open)
-	if ok && !fresh && unsettled(results) {
-		bu.known = false
+	if ok && !justLoaded && hasProvisional(results) {
+		bu.loaded = false
 		ed, results, ok = bu.edit(open)
 	}
 	if !ok {
-		bu.known = false
+		bu.loaded = false
 		return bu.refuse(open), false
 	}
-	bu.fold(ed)
-	// A write in doubt takes effect from this revision or never. While the
-	// revision is unmoved only another write keeps it from doing so, also
-	// when nothing is left to be changed.
-	if ed.changed || bu.doubt {
+	bu.archive(ed)
+	// A write in doubt takes effect from this revision or never. While the revision is unchanged,
+	// only another write prevents it, so one is made even when there is nothing to change.
+	if ed.changed || bu.inDoubt {
 		switch err := bu.write(&ed.val); {
 		case errors.Is(err, core.ErrConflict):
 			return open, true
@@ -130,29 +129,29 @@
 			return bu.refuse(open), false
 		case err != nil:
 			for _, ch := range open {
-				ch.sent = true
+				ch.maybeWritten = true
 			}
 			return open, false
 		}
-		bu.seg.drop(bu.val.First)
+		bu.seg.deleteBefore(bu.val.First)
 	}
-	bu.tell(open, results)
+	bu.deliverResults(open, results)
 	return nil, true
 }
 
-// edit applies the changes to the bucket as it is known, or as it is read now.
+// edit applies the changes to the bucket as last loaded, and loads it first if needed.
 func (bu *bucket) edit(open []*change) (*editor, []result, bool) {
-	if !bu.known && !bu.load() {
+	if !bu.loaded && !bu.load() {
 		return nil, nil, false
 	}
-	if !bu.seg.learn(bu.val) {
+	if !bu.seg.loadNew(bu.val) {
 		return nil, nil, false
 	}
-	folded, ok := bu.seg.recall(bu.val, open)
+	archived, ok := bu.seg.lookUp(bu.val, open)
 	if !ok {
 		return nil, nil, false
 	}
-	ed := newEditor(bu.tbl, time.Now(), bu.val, bu.seg, folded)
+	ed := newEditor(bu.tbl, time.Now(), bu.val, bu.seg, archived)
 	results := make([]result, len(open))
 	for i, ch := range open {
 		results[i] = ed.apply(ch)
@@ -160,41 +159,41 @@
 	return ed, results, true
 }
 
-// fold moves the done claims of a bucket that has grown into a segment. It
-// takes those that the store has accepted. When the segment cannot be written
-// the bucket stays as it is, and the next write tries again.
-func (bu *bucket) fold(ed *editor) {
-	if ed.done < bu.tbl.room/foldShare {
+// archive moves the done claims of a large bucket into a segment. It takes only claims that the
+// store has accepted. If the segment cannot be written, the bucket stays as it is and the next
+// write tries again.
+func (bu *bucket) archive(ed *editor) {
+	if ed.doneBytes < bu.tbl.maxBucketBytes/archiveDivisor {
 		return
 	}
 	claims, ok := bu.seg.create(bu.val)
 	if ok {
-		ed.fold(bu.val.Last+1, claims)
+		ed.removeArchived(bu.val.Last+1, claims)
 	}
 }
 
-// foldShare is the part of a bucket's room, one of so many, that done claims
-// take before they are folded. Each write of the bucket carries them: with
-// more the writes of a busy bucket fill the link between the regions, with
-// less the segments use up the store's writes. At 2,000 claims a second of 500
-// bytes it makes some eight segments a second in all.
-const foldShare = 8
+// archiveDivisor sets the threshold: done claims are archived when they take 1/archiveDivisor of
+// the bucket's maximum size. Each write of the bucket carries them: a higher threshold lets the
+// writes of a busy bucket fill the link between the regions, a lower one uses up the store's write
+// rate on segments. At 2,000 claims a second of 500 bytes each it makes some eight segments a
+// second in total.
+const archiveDivisor = 8
 
-func unsettled(results []result) bool {
+func hasProvisional(results []result) bool {
 	for _, res := range results {
-		if !res.settled {
+		if !res.final {
 			return true
 		}
 	}
 	return false
 }
 
-// load reads the bucket.
+// load reads the bucket from the store.
 func (bu *bucket) load() bool {
-	ctx, cancel := context.WithTimeout(bu.tbl.ctx, callLimit)
+	ctx, cancel := context.WithTimeout(bu.tbl.ctx, callTimeout)
 	defer cancel()
 	it, err := bu.tbl.store.Get(ctx, string(bu.path))
-	val := &value{}
+	val := &bucketValue{}
 	switch {
 	case errors.Is(err, core.ErrNotFound):
 		it.Revision = 0
@@ -206,18 +205,19 @@
 			return false
 		}
 	}
-	bu.known, bu.rev, bu.val = true, it.Revision, val
-	bu.doubt = bu.doubt && bu.doubtRev == bu.rev
+	bu.loaded, bu.rev, bu.val = true, it.Revision, val
+	bu.inDoubt = bu.inDoubt && bu.inDoubtRev == bu.rev
 	return true
 }
 
-// write replaces the bucket if it is still what this process saw.
-func (bu *bucket) write(val *value) error {
+// write replaces the bucket if its revision has not changed since this process last read or wrote
+// it.
+func (bu *bucket) write(val *bucketValue) error {
 	raw, err := json.Marshal(val)
 	if err != nil {
 		return err
 	}
-	ctx, cancel := context.WithTimeout(bu.tbl.ctx, callLimit)
+	ctx, cancel := context.WithTimeout(bu.tbl.ctx, callTimeout)
 	defer cancel()
 	var rev core.Revision
 	if bu.rev == 0 {
@@ -228,25 +228,25 @@
 	meter.ClaimWrites.Inc(bu.tbl.deps.Metrics)
 	switch {
 	case err == nil:
-		bu.rev, bu.val, bu.doubt = rev, val, false
+		bu.rev, bu.val, bu.inDoubt = rev, val, false
 	case errors.Is(err, core.ErrUnavailable):
 	case errors.Is(err, core.ErrConflict):
-		// Either another process wrote, or our own earlier write took effect.
-		bu.known = false
+		// Either another process wrote, or an earlier write of this process took effect.
+		bu.loaded = false
 	default:
-		bu.known, bu.doubt, bu.doubtRev = false, true, bu.rev
+		bu.loaded, bu.inDoubt, bu.inDoubtRev = false, true, bu.rev
 	}
 	return err
 }
 
-// refuse answers the claims that certainly were not written, because the
-// store is away, and keeps the rest: answers and releases are owed, and a
-// claim that was sent in an unsettled write must be read back.
+// refuse fails the claims that were certainly not written, because the store is unavailable, and
+// returns the rest: answers and releases must still be written, and a claim that was part of an
+// unsettled write must be read back.
 func (bu *bucket) refuse(open []*change) []*change {
 	var kept []*change
 	for _, ch := range open {
-		if ch.kind == claiming && !ch.sent {
-			ch.tell(result{err: ErrAway})
+		if ch.kind == claiming && !ch.maybeWritten {
+			ch.deliver(result{err: ErrAway})
 			continue
 		}
 		kept = append(kept, ch)
@@ -254,18 +254,18 @@
 	return kept
 }
 
-// tell gives the results out. A claim whose caller gave up while it was being
-// written is released: nobody will ever run it.
-func (bu *bucket) tell(open []*change, results []result) {
+// deliverResults sends the results to the callers. A claim whose caller abandoned it during the
+// write is released: no process will ever run it.
+func (bu *bucket) deliverResults(open []*change, results []result) {
 	for i, ch := range open {
 		owned := ch.kind == claiming && results[i].out.State == Owned
 		switch {
 		case owned:
-			bu.tbl.hold(ch.req.Attempt)
+			bu.tbl.trackOwned(ch.req.Attempt)
 		case ch.kind != claiming:
-			bu.tbl.drop(ch.req.Attempt)
+			bu.tbl.untrackOwned(ch.req.Attempt)
 		}
-		if !ch.tell(results[i]) && owned {
+		if !ch.deliver(results[i]) && owned {
 			_ = bu.tbl.enqueue(newChange(releasing, ch.req))
 		}
 	}
--- a/core/claim/change.go
+++ b/core/claim/change.go
@@ -2,47 +2,49 @@
 
 import "sync/atomic"
 
-// kind is what a change does to its key's claim.
-type kind int
+// changeKind is the effect of a change on its key's claim.
+type changeKind int
 
 const (
-	claiming kind = iota
+	claiming changeKind = iota
 	finishing
 	releasing
 )
 
-// The states of a claiming change, which its caller and its bucket race to
-// move out of pending.
+// The states of a claiming change. The caller that waits for it and the goroutine that serves its
+// bucket race to move it out of pending.
 const (
 	pending int32 = iota
-	told
+	delivered
 	abandoned
 )
 
-// change is one claim, answer or release on its way into a bucket.
+// change is one claim, answer or release that waits to be written to a bucket.
 type change struct {
-	kind   kind
+	kind   changeKind
 	req    Request
 	answer Answer
 	result chan result
 	state  atomic.Int32
-	// sent tells that it was part of a write whose outcome is unknown. Only
+	// maybeWritten reports whether the change was part of a write whose outcome is unknown. Only
 	// the bucket's goroutine uses it.
-	sent bool
+	maybeWritten bool
 }
 
-func newChange(ki kind, req Request) *change {
+func newChange(ki changeKind, req Request) *change {
 	return &change{kind: ki, req: req, result: make(chan result, 1)}
 }
 
-// giveUp reports whether the caller was first; nothing is told to it then.
-func (ch *change) giveUp() bool { return ch.state.CompareAndSwap(pending, abandoned) }
+// abandon marks the change as abandoned by its caller. It reports false when the result has already
+// been delivered; after true, none ever will be.
+func (ch *change) abandon() bool { return ch.state.CompareAndSwap(pending, abandoned) }
 
-func (ch *change) givenUp() bool { return ch.state.Load() == abandoned }
+func (ch *change) isAbandoned() bool { return ch.state.Load() == abandoned }
 
-// tell reports whether the bucket was first; the result is then the caller's.
-func (ch *change) tell(res result) bool {
-	if !ch.state.CompareAndSwap(pending, told) {
+// deliver sends the result to the caller. It reports false when the caller has abandoned the
+// change; the result is then dropped.
+func (ch *change) deliver(res result) bool {
+	if !ch.state.CompareAndSwap(pending, delivered) {
 		return false
 	}
 	ch.result <- res
--- a/core/claim/figures_test.go
+++ b/core/claim/figures_test.go
@@ -17,11 +17,11 @@
 	"skylarkstand/test/figure"
 )
 
-// The load: 3 agents of one service, its 16 buckets given to one agent each as
-// entries do, 1,500 callers that each send the next operation when the last
-// was answered, an upstream that answers at once with 100 bytes. The store
-// takes 5 ms a call and refuses what is above 100 writes a second. Measured in
-// real time on one machine, so the cost of encoding the buckets is in it.
+// The load: 3 agents of one service, each serving its share of the 16 buckets as entries route
+// them, 1,500 callers that send the next operation as soon as the last was answered, and an
+// upstream that answers at once with 100 bytes. The store takes 5 ms a call and refuses more than
+// 100 writes a second. The figures are taken in real time on one machine, so they include the cost
+// of encoding the buckets.
 const (
 	figureAgents  = 3
 	figureCallers = 1500
@@ -30,7 +30,7 @@
 
 func TestFiguresClaims(t *testing.T) {
 	if os.Getenv("SKYLARKSTAND_MEASURE") != "1" {
-		t.Skip("measures only")
+		t.Skip("set SKYLARKSTAND_MEASURE=1 to measure")
 	}
 	st := fakestore.New(fakestore.With(fakestore.Faults{Latency: 5 * time.Millisecond, WritesPerSecond: 100}))
 	var tables []*claim.Table
--- a/core/claim/fold_test.go
+++ b/core/claim/fold_test.go
@@ -14,9 +14,9 @@
 	"skylarkstand/test/fakestore"
 )
 
-// A service loses the answers of a whole season, so that a bucket fills with
-// claims of unknown outcome. Dropping one would let its repeat run twice, so
-// new keys are refused, and the old ones are still known.
+// A service fails to answer for a long time, so that a bucket fills with claims of unknown outcome.
+// Dropping one would let its retry run twice, so new keys must be refused and the old ones stay
+// claimed.
 func TestFullBucketRefuses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		st := fakestore.New()
@@ -46,14 +46,14 @@
 		assert.Equal(t, out.State, claim.Claimed)
 		its, err := st.List(t.Context(), "claims/")
 		assert.NilError(t, err)
-		assert.Assert(t, len(its) > 10, "nothing was folded")
+		assert.Assert(t, len(its) > 10, "no claims were archived: %d keys", len(its))
 		for _, it := range its {
 			assert.Assert(t, len(it.Value) <= 64<<10)
 		}
 	})
 }
 
-// sameBucket returns requests of different keys that share one bucket.
+// sameBucket returns requests with different keys that share one bucket.
 func sameBucket(count int) []claim.Request {
 	var reqs []claim.Request
 	for no := 0; len(reqs) < count; no++ {
@@ -65,12 +65,12 @@
 	return reqs
 }
 
-// A busy bucket is folded again and again, and its agent is replaced. A caller
-// that repeats its key the next day must get its answer from the agent that
-// came new, and after the retention the store must be empty of the claims.
-func TestFoldedClaims(t *testing.T) {
+// A busy bucket is archived many times and its agent is replaced. A caller that retries its key the
+// next day must get the stored answer from the new agent, and after the retention the claims must
+// be gone from the store.
+func TestArchivedClaims(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		wo := newWorld(2)
+		wo := newHarness(2)
 		defer wo.stop()
 		const many = 40
 		reqs := sameBucket(many + 12)
@@ -79,7 +79,7 @@
 		for at := time.Now(); reqs[0].Key.Bucket() != 0 || len(reqs[0].Key.Idempotency) < 36; at = at.Add(time.Millisecond) {
 			reqs[0].Key.Idempotency = keyOf(at)
 		}
-		wo.runAll(t, reqs[:many])
+		wo.claimAndFinishAll(t, reqs[:many])
 		time.Sleep(23 * time.Hour)
 		for _, req := range reqs[:many] {
 			first := req.Attempt
@@ -94,16 +94,17 @@
 		}
 		before, err := wo.st.List(t.Context(), "claims/")
 		assert.NilError(t, err)
-		// An hour after a day the first segments go, and nothing of the head.
-		wo.runAll(t, reqs[many:])
+		// A day and an hour later the first segments are deleted, while the bucket itself keeps its
+		// claims.
+		wo.claimAndFinishAll(t, reqs[many:])
 		time.Sleep(2 * time.Hour)
 		longer, cleanup := claim.New(core.NewDeps(), wo.st, claim.Retention(1000*time.Hour), claim.Room(4<<10))
 		defer cleanup()
-		wo.runAll(t, fresh[:1])
+		wo.claimAndFinishAll(t, fresh[:1])
 		_, err = longer.Claim(t.Context(), reqs[0])
 		assert.ErrorIs(t, err, claim.ErrExpired)
 		time.Sleep(50 * time.Hour)
-		wo.runAll(t, fresh[1:])
+		wo.claimAndFinishAll(t, fresh[1:])
 		time.Sleep(time.Minute)
 		after, err := wo.st.List(t.Context(), "claims/")
 		assert.NilError(t, err)
@@ -114,8 +115,8 @@
 	})
 }
 
-// runAll claims and answers requests with their attempts at the first agent.
-func (wo *world) runAll(t *testing.T, reqs []claim.Request) {
+// claimAndFinishAll claims each request at the first agent and stores its attempt ID as the answer.
+func (wo *harness) claimAndFinishAll(t *testing.T, reqs []claim.Request) {
 	for _, req := range reqs {
 		out, err := wo.agents[0].tbl.Claim(t.Context(), req)
 		assert.NilError(t, err)
@@ -124,14 +125,13 @@
 	}
 }
 
-// The store loses the reply to a segment, or the segment itself, while a
-// bucket is folded. The next fold meets a segment that holds less than the
-// bucket has done by then. A claim that is in neither would run again when its
-// caller repeats it.
-func TestFoldInDoubt(t *testing.T) {
+// While a bucket is archived, the store loses the reply to the segment's write, or the segment
+// itself. The next attempt to archive then finds a segment that holds fewer claims than the bucket
+// has done by then. A claim that is in neither would run again when its caller retries it.
+func TestArchiveInDoubt(t *testing.T) {
 	for _, faults := range []fakestore.Faults{{LoseReply: 1}, {LoseWrite: 1}, {Refuse: 1}} {
 		synctest.Test(t, func(t *testing.T) {
-			wo := newWorld(2)
+			wo := newHarness(2)
 			defer wo.stop()
 			done := false
 			wo.st.Before(func(op fakestore.Op) {
@@ -144,7 +144,7 @@
 				}
 			})
 			reqs := sameBucket(12)
-			wo.runAll(t, reqs)
+			wo.claimAndFinishAll(t, reqs)
 			assert.Assert(t, done)
 			for _, req := range reqs {
 				req.Attempt = "again"
--- a/core/claim/history_test.go
+++ b/core/claim/history_test.go
@@ -12,16 +12,16 @@
 	"skylarkstand/core/claim"
 )
 
-type kind int
+type operationKind int
 
 const (
-	claiming kind = iota
+	claiming operationKind = iota
 	finishing
 	releasing
 )
 
 type input struct {
-	kind    kind
+	kind    operationKind
 	attempt core.AttemptID
 }
 
@@ -31,26 +31,26 @@
 	err     error
 }
 
-// entry is a key's claim in the sequential model.
-type entry struct {
+// modelClaim is a key's claim in the sequential model.
+type modelClaim struct {
 	state   claim.State
 	attempt core.AttemptID
 }
 
-func (wo *world) begin(in input, key string) int {
+func (wo *harness) recordCall(in input, key string) int {
 	wo.mu.Lock()
 	defer wo.mu.Unlock()
-	op := porcupine.Operation{ClientId: len(wo.history), Input: in, Output: output{err: errOpen}, Metadata: key, Call: now(), Return: math.MaxInt64}
+	op := porcupine.Operation{ClientId: len(wo.history), Input: in, Output: output{err: errNeverReturned}, Metadata: key, Call: now(), Return: math.MaxInt64}
 	wo.history = append(wo.history, op)
 	return len(wo.history) - 1
 }
 
-// errOpen marks a call that never returned, its agent being dead.
-var errOpen = errors.New("open")
+// errNeverReturned marks a call that never returned because its agent died.
+var errNeverReturned = errors.New("open")
 
-// end notes what a call returned. A claim that ended unsettled may take effect
-// at any later time and is released some time after that.
-func (wo *world) end(op int, out output) {
+// recordReturn records the result of a call. A claim that ended unsettled may take effect at any
+// later time and is released some time after that.
+func (wo *harness) recordReturn(op int, out output) {
 	wo.mu.Lock()
 	defer wo.mu.Unlock()
 	wo.history[op].Output = out
@@ -63,57 +63,57 @@
 		return
 	}
 	wo.history = append(wo.history, porcupine.Operation{
-		ClientId: len(wo.history), Input: input{releasing, in.attempt}, Output: output{err: errOpen},
+		ClientId: len(wo.history), Input: input{releasing, in.attempt}, Output: output{err: errNeverReturned},
 		Metadata: wo.history[op].Metadata, Call: wo.history[op].Call, Return: math.MaxInt64,
 	})
 }
 
 func now() int64 { return time.Now().UnixNano() }
 
-// step returns the states that a claim may be in after an operation, none when
-// the operation cannot have had its result.
-func step(en entry, in input, out output) []entry {
+// step returns the possible states of a claim after an operation, or none when the operation cannot
+// have had its result.
+func step(en modelClaim, in input, out output) []modelClaim {
 	own := en.attempt == in.attempt && en.state == claim.Claimed
-	var after entry
+	var after modelClaim
 	switch {
 	case in.kind == claiming && en.state == "":
-		after = entry{claim.Claimed, in.attempt}
+		after = modelClaim{claim.Claimed, in.attempt}
 	case in.kind == finishing && own:
-		after = entry{claim.Done, in.attempt}
+		after = modelClaim{claim.Done, in.attempt}
 	case in.kind == releasing && own:
-		after = entry{}
+		after = modelClaim{}
 	default:
 		after = en
 	}
 	switch {
-	case errors.Is(out.err, claim.ErrUnsettled), errors.Is(out.err, errOpen):
-		return []entry{en, after}
+	case errors.Is(out.err, claim.ErrUnsettled), errors.Is(out.err, errNeverReturned):
+		return []modelClaim{en, after}
 	case out.err != nil:
-		return []entry{en}
+		return []modelClaim{en}
 	case in.kind != claiming:
-		return []entry{after}
+		return []modelClaim{after}
 	}
-	met := entry{out.state, out.attempt}
+	observed := modelClaim{out.state, out.attempt}
 	if out.state == claim.Owned {
-		met = entry{claim.Claimed, in.attempt}
+		observed = modelClaim{claim.Claimed, in.attempt}
 		if en.state != "" {
 			return nil
 		}
 	}
-	if after != met {
+	if after != observed {
 		return nil
 	}
-	return []entry{after}
+	return []modelClaim{after}
 }
 
-// linear checks that each key's history is one of a claim that takes its
+// checkLinearizable checks that each key's history is that of one claim that processes its
 // operations one at a time.
-func (wo *world) linear(rt *rapid.T) {
+func (wo *harness) checkLinearizable(rt *rapid.T) {
 	model := porcupine.NondeterministicModel{
-		Init: func() []any { return []any{entry{}} },
+		Init: func() []any { return []any{modelClaim{}} },
 		Step: func(state, in, out any) []any {
 			var next []any
-			for _, en := range step(state.(entry), in.(input), out.(output)) {
+			for _, en := range step(state.(modelClaim), in.(input), out.(output)) {
 				next = append(next, en)
 			}
 			return next
--- a/core/claim/key.go
+++ b/core/claim/key.go
@@ -14,35 +14,35 @@
 	"skylarkstand/core"
 )
 
-// Key is what may run once.
+// Key identifies an operation that may run at most once.
 type Key struct {
 	Workspace core.WorkspaceID
 	Service   core.ServiceID
 	Operation core.OperationID
-	// Idempotency is the caller's key.
+	// Idempotency is the idempotency key that the caller sent.
 	Idempotency string
 }
 
-// text is the whole key without ambiguity.
-func (ke Key) text() string {
+// canonicalText encodes the whole key unambiguously: no two keys have the same text.
+func (ke Key) canonicalText() string {
 	return fmt.Sprintf("%q/%q/%q/%q", ke.Workspace, ke.Service, ke.Operation, ke.Idempotency)
 }
 
 // Bucket returns the number of the key's bucket, from 0 to Buckets-1. Entries
 // use it to send the keys of one bucket to one agent.
-func (ke Key) Bucket() int { return int(xxhash.Sum64String(ke.text()) % Buckets) }
+func (ke Key) Bucket() int { return int(xxhash.Sum64String(ke.canonicalText()) % Buckets) }
 
-// path is the store's key of a bucket.
+// path is the key of a bucket in the store.
 type path string
 
 func (ke Key) path() path { return path(fmt.Sprintf("claims/%s/%d", ke.Service, ke.Bucket())) }
 
-// fingerprint stands for a key in a bucket. Two keys with one fingerprint
-// would be taken for one operation, so it is a cryptographic hash, of 128 bits.
+// fingerprint identifies a key within its bucket. A collision would make two operations share one
+// claim, so it is a cryptographic hash of 128 bits.
 type fingerprint [16]byte
 
 func (ke Key) fingerprint() fingerprint {
-	sum := sha256.Sum256([]byte(ke.text()))
+	sum := sha256.Sum256([]byte(ke.canonicalText()))
 	return fingerprint(sum[:16])
 }
 
@@ -61,10 +61,10 @@
 	return err
 }
 
-var errFingerprint = errors.New("claim: a fingerprint has another length")
+var errFingerprint = errors.New("claim: fingerprint does not decode to 16 bytes")
 
-// made returns the time that a UUIDv7 key tells, false for any other key.
-func (ke Key) made() (time.Time, bool) {
+// creationTime returns the timestamp of a UUIDv7 key, and false for any other key.
+func (ke Key) creationTime() (time.Time, bool) {
 	id, err := uuid.Parse(ke.Idempotency)
 	if err != nil || id.Version() != 7 {
 		return time.Time{}, false
--- a/core/claim/segment.go
+++ b/core/claim/segment.go
@@ -10,38 +10,37 @@
 	"skylarkstand/core/event"
 )
 
-// segment is the stored form of folded claims. All are done.
+// segment is the stored form of archived claims. All of them are done.
 type segment struct {
 	Claims []record `json:"claims"`
 }
 
-// segments is what a process knows of one bucket's segments. It belongs to the
-// bucket's serving goroutine.
+// segmentIndex is this process's index of one bucket's segments. It belongs to the bucket's serving
+// goroutine.
 //
-// Segment n is created only by a process that read a bucket whose last segment
-// was n-1, out of the claims that were done there. A done claim never changes,
-// so whoever's segment stands, it may be taken as segment n: the bucket then
-// loses those of its claims that the segment holds. A process that dies between
-// the two leaves a segment that the next one takes.
-type segments struct {
+// Segment n is created only by a process that read a bucket whose last segment was n-1, from the
+// done claims in it. A done claim never changes, so any process's segment is valid as segment n:
+// the bucket then removes those of its claims that the segment holds. If a process dies after it
+// wrote a segment and before it updated the bucket, the next process adopts that segment.
+type segmentIndex struct {
 	tbl  *Table
 	path path
-	// known is up to which segment the maps are filled.
-	known  uint64
-	index  map[fingerprint]uint64
-	newest map[uint64]int64
-	rev    map[uint64]core.Revision
+	// loadedThrough is the number of the last segment in the maps.
+	loadedThrough uint64
+	segmentOf     map[fingerprint]uint64
+	newest        map[uint64]int64
+	revisions     map[uint64]core.Revision
 }
 
-func newSegments(tbl *Table, pa path) *segments {
-	return &segments{tbl: tbl, path: pa, index: map[fingerprint]uint64{}, newest: map[uint64]int64{}, rev: map[uint64]core.Revision{}}
+func newSegmentIndex(tbl *Table, pa path) *segmentIndex {
+	return &segmentIndex{tbl: tbl, path: pa, segmentOf: map[fingerprint]uint64{}, newest: map[uint64]int64{}, revisions: map[uint64]core.Revision{}}
 }
 
-func (seg *segments) key(n uint64) string { return fmt.Sprintf("%s/%d", seg.path, n) }
+func (seg *segmentIndex) key(n uint64) string { return fmt.Sprintf("%s/%d", seg.path, n) }
 
-// learn reads the segments of a bucket that are not known yet.
-func (seg *segments) learn(val *value) bool {
-	for n := max(seg.known+1, val.First); n <= val.Last; n++ {
+// loadNew reads the bucket's segments that are not in the index yet.
+func (seg *segmentIndex) loadNew(val *bucketValue) bool {
+	for n := max(seg.loadedThrough+1, val.First); n <= val.Last; n++ {
 		claims, rev, ok := seg.read(n)
 		if !ok {
 			return false
@@ -51,16 +50,16 @@
 	return true
 }
 
-func (seg *segments) add(n uint64, rev core.Revision, claims []record) {
+func (seg *segmentIndex) add(n uint64, rev core.Revision, claims []record) {
 	for _, re := range claims {
-		seg.index[re.Key] = n
+		seg.segmentOf[re.Key] = n
 		seg.newest[n] = max(seg.newest[n], re.At)
 	}
-	seg.known, seg.rev[n] = n, rev
+	seg.loadedThrough, seg.revisions[n] = n, rev
 }
 
-func (seg *segments) read(n uint64) ([]record, core.Revision, bool) {
-	ctx, cancel := context.WithTimeout(seg.tbl.ctx, callLimit)
+func (seg *segmentIndex) read(n uint64) ([]record, core.Revision, bool) {
+	ctx, cancel := context.WithTimeout(seg.tbl.ctx, callTimeout)
 	defer cancel()
 	it, err := seg.tbl.store.Get(ctx, seg.key(n))
 	var sg segment
@@ -76,13 +75,13 @@
 	return sg.Claims, it.Revision, true
 }
 
-// recall reads the folded claims of the keys that are to be changed.
-func (seg *segments) recall(val *value, open []*change) (map[fingerprint]record, bool) {
-	folded := map[fingerprint]record{}
+// lookUp reads the archived claims of the keys to be changed.
+func (seg *segmentIndex) lookUp(val *bucketValue, open []*change) (map[fingerprint]record, bool) {
+	archived := map[fingerprint]record{}
 	read := map[uint64][]record{}
 	for _, ch := range open {
 		key := ch.req.Key.fingerprint()
-		n := seg.index[key]
+		n := seg.segmentOf[key]
 		if n == 0 || n < val.First || ch.kind == releasing {
 			continue
 		}
@@ -94,16 +93,16 @@
 		}
 		for _, re := range read[n] {
 			if re.Key == key {
-				folded[key] = re
+				archived[key] = re
 			}
 		}
 	}
-	return folded, true
+	return archived, true
 }
 
-// create writes the next segment out of a bucket's done claims, or takes the
-// one that stands. It counts against the process's budget of writes.
-func (seg *segments) create(val *value) ([]record, bool) {
+// create writes the next segment from the bucket's done claims, or adopts the segment that already
+// exists. It counts against the process's write budget.
+func (seg *segmentIndex) create(val *bucketValue) ([]record, bool) {
 	var sg segment
 	for _, re := range val.Claims {
 		if re.State == Done {
@@ -114,7 +113,7 @@
 	if err != nil || len(sg.Claims) == 0 || seg.tbl.budget.Wait(seg.tbl.ctx) != nil {
 		return nil, false
 	}
-	ctx, cancel := context.WithTimeout(seg.tbl.ctx, callLimit)
+	ctx, cancel := context.WithTimeout(seg.tbl.ctx, callTimeout)
 	defer cancel()
 	n := val.Last + 1
 	rev, err := seg.tbl.store.Create(ctx, seg.key(n), raw, "")
@@ -130,30 +129,30 @@
 	return sg.Claims, true
 }
 
-// drop removes the segments before the first that the bucket still names, at
-// best effort: one that stays takes room in the store and is never read.
-func (seg *segments) drop(first uint64) {
-	dropped := false
-	for n, rev := range seg.rev {
+// deleteBefore deletes the segments before first, the first segment that the bucket still refers
+// to, at best effort: one that remains takes space in the store and is never read.
+func (seg *segmentIndex) deleteBefore(first uint64) {
+	deleted := false
+	for n, rev := range seg.revisions {
 		if n >= first {
 			continue
 		}
-		dropped = true
-		delete(seg.rev, n)
+		deleted = true
+		delete(seg.revisions, n)
 		delete(seg.newest, n)
 		if seg.tbl.budget.Wait(seg.tbl.ctx) != nil {
 			return
 		}
-		ctx, cancel := context.WithTimeout(seg.tbl.ctx, callLimit)
+		ctx, cancel := context.WithTimeout(seg.tbl.ctx, callTimeout)
 		_ = seg.tbl.store.Delete(ctx, seg.key(n), rev)
 		cancel()
 	}
-	if !dropped {
+	if !deleted {
 		return
 	}
-	for key, n := range seg.index {
+	for key, n := range seg.segmentOf {
 		if n < first {
-			delete(seg.index, key)
+			delete(seg.segmentOf, key)
 		}
 	}
 }
--- a/core/claim/table_test.go
+++ b/core/claim/table_test.go
@@ -15,10 +15,10 @@
 	"skylarkstand/test/fakestore"
 )
 
-// The store is slow, or loses a write that takes effect minutes later, and the
-// caller gives up meanwhile. It was told "not run", so nobody will ever run
-// that claim: left standing, the caller's key could never be used again.
-func TestGivenUpClaimIsReleased(t *testing.T) {
+// The store is slow, or a write that appeared lost takes effect minutes later, and the caller gives
+// up meanwhile. Its request was answered "not run", so no process will ever run that claim: if it
+// remained, the caller's key could never be used again.
+func TestAbandonedClaimIsReleased(t *testing.T) {
 	scenarios := []struct {
 		testName string
 		faults   fakestore.Faults
@@ -29,7 +29,7 @@
 	for _, sc := range scenarios {
 		t.Run(sc.testName, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				wo := newWorld(2)
+				wo := newHarness(2)
 				defer wo.stop()
 				wo.st.Set(sc.faults)
 				ctx, cancel := context.WithTimeout(t.Context(), 1500*time.Millisecond)
@@ -47,11 +47,11 @@
 	}
 }
 
-// A store that is down refuses before anything is written: the caller is told
-// at once that nothing is claimed, and the same key works once it is back.
+// A store that is down refuses before anything is written: the caller must be told at once that
+// nothing was claimed, and the same key must work once the store is up again.
 func TestStoreDown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		wo := newWorld(1)
+		wo := newHarness(1)
 		defer wo.agents[0].stop()
 		wo.st.Set(fakestore.Faults{Down: true})
 		began := time.Now()
@@ -65,12 +65,12 @@
 	})
 }
 
-// An agent stops as planned while the store is away for some seconds. The
-// answer of its last operation is known but not stored; were it dropped, the
-// caller's repeat would be told for good that the outcome is unknown.
+// An agent stops as planned while the store is down for some seconds. The answer of its last
+// operation is known but not stored. If it were dropped, the caller's retry would permanently be
+// answered "outcome unknown".
 func TestStopStoresAnswers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		wo := newWorld(2)
+		wo := newHarness(2)
 		defer wo.stop()
 		req := request("key", "one")
 		_, err := wo.agents[0].tbl.Claim(t.Context(), req)
@@ -87,12 +87,12 @@
 	})
 }
 
-// A caller repeats its key after days. Its first answer is long dropped; when
-// the key tells no time nobody can know, but a time-ordered key must be
-// refused, also by an agent whose clock stands still, or the claim runs twice.
+// A caller retries its key after days, when its first answer has been dropped. A key without a
+// timestamp cannot be checked, but a time-ordered key must be refused, also by an agent whose clock
+// stands still; otherwise the operation runs twice.
 func TestRetention(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		wo := newWorld(1)
+		wo := newHarness(1)
 		ag := wo.agents[0]
 		defer ag.stop()
 		key := keyOf(time.Now())
@@ -105,7 +105,7 @@
 		assert.NilError(t, err)
 		assert.Equal(t, out.State, claim.Done)
 		time.Sleep(50 * time.Hour)
-		// Another agent keeps claims longer than the one that dropped this one.
+		// An agent with a longer retention than the one that dropped this claim.
 		assert.NilError(t, err)
 		other := request("other-0", "four")
 		for i := 0; other.Key.Bucket() != request(key, "").Key.Bucket(); i++ {
@@ -124,7 +124,7 @@
 	})
 }
 
-// keyOf returns a UUIDv7 of a time; the library's own is of real time.
+// keyOf returns a UUIDv7 of the given time; the uuid library always uses real time.
 func keyOf(at time.Time) string {
 	id := uuid.UUID{6: 0x70, 8: 0x80}
 	for i := range 6 {
@@ -133,11 +133,11 @@
 	return id.String()
 }
 
-// A caller sends one key with two bodies, or asks again while the first try
-// still runs. It must not get the other body's answer, nor a second run.
+// A caller sends one key with two bodies, or retries while its first request still runs. It must
+// get neither the other body's answer nor a second run.
 func TestSameKey(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		wo := newWorld(2)
+		wo := newHarness(2)
 		defer wo.stop()
 		ag := wo.agents[0]
 		first := request("key", "one")
--- a/core/claim/value.go
+++ b/core/claim/value.go
@@ -10,41 +10,41 @@
 	"skylarkstand/core"
 )
 
-// value is a bucket as it stands in the store. All its methods are pure.
-type value struct {
-	// Floor is the latest time of a claim that was dropped by retention, in
-	// milliseconds since 1970.
+// bucketValue is the stored form of a bucket.
+type bucketValue struct {
+	// Floor is the latest claim time among the claims that retention has dropped, in milliseconds
+	// since 1970.
 	Floor int64 `json:"floor,omitempty"`
-	// First and Last number the segments that hold the bucket's older done
-	// claims; Last is below First when there are none.
+	// First and Last number the segments that hold the bucket's older done claims. Last is below
+	// First when there are none.
 	First  uint64   `json:"first,omitempty"`
 	Last   uint64   `json:"last,omitempty"`
 	Claims []record `json:"claims"`
 }
 
-// record is one claim.
+// record is the stored form of one claim.
 type record struct {
 	Key     fingerprint    `json:"key"`
 	Digest  string         `json:"digest"`
 	State   State          `json:"state"`
 	Attempt core.AttemptID `json:"attempt"`
 	Owner   core.ProcessID `json:"owner"`
-	// At is when it was claimed, in milliseconds since 1970.
+	// At is the time of the claim, in milliseconds since 1970.
 	At     int64   `json:"at"`
 	Answer *Answer `json:"answer,omitempty"`
 }
 
-func decode(raw []byte) (*value, error) {
-	val := &value{}
+func decode(raw []byte) (*bucketValue, error) {
+	val := &bucketValue{}
 	if err := json.Unmarshal(raw, val); err != nil {
-		return nil, eris.Wrap(err, "claim bucket is broken")
+		return nil, eris.Wrap(err, "decode claim bucket")
 	}
 	return val, nil
 }
 
-// size estimates a record's encoded size from above: base64 makes four bytes
-// of three, and the names, the key and the time take up to 120. The rest of
-// the overhead is the room for the ending of a claim without its answer.
+// size returns an upper bound of a record's encoded size: base64 encodes three bytes as four, and
+// the field names, the key and the time take up to 120 bytes. The rest of the 200 bytes leaves room
+// to finish a claim without storing its answer's body.
 func (re *record) size() int {
 	size := 200 + len(re.Digest) + len(re.Attempt) + len(re.Owner)
 	if re.Answer != nil {
@@ -53,30 +53,30 @@
 	return size
 }
 
-// editor applies changes to a copy of a bucket.
+// editor applies changes to a copy of a bucket. It does no I/O and reads no clock.
 type editor struct {
 	self      core.ProcessID
 	retention time.Duration
-	room      int
+	maxBytes  int
 	now       time.Time
-	// folded has the folded claims of the keys to be changed.
-	folded map[fingerprint]record
+	// archived holds the archived claims of the keys to be changed.
+	archived map[fingerprint]record
 
-	val     value
-	index   map[fingerprint]int
-	size    int
-	done    int // the size of the done claims
-	changed bool
+	val        bucketValue
+	index      map[fingerprint]int
+	totalBytes int
+	doneBytes  int // the size of the done claims, in bytes
+	changed    bool
 }
 
-func newEditor(tbl *Table, now time.Time, val *value, seg *segments, folded map[fingerprint]record) *editor {
-	ed := &editor{self: tbl.deps.Self, retention: tbl.retention, room: tbl.room, now: now, folded: folded}
-	ed.val = value{Floor: val.Floor, First: max(val.First, 1), Last: val.Last}
+func newEditor(tbl *Table, now time.Time, val *bucketValue, seg *segmentIndex, archived map[fingerprint]record) *editor {
+	ed := &editor{self: tbl.deps.Self, retention: tbl.retention, maxBytes: tbl.maxBucketBytes, now: now, archived: archived}
+	ed.val = bucketValue{Floor: val.Floor, First: max(val.First, 1), Last: val.Last}
 	for ed.val.First <= ed.val.Last && ed.expired(Done, seg.newest[ed.val.First]) {
 		ed.val.Floor = max(ed.val.Floor, seg.newest[ed.val.First])
 		ed.val.First++
 	}
-	ed.fill(val.Claims, func(re *record) bool {
+	ed.setClaims(val.Claims, func(re *record) bool {
 		if !ed.expired(re.State, re.At) {
 			return true
 		}
@@ -86,9 +86,9 @@
 	return ed
 }
 
-// fill takes over the claims that are kept.
-func (ed *editor) fill(claims []record, keep func(*record) bool) {
-	ed.index, ed.size, ed.done = make(map[fingerprint]int, len(claims)), 0, 0
+// setClaims replaces the bucket's claims by those that keep accepts.
+func (ed *editor) setClaims(claims []record, keep func(*record) bool) {
+	ed.index, ed.totalBytes, ed.doneBytes = make(map[fingerprint]int, len(claims)), 0, 0
 	ed.val.Claims = make([]record, 0, len(claims))
 	for _, re := range claims {
 		if !keep(&re) {
@@ -96,45 +96,46 @@
 		}
 		ed.index[re.Key] = len(ed.val.Claims)
 		ed.val.Claims = append(ed.val.Claims, re)
-		ed.size += re.size()
+		ed.totalBytes += re.size()
 		if re.State == Done {
-			ed.done += re.size()
+			ed.doneBytes += re.size()
 		}
 	}
 }
 
-// fold leaves the claims out that a segment holds now.
-func (ed *editor) fold(number uint64, claims []record) {
-	held := make(map[fingerprint]core.AttemptID, len(claims))
+// removeArchived removes the claims that the new segment holds, and makes it the bucket's last
+// segment.
+func (ed *editor) removeArchived(number uint64, claims []record) {
+	archived := make(map[fingerprint]core.AttemptID, len(claims))
 	for _, re := range claims {
-		held[re.Key] = re.Attempt
+		archived[re.Key] = re.Attempt
 	}
-	ed.fill(ed.val.Claims, func(re *record) bool { return re.State != Done || held[re.Key] != re.Attempt })
+	ed.setClaims(ed.val.Claims, func(re *record) bool { return re.State != Done || archived[re.Key] != re.Attempt })
 	ed.val.Last = number
 	ed.changed = true
 }
 
-// expired reports whether retention drops a claim. One without an answer is
-// kept twice as long: its owner may be paused, and refuses to run once the
-// retention has passed since it claimed.
+// expired reports whether retention drops a claim. A claim without an answer is kept for twice the
+// retention: its owner may be paused, and refuses to run only once the retention has passed since
+// it claimed.
 func (ed *editor) expired(st State, at int64) bool {
-	kept := ed.retention + 2*skew
+	keepFor := ed.retention + 2*maxClockSkew
 	if st != Done {
-		kept += ed.retention
+		keepFor += ed.retention
 	}
-	return ed.now.Sub(time.UnixMilli(at)) > kept
+	return ed.now.Sub(time.UnixMilli(at)) > keepFor
 }
 
-// result is what a change met. Settled outcomes never change; others are
-// told only from a value that is known to be the newest.
+// result is the outcome of a change. A final result holds whatever other processes write; any other
+// may be delivered only if the value it was computed from is known to be the newest.
 type result struct {
-	out     Outcome
-	err     error
-	settled bool
+	out   Outcome
+	err   error
+	final bool
 }
 
-// apply makes one change. It may be applied again to a value that holds it
-// already and then has the same result.
+// apply applies one change. It is idempotent: applied to a value that already contains the change,
+// it returns the same result.
 func (ed *editor) apply(ch *change) result {
 	key := ch.req.Key.fingerprint()
 	at, found := ed.index[key]
@@ -143,94 +144,97 @@
 		re = &ed.val.Claims[at]
 	}
 	own := found && re.Attempt == ch.req.Attempt && re.Owner == ed.self
-	old, folded := ed.folded[key]
+	old, isArchived := ed.archived[key]
 	switch {
-	case ch.kind == finishing && folded && old.Attempt == ch.req.Attempt:
-		return result{settled: true}
+	case ch.kind == finishing && isArchived && old.Attempt == ch.req.Attempt:
+		return result{final: true}
 	case ch.kind == finishing:
 		return ed.finish(re, own, ch.answer)
-	case ch.kind == releasing || ch.givenUp():
+	case ch.kind == releasing || ch.isAbandoned():
 		return ed.release(key, at, own)
 	case own:
-		return ed.owned(re)
+		return ed.ownedResult(re)
 	case found:
-		return meet(re, ch.req)
-	case folded:
-		return meet(&old, ch.req)
+		return existingResult(re, ch.req)
+	case isArchived:
+		return existingResult(&old, ch.req)
 	default:
 		return ed.claim(key, ch.req)
 	}
 }
 
-// meet tells what stands in the way of a claim.
-func meet(re *record, req Request) result {
+// existingResult returns the result of claiming a key that already has a claim.
+func existingResult(re *record, req Request) result {
 	switch {
-	case re.Digest != shorten(req.Digest):
+	case re.Digest != truncateDigest(req.Digest):
 		return result{err: ErrReused}
 	case re.State == Done:
-		return result{out: Outcome{State: Done, Attempt: re.Attempt, Owner: re.Owner, Answer: *re.Answer}, settled: true}
+		return result{out: Outcome{State: Done, Attempt: re.Attempt, Owner: re.Owner, Answer: *re.Answer}, final: true}
 	default:
 		return result{out: Outcome{State: Claimed, Attempt: re.Attempt, Owner: re.Owner}}
 	}
 }
 
 func (ed *editor) claim(key fingerprint, req Request) result {
-	if !ed.timely(req.Key) {
+	if !ed.acceptsKeyTime(req.Key) {
 		return result{err: ErrExpired}
 	}
-	re := record{Key: key, Digest: shorten(req.Digest), State: Claimed, Attempt: req.Attempt, Owner: ed.self, At: ed.now.UnixMilli()}
-	if ed.size+re.size() > ed.room {
+	re := record{Key: key, Digest: truncateDigest(req.Digest), State: Claimed, Attempt: req.Attempt, Owner: ed.self, At: ed.now.UnixMilli()}
+	if ed.totalBytes+re.size() > ed.maxBytes {
 		return result{err: ErrFull}
 	}
 	ed.index[key] = len(ed.val.Claims)
 	ed.val.Claims = append(ed.val.Claims, re)
-	ed.size += re.size()
+	ed.totalBytes += re.size()
 	ed.changed = true
-	return ed.owned(&re)
+	return ed.ownedResult(&re)
 }
 
-func (ed *editor) owned(re *record) result {
-	before := ed.now.Add(ed.retention - ed.now.Sub(time.UnixMilli(re.At)))
-	return result{out: Outcome{State: Owned, Attempt: re.Attempt, Owner: re.Owner, RunBefore: before}, settled: true}
+func (ed *editor) ownedResult(re *record) result {
+	runBefore := ed.now.Add(ed.retention - ed.now.Sub(time.UnixMilli(re.At)))
+	return result{out: Outcome{State: Owned, Attempt: re.Attempt, Owner: re.Owner, RunBefore: runBefore}, final: true}
 }
 
-// timely refuses time-ordered keys whose claim may have been dropped. A claim
-// is never written for a key that is more than skew ahead of its writer's
-// clock, so a dropped claim's key is at most skew above the floor.
-func (ed *editor) timely(ke Key) bool {
-	made, ok := ke.made()
+// acceptsKeyTime reports whether a key's claim cannot have been dropped yet, which only a
+// time-ordered key can show; any other key is accepted. No claim is written for a key that is more
+// than maxClockSkew ahead of its writer's clock, so the key of a dropped claim is at most
+// maxClockSkew above the floor.
+func (ed *editor) acceptsKeyTime(ke Key) bool {
+	made, ok := ke.creationTime()
 	if !ok {
 		return true
 	}
 	floor := time.UnixMilli(ed.val.Floor)
-	return made.After(floor.Add(skew)) && !made.After(ed.now.Add(skew)) && ed.now.Sub(made) <= ed.retention
+	return made.After(floor.Add(maxClockSkew)) && !made.After(ed.now.Add(maxClockSkew)) && ed.now.Sub(made) <= ed.retention
 }
 
-// finish always finds room: an answer that does not fit loses its body.
+// finish stores the answer of an owned claim. It always fits: an answer that exceeds the bucket's
+// size is stored without its body.
 func (ed *editor) finish(re *record, own bool, an Answer) result {
 	if !own {
 		return result{err: ErrNotOwner}
 	}
 	if re.State == Done {
-		return result{settled: true}
+		return result{final: true}
 	}
-	ed.size -= re.size()
+	ed.totalBytes -= re.size()
 	re.State, re.Answer = Done, &an
-	if ed.size+re.size() > ed.room {
+	if ed.totalBytes+re.size() > ed.maxBytes {
 		re.Answer = &Answer{Status: an.Status, ContentType: an.ContentType, Dropped: true}
 	}
-	ed.size += re.size()
-	ed.done += re.size()
+	ed.totalBytes += re.size()
+	ed.doneBytes += re.size()
 	ed.changed = true
-	return result{settled: true}
+	return result{final: true}
 }
 
-// release of a claim that is absent is done already.
+// release removes an owned claim that is not done. Releasing an absent claim succeeds, so that a
+// retry has no effect.
 func (ed *editor) release(key fingerprint, at int, own bool) result {
 	if !own || ed.val.Claims[at].State == Done {
-		return result{settled: true}
+		return result{final: true}
 	}
-	ed.size -= ed.val.Claims[at].size()
+	ed.totalBytes -= ed.val.Claims[at].size()
 	ed.val.Claims = slices.Delete(ed.val.Claims, at, at+1)
 	delete(ed.index, key)
 	for ke, pos := range ed.index {
@@ -239,8 +243,8 @@
 		}
 	}
 	ed.changed = true
-	return result{settled: true}
+	return result{final: true}
 }
 
-// shorten keeps 128 bits of a digest in hex.
-func shorten(digest string) string { return digest[:min(len(digest), 32)] }
+// truncateDigest keeps the first 128 bits of a digest in hex.
+func truncateDigest(digest string) string { return digest[:min(len(digest), 32)] }
--- a/core/claim/world_test.go
+++ b/core/claim/world_test.go
@@ -17,7 +17,7 @@
 	"skylarkstand/test/property"
 )
 
-// TestMain fixes the seed of the properties unless one is given.
+// TestMain fixes the seed of the property tests unless one is given.
 func TestMain(m *testing.M) { property.Main(m, "4") }
 
 func request(key string, id core.AttemptID) claim.Request {
@@ -34,66 +34,66 @@
 	stop func()
 }
 
-// world is agents over one store, and the journal of the upstream behind them.
-type world struct {
+// harness is a set of agents over one store, with a record of the runs at the upstream behind them.
+type harness struct {
 	st     *fakestore.Store
 	agents []*agent
 	calls  sync.WaitGroup
 
-	mu      sync.Mutex
-	serial  int
-	died    bool
-	runs    map[string][]core.AttemptID
-	notRun  map[core.AttemptID]bool
-	faults  []string
-	history []porcupine.Operation
+	mu          sync.Mutex
+	lastAttempt int
+	anyKilled   bool
+	runs        map[string][]core.AttemptID
+	notRun      map[core.AttemptID]bool
+	violations  []string
+	history     []porcupine.Operation
 }
 
-func newWorld(agents int) *world {
-	wo := &world{st: fakestore.New(), runs: map[string][]core.AttemptID{}, notRun: map[core.AttemptID]bool{}}
+func newHarness(agents int) *harness {
+	wo := &harness{st: fakestore.New(), runs: map[string][]core.AttemptID{}, notRun: map[core.AttemptID]bool{}}
 	for range agents {
 		wo.agents = append(wo.agents, wo.newAgent())
 	}
 	return wo
 }
 
-func (wo *world) newAgent() *agent {
+func (wo *harness) newAgent() *agent {
 	tbl, cleanup := claim.New(core.NewDeps(), wo.st, claim.Writes(50), claim.Room(4<<10))
 	return &agent{tbl: tbl, stop: cleanup}
 }
 
-// plan is what becomes of a call that owns its claim.
-type plan struct {
+// callPlan is the course of a call that owns its claim.
+type callPlan struct {
 	pause    time.Duration
 	deadline time.Duration
 	end      string
 }
 
-// call is one caller's try of a key at an agent, in a goroutine of its own.
-func (wo *world) call(ag *agent, key string, pl plan) {
+// call sends one request with a key to an agent, in its own goroutine.
+func (wo *harness) call(ag *agent, key string, pl callPlan) {
 	wo.mu.Lock()
-	wo.serial++
-	req := request(key, core.AttemptID(fmt.Sprintf("attempt-%d", wo.serial)))
+	wo.lastAttempt++
+	req := request(key, core.AttemptID(fmt.Sprintf("attempt-%d", wo.lastAttempt)))
 	wo.mu.Unlock()
 	wo.calls.Go(func() {
 		ctx, cancel := context.WithTimeout(context.Background(), pl.deadline)
 		defer cancel()
-		op := wo.begin(input{claiming, req.Attempt}, key)
+		op := wo.recordCall(input{claiming, req.Attempt}, key)
 		out, err := ag.tbl.Claim(ctx, req)
-		wo.end(op, output{state: out.State, attempt: out.Attempt, err: err})
+		wo.recordReturn(op, output{state: out.State, attempt: out.Attempt, err: err})
 		switch {
 		case err != nil:
-			wo.refused(req.Attempt)
+			wo.markNotRun(req.Attempt)
 		case out.State == claim.Owned:
 			time.Sleep(pl.pause)
-			wo.own(ag, key, req, pl.end)
+			wo.runOwned(ag, key, req, pl.end)
 		case out.State == claim.Done:
-			wo.check(string(out.Answer.Body) == string(out.Attempt), "%s was told the answer %q of attempt %s", key, out.Answer.Body, out.Attempt)
+			wo.expect(string(out.Answer.Body) == string(out.Attempt), "the caller of %s got the answer %q for attempt %s", key, out.Answer.Body, out.Attempt)
 		}
 	})
 }
 
-func (wo *world) own(ag *agent, key string, req claim.Request, end string) {
+func (wo *harness) runOwned(ag *agent, key string, req claim.Request, end string) {
 	wo.mu.Lock()
 	if ag.dead {
 		wo.mu.Unlock()
@@ -105,45 +105,45 @@
 	wo.mu.Unlock()
 	switch end {
 	case "answer":
-		op := wo.begin(input{finishing, req.Attempt}, key)
+		op := wo.recordCall(input{finishing, req.Attempt}, key)
 		err := ag.tbl.Finish(context.Background(), req, claim.Answer{Status: 200, Body: []byte(req.Attempt)})
-		wo.end(op, output{err: err})
+		wo.recordReturn(op, output{err: err})
 	case "release":
-		wo.refused(req.Attempt)
-		op := wo.begin(input{releasing, req.Attempt}, key)
+		wo.markNotRun(req.Attempt)
+		op := wo.recordCall(input{releasing, req.Attempt}, key)
 		err := ag.tbl.Release(context.Background(), req)
-		wo.end(op, output{err: err})
+		wo.recordReturn(op, output{err: err})
 	case "lost":
 		ag.tbl.Forget(req, core.Lost("the service broke the call off"))
 	}
 }
 
-func (wo *world) refused(id core.AttemptID) {
+func (wo *harness) markNotRun(id core.AttemptID) {
 	wo.mu.Lock()
 	defer wo.mu.Unlock()
 	wo.notRun[id] = true
 }
 
-func (wo *world) check(ok bool, format string, args ...any) {
+func (wo *harness) expect(ok bool, format string, args ...any) {
 	if !ok {
 		wo.mu.Lock()
 		defer wo.mu.Unlock()
-		wo.faults = append(wo.faults, fmt.Sprintf(format, args...))
+		wo.violations = append(wo.violations, fmt.Sprintf(format, args...))
 	}
 }
 
-// kill ends an agent at once: what it has under way is never written.
-func (wo *world) kill(at int) {
+// kill stops an agent at once, without its pending writes, and replaces it.
+func (wo *harness) kill(at int) {
 	wo.mu.Lock()
-	wo.agents[at].dead, wo.died = true, true
+	wo.agents[at].dead, wo.anyKilled = true, true
 	wo.mu.Unlock()
 	wo.agents[at].tbl.Kill()
 	wo.agents[at] = wo.newAgent()
 }
 
-// promises are checked from the outside: by the upstream's journal and by what
-// callers were told.
-func (wo *world) promises(rt *rapid.T) {
+// checkInvariants checks what is visible from outside: the runs at the upstream and the answers to
+// callers.
+func (wo *harness) checkInvariants(rt *rapid.T) {
 	wo.mu.Lock()
 	defer wo.mu.Unlock()
 	for key, runs := range wo.runs {
@@ -152,39 +152,37 @@
 		}
 		for _, id := range runs {
 			if wo.notRun[id] {
-				rt.Fatalf("attempt %s of %s was told not run and ran", id, key)
+				rt.Fatalf("attempt %s of %s was answered \"not run\" but ran", id, key)
 			}
 		}
 	}
-	if len(wo.faults) > 0 {
-		rt.Fatal(wo.faults)
+	if len(wo.violations) > 0 {
+		rt.Fatal(wo.violations)
 	}
 }
 
-// Callers send the same keys at once and again to several agents, while the
-// store loses replies, applies writes late, refuses and is down, agents pause
-// between claim and call, die and come back. A caller notices a broken claim
-// as a second booking, a wrong answer, a "not run" that ran, or a key that
-// can never be used although nothing ran.
+// Callers send the same keys concurrently and repeatedly to several agents, while the store loses
+// replies, applies writes late, refuses calls and is down, and agents pause between claim and call,
+// die and are replaced. A caller notices a broken claim as a second booking, a wrong answer, a "not
+// run" that ran, or a key that can never be used although nothing ran.
 func TestClaimsRunAtMostOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		rapid.Check(bubbled{t}, func(rt *rapid.T) {
-			wo := newWorld(3)
+		rapid.Check(noDeadline{t}, func(rt *rapid.T) {
+			wo := newHarness(3)
 			defer wo.stop()
 			rt.Repeat(wo.actions())
 			wo.heal()
-			wo.promises(rt)
-			wo.nothingLost(rt)
-			wo.linear(rt)
+			wo.checkInvariants(rt)
+			wo.checkUnusedKeysClaimable(rt)
+			wo.checkLinearizable(rt)
 		})
 	})
 }
 
-// bubbled hides the deadline of a test, which cannot be read in a bubble of
-// virtual time.
-type bubbled struct{ testing.TB }
+// noDeadline hides the deadline of a test, which cannot be read in a synctest bubble.
+type noDeadline struct{ testing.TB }
 
-// keys share one bucket, so that their claims go in groups and are folded.
+// keys share one bucket, so that their claims are written in batches and archived.
 var keys = func() []string {
 	var keys []string
 	for _, req := range sameBucket(3) {
@@ -193,13 +191,13 @@
 	return keys
 }()
 
-func (wo *world) actions() map[string]func(*rapid.T) {
+func (wo *harness) actions() map[string]func(*rapid.T) {
 	durations := func(ds ...time.Duration) *rapid.Generator[time.Duration] { return rapid.SampledFrom(ds) }
 	return map[string]func(*rapid.T){
-		"": wo.promises,
+		"": wo.checkInvariants,
 		"call": func(rt *rapid.T) {
 			ag := wo.agents[rapid.IntRange(0, len(wo.agents)-1).Draw(rt, "agent")]
-			wo.call(ag, rapid.SampledFrom(keys).Draw(rt, "key"), plan{
+			wo.call(ag, rapid.SampledFrom(keys).Draw(rt, "key"), callPlan{
 				pause:    durations(0, 10*time.Millisecond, time.Minute).Draw(rt, "pause"),
 				deadline: durations(time.Millisecond, 30*time.Millisecond, 10*time.Second).Draw(rt, "deadline"),
 				end:      rapid.SampledFrom([]string{"answer", "answer", "release", "lost"}).Draw(rt, "end"),
@@ -221,25 +219,25 @@
 	}
 }
 
-// heal ends all faults and lets everything under way end.
-func (wo *world) heal() {
+// heal removes all faults and waits until every pending call and write has ended.
+func (wo *harness) heal() {
 	wo.st.Set(fakestore.Faults{})
 	wo.calls.Wait()
 	time.Sleep(10 * time.Second)
 	wo.st.Land()
 }
 
-func (wo *world) stop() {
+func (wo *harness) stop() {
 	for _, ag := range wo.agents {
 		ag.tbl.Kill()
 	}
 	wo.calls.Wait()
 }
 
-// nothingLost: a key that never ran and whose agents all lived can be claimed.
-func (wo *world) nothingLost(rt *rapid.T) {
+// checkUnusedKeysClaimable checks that a key that never ran can be claimed, if no agent was killed.
+func (wo *harness) checkUnusedKeysClaimable(rt *rapid.T) {
 	for _, key := range keys {
-		if wo.died || len(wo.runs[key]) > 0 {
+		if wo.anyKilled || len(wo.runs[key]) > 0 {
 			continue
 		}
 		out, err := wo.agents[0].tbl.Claim(context.Background(), request(key, "last"))
