--- a/core/ledger/bill.go
+++ b/core/ledger/bill.go
@@ -1,29 +1,27 @@
-// Package ledger writes what callers owe into the platform's store, once for
-// each request.
+// Package ledger writes the bills of requests into the platform's store, one for each request.
 //
-// Each entry process has a chain of its own, ledger/<process>. Bills wait in
-// memory and are written as segments at a pace that the store's write budget
-// allows. Until a bill is durable, the agent that did the work keeps a copy.
+// Each entry process has its own chain, ledger/<process>. Bills wait in memory and are written as
+// segments at a rate that the store's write budget allows. Until a bill is durable, the agent that
+// did the work keeps a copy.
 //
-// A process that is taken for gone may only be paused. So its chain is sealed
-// before anybody else files its bills, and from then on all of them, whoever
-// files them, go into one more chain, ledger/<process>/takeover. The author of
-// an entry there has read all entries below it, and files nothing that stands
-// in one. The entries are serial, so no bill can stand in two; spec/billing.pml
-// is the model of it.
+// A process that appears to be gone may only be paused. So its chain is sealed before another
+// process files its bills, and from then on all its bills, whichever process files them, go into
+// one more chain, ledger/<process>/takeover. The writer of an entry there has read all earlier
+// entries, and files no bill that one of them holds. The entries are serial, so no bill can be in
+// two; spec/billing.pml is the model of it.
 //
-// What a bill is filed under is its last attempt, which no other bill has. The
-// request id may be the caller's choice, and callers send the same id twice.
+// A bill is identified by its last attempt, which no other bill has. The request id does not
+// identify it: callers may choose it, and send the same id twice.
 //
 // # Usage
 //
 //	led := ledger.New(deps, store, ledger.Budget(100, liveEntries))
 //	floor := led.Floor()
-//	led.Add(bill)                            // before an agent is told
-//	copy := ledger.Copy{Floor: floor, Bill: bill}
+//	led.Add(bill)                            // before an agent receives the copy
+//	co := ledger.Copy{Floor: floor, Bill: bill}
 //	go led.Serve(ctx)                        // writes segments
 //	successor := ledger.NewSuccessor(deps, store, led)
-//	go successor.Serve(ctx)                       // files bills of gone processes
+//	go successor.Serve(ctx)                  // files bills of gone processes
 //	led.Close(10 * time.Second)              // at a planned stop
 //	acc, err := ledger.Sum(ctx, store)
 package ledger
@@ -37,22 +35,22 @@
 	"skylarkstand/core"
 )
 
-// Bill is what one request costs, over all its stages.
+// Bill is the cost of one request, over all its stages.
 type Bill struct {
 	Request   core.RequestID   `json:"request"`
 	Workspace core.WorkspaceID `json:"workspace"`
 	When      time.Time        `json:"when"`
 	Total     core.Millicents  `json:"total"`
 	Lines     []Line           `json:"lines"`
-	// Content is the digest of what the caller sent. With the request id it
-	// tells a request that was sent again from another one under the same id.
+	// Content is the digest of what the caller sent. Together with the request id it distinguishes
+	// a retry of a request from another request with the same id.
 	Content string `json:"content,omitempty"`
-	// ReplayOf is set for the stored answer of an operation and names the
-	// attempt that ran it. Of all bills for one such attempt one is charged.
+	// ReplayOf is set when the caller received the stored answer of an operation. It is the attempt
+	// that ran the operation. Of all bills for one such attempt only one is charged.
 	ReplayOf core.AttemptID `json:"replay-of,omitempty"`
 }
 
-// ID is the attempt that gave the whole answer. No two bills share one.
+// ID returns the attempt that gave the whole answer. No two bills share one.
 func (bi *Bill) ID() core.AttemptID {
 	if len(bi.Lines) == 0 {
 		return core.AttemptID(bi.Request)
@@ -69,8 +67,8 @@
 	Cost    core.Millicents `json:"cost"`
 }
 
-// Digest returns the digest of a caller's body and of what else tells its
-// request from others, for [Bill.Content].
+// Digest returns the digest of a caller's body and of the other values that distinguish its
+// request, for [Bill.Content].
 func Digest(body []byte, others ...string) string {
 	di := xxhash.New()
 	_, _ = di.Write(body)
@@ -80,26 +78,26 @@
 	return fmt.Sprintf("%016x", di.Sum64())
 }
 
-// Segment is what one entry of a ledger chain holds.
+// Segment is the payload of one entry of a ledger chain.
 type Segment struct {
 	Bills []Bill `json:"bills"`
 }
 
-// Floor is the first entry of each of a process's chains that can hold a
-// bill. Without it a successor would have to read the chains from their beginning,
-// which after a day of segments are thousands of calls of the store.
+// Floor is the first entry of each of a process's chains that can hold a bill. Without it a
+// successor would have to read the chains from their first entry, which after a day of segments
+// takes thousands of calls to the store.
 type Floor struct {
 	Own      uint64 `json:"own"`
 	Takeover uint64 `json:"takeover"`
 }
 
-// lower returns the floor below both.
+// lower returns the lower bound of both floors, chain by chain.
 func (fl Floor) lower(other Floor) Floor {
 	return Floor{Own: min(fl.Own, other.Own), Takeover: min(fl.Takeover, other.Takeover)}
 }
 
-// Copy is what an agent keeps of a bill until it is durable. The floor is
-// taken before the bill is added to the writer.
+// Copy is what an agent keeps of a bill until the bill is durable. The floor is read before the
+// bill is added to the writer.
 type Copy struct {
 	Floor Floor `json:"floor"`
 	Bill  Bill  `json:"bill"`
--- a/core/ledger/chains.go
+++ b/core/ledger/chains.go
@@ -12,20 +12,20 @@
 )
 
 const (
-	// Prefix is where ledger chains stand in the store.
+	// Prefix is the store's key prefix of ledger chains.
 	Prefix = "ledger/"
-	// index is where the processes that have chains are listed. The chains
+	// indexPrefix is the key prefix of the index of processes that have chains. The chains
 	// themselves are too large to be listed: a list returns whole values.
-	index = "ledgers/"
+	indexPrefix = "ledgers/"
 )
 
 // Errors of a ledger.
 var (
-	// ErrLate: the store did not take or tell what was asked of it. The bills
-	// are kept, and the same is tried again.
+	// ErrLate: the store did not confirm a write or answer a read in time. The bills are kept, and
+	// the same call is retried.
 	ErrLate = errors.New("ledger: the store did not answer in time")
-	// ErrBroken: an entry cannot be read.
-	ErrBroken = errors.New("ledger: broken entry")
+	// ErrBroken: an entry cannot be decoded.
+	ErrBroken = errors.New("ledger: entry cannot be decoded")
 )
 
 // chains are the two chains of a process.
@@ -40,18 +40,17 @@
 	return &chains{store: st, process: process, own: chain.New(st, name), takeover: chain.New(st, name+"/takeover")}
 }
 
-// enlist puts the process into the index. It must precede the first entry of
-// a chain: bills of a process that is not in the index would be durable and
-// yet on nobody's account.
+// addToIndex adds the process to the index. It must precede the first entry of a chain: bills of a
+// process that is missing in the index would be durable but would appear on no account.
 //
-// It reads first: successors mostly find the process enlisted, and the store takes
-// several times as many reads as writes.
-func (ch *chains) enlist(ctx context.Context) error {
-	key := index + string(ch.process)
+// It reads first: successors usually find the process in the index, and the store accepts several
+// times as many reads as writes.
+func (ch *chains) addToIndex(ctx context.Context) error {
+	key := indexPrefix + string(ch.process)
 	if _, err := ch.store.Get(ctx, key); err == nil {
 		return nil
 	}
-	for range enlistTries {
+	for range maxIndexWrites {
 		_, err := ch.store.Create(ctx, key, []byte("{}"), "")
 		if err == nil || errors.Is(err, core.ErrConflict) {
 			return nil
@@ -60,16 +59,15 @@
 			break
 		}
 	}
-	return eris.Wrap(ErrLate, "enlist the process")
+	return eris.Wrap(ErrLate, "add the process to the index of ledgers")
 }
 
-// enlistTries bounds the writes of one call after lost replies. The write is
-// the same each time, so a second one tells by its conflict that the first one
-// took effect.
-const enlistTries = 3
+// maxIndexWrites bounds the writes of one call after lost replies. Each write is the same, so a
+// conflict of a later write shows that an earlier one took effect.
+const maxIndexWrites = 3
 
-// bills returns the bills of an entry.
-func bills(en chain.Entry) ([]Bill, error) {
+// decodeBills returns the bills of an entry.
+func decodeBills(en chain.Entry) ([]Bill, error) {
 	if en.Seal {
 		return nil, nil
 	}
@@ -80,7 +78,7 @@
 	return seg.Bills, nil
 }
 
-// tail is what was read of a chain from some entry on.
+// tail is the part of a chain that was read, from some entry to the end.
 type tail struct {
 	found idSet
 	// next is the first absent entry, or the seal if the chain is sealed.
@@ -88,7 +86,7 @@
 	sealed bool
 }
 
-// readTail reads a chain from entry n to its end and notes the bills.
+// readTail reads a chain from entry n to its end and collects the IDs of the bills.
 func readTail(ctx context.Context, ch *chain.Chain, n uint64, found idSet) (tail, error) {
 	ta := tail{found: found, next: max(n, 1)}
 	for {
@@ -97,19 +95,19 @@
 		case errors.Is(err, chain.ErrAbsent):
 			return ta, nil
 		case err != nil:
-			return ta, late(err)
+			return ta, storeError(err)
 		case en.Seal:
 			ta.sealed = true
 			return ta, nil
 		}
-		if err := ta.note(en); err != nil {
+		if err := ta.addBills(en); err != nil {
 			return ta, err
 		}
 	}
 }
 
-func (ta *tail) note(en chain.Entry) error {
-	bis, err := bills(en)
+func (ta *tail) addBills(en chain.Entry) error {
+	bis, err := decodeBills(en)
 	if err != nil {
 		return err
 	}
@@ -120,5 +118,5 @@
 	return nil
 }
 
-// late turns an error of a chain into this layer's.
-func late(err error) error { return eris.Wrapf(ErrLate, "%v", err) }
+// storeError wraps an error of a chain in ErrLate.
+func storeError(err error) error { return eris.Wrapf(ErrLate, "%v", err) }
--- a/core/ledger/copies/copies.go
+++ b/core/ledger/copies/copies.go
@@ -1,15 +1,14 @@
-// Package copies decides what an agent does with its copies of bills that are
-// not durable yet: how many it keeps, and to which entry it offers them when.
+// Package copies decides what an agent does with its copies of bills that are not durable yet: how
+// many it keeps, and when it offers them to which entry.
 //
-// It is pure: the time and the linked entries come in as arguments. A Set is
-// not safe for concurrent use.
+// It is pure: the time and the linked entries are arguments. A Set is not safe for concurrent use.
 //
 // # Usage
 //
 //	set := copies.New()
 //	set.Hold(process, attempt, bill, now)
 //	for _, ho := range set.Due(now, linked) { … }   // once a second
-//	set.Forget(attempts)                            // told durable
+//	set.Forget(attempts)                            // reported durable
 package copies
 
 import (
@@ -24,57 +23,55 @@
 )
 
 const (
-	// goneAfter is how long all links of a process must have been away before
-	// a successor is asked. A link that broke is dialled again within three
-	// seconds, so a shorter bound would seal ledgers of entries that are well.
-	// That costs the entry a read for each later segment and nothing else;
-	// being wrong is safe.
-	goneAfter = 10 * time.Second
-	// remindAfter is how old a copy of a linked process must be before the
-	// process is asked about it. It is above the time between two segments of
-	// a usual fleet. A copy that old means that the word of its being durable
-	// was lost with a link, or that the entry had no room for the bill.
-	remindAfter = time.Minute
-	// again is the pause between two offers of one process's bills. The successor
-	// needs a second or two; after this time it is taken for paused, dead or
-	// without the store, and the next one by preference is asked as well. The
-	// pause doubles up to doublings times: while the store is down for hours,
-	// offers can come to nothing only, and they would fill the narrow link
+	// takeoverAfter is how long all links of a process must have been down before a successor
+	// receives an offer. A broken link is dialled again within three seconds, so a shorter bound
+	// would seal ledgers of healthy entries. That costs such an entry one read for each later
+	// segment and nothing else; a wrong takeover is safe.
+	takeoverAfter = 10 * time.Second
+	// reofferAfter is how old a copy of a linked process must be before it is offered to that
+	// process. It is above the time between two segments in a typical fleet. A copy of that age
+	// means that the notice of its durability was lost with a link, or that the entry had no room
+	// for the bill.
+	reofferAfter = time.Minute
+	// retryPause is the pause between two offers of one process's bills. A successor needs a second
+	// or two; after this pause it is considered paused, dead or without the store, and the next one
+	// in order of preference receives an offer as well. The pause doubles up to maxDoublings times:
+	// while the store is down for hours, every offer fails, and offers would fill the narrow link
 	// between regions.
-	again     = 15 * time.Second
-	doublings = 5
-	// offerBytes bounds one offer, so that it fits into a frame.
-	offerBytes = 512 << 10
-	// defaultLimit bounds the copies in bytes. An agent answers tens of
-	// requests a second at most, so it holds the copies of hours without a
-	// store. Beyond it new copies are dropped; their entry still has the bill.
+	retryPause   = 15 * time.Second
+	maxDoublings = 5
+	// maxOfferBytes bounds one offer, so that it fits into a frame.
+	maxOfferBytes = 512 << 10
+	// defaultLimit bounds the copies in bytes. An agent answers at most tens of requests a second,
+	// so it can hold the copies of several hours without a store. Beyond the limit new copies are
+	// dropped; their entry still has the bill.
 	defaultLimit = 64 << 20
 )
 
-// Set is an agent's copies.
+// Set is an agent's copies of bills.
 type Set struct {
 	limit, size int
-	owners      map[core.ProcessID]*owner
-	by          map[core.AttemptID]core.ProcessID
+	owners      map[core.ProcessID]*processCopies
+	processOf   map[core.AttemptID]core.ProcessID
 	leaving     bool
 }
 
-// owner is the copies of one entry process, oldest first.
-type owner struct {
-	copies []held
-	// goneSince is when its last link was first seen away; zero while linked.
-	goneSince time.Time
-	// offered are the copies of the last offer, made at offeredAt.
+// processCopies is the copies of one entry process, oldest first.
+type processCopies struct {
+	copies []heldCopy
+	// unlinkedSince is when the process was first seen without a link; zero while linked.
+	unlinkedSince time.Time
+	// offered is the copies of the last offer, made at offeredAt, that are not durable yet.
 	offered   map[core.AttemptID]bool
 	offeredAt time.Time
-	// round counts offers that came to nothing.
-	round int
+	// failedOffers counts successive offers that were not settled.
+	failedOffers int
 }
 
-type held struct {
-	attempt core.AttemptID
-	raw     []byte
-	at      time.Time
+type heldCopy struct {
+	attempt   core.AttemptID
+	raw       []byte
+	heldSince time.Time
 }
 
 // Handover is an offer of one process's bills to a linked entry.
@@ -92,7 +89,7 @@
 
 // New returns an empty set.
 func New(opts ...Option) *Set {
-	se := &Set{limit: defaultLimit, owners: map[core.ProcessID]*owner{}, by: map[core.AttemptID]core.ProcessID{}}
+	se := &Set{limit: defaultLimit, owners: map[core.ProcessID]*processCopies{}, processOf: map[core.AttemptID]core.ProcessID{}}
 	for _, opt := range opts {
 		opt(se)
 	}
@@ -100,11 +97,11 @@
 }
 
 // Len returns how many copies are held.
-func (se *Set) Len() int { return len(se.by) }
+func (se *Set) Len() int { return len(se.processOf) }
 
-// Hold keeps a copy and reports whether there was room.
+// Hold stores a copy and reports whether there was room.
 func (se *Set) Hold(id core.ProcessID, at core.AttemptID, raw []byte, now time.Time) bool {
-	if _, known := se.by[at]; known {
+	if _, known := se.processOf[at]; known {
 		return true
 	}
 	if se.size+len(raw) > se.limit {
@@ -112,11 +109,11 @@
 	}
 	ow := se.owners[id]
 	if ow == nil {
-		ow = new(owner)
+		ow = new(processCopies)
 		se.owners[id] = ow
 	}
-	ow.copies = append(ow.copies, held{at, raw, now})
-	se.by[at] = id
+	ow.copies = append(ow.copies, heldCopy{at, raw, now})
+	se.processOf[at] = id
 	se.size += len(raw)
 	return true
 }
@@ -126,14 +123,14 @@
 	drop := map[core.AttemptID]bool{}
 	owners := map[core.ProcessID]bool{}
 	for _, at := range ats {
-		if id, ok := se.by[at]; ok {
+		if id, ok := se.processOf[at]; ok {
 			drop[at], owners[id] = true, true
-			delete(se.by, at)
+			delete(se.processOf, at)
 		}
 	}
 	for id := range owners {
 		ow := se.owners[id]
-		ow.copies = slices.DeleteFunc(ow.copies, func(he held) bool {
+		ow.copies = slices.DeleteFunc(ow.copies, func(he heldCopy) bool {
 			if drop[he.attempt] {
 				se.size -= len(he.raw)
 				delete(ow.offered, he.attempt)
@@ -146,13 +143,12 @@
 	}
 }
 
-// Leave makes an offer due at once when no link of its process stands. An agent
-// that stops takes its copies along, so it cannot wait until the process is
-// gone for sure.
+// Leave makes offers of processes without a link due at once. The copies of an agent that stops are
+// lost with it, so it cannot wait until a process is certainly gone.
 func (se *Set) Leave() { se.leaving = true }
 
-// Stranded returns how many copies are of processes that are not linked. The
-// others have their bills themselves.
+// Stranded returns the number of copies of processes that are not linked. The other processes still
+// have their bills themselves.
 func (se *Set) Stranded(linked []core.ProcessID) int {
 	count := 0
 	for id, ow := range se.owners {
@@ -163,24 +159,24 @@
 	return count
 }
 
-// Due returns the offers to make now. It is called about once a second.
+// Due returns the offers to make now. It is to be called about once a second.
 func (se *Set) Due(now time.Time, linked []core.ProcessID) []Handover {
 	var out []Handover
 	for _, id := range slices.Sorted(maps.Keys(se.owners)) {
 		ow := se.owners[id]
-		ripe := now
+		cutoff := now
 		if slices.Contains(linked, id) {
-			ow.goneSince = time.Time{}
-			ripe = now.Add(-remindAfter)
-		} else if !ow.gone(now) && !se.leaving {
+			ow.unlinkedSince = time.Time{}
+			cutoff = now.Add(-reofferAfter)
+		} else if !ow.goneLongEnough(now) && !se.leaving {
 			continue
 		}
-		if !ow.ready(now) {
+		if !ow.mayOffer(now) {
 			continue
 		}
-		if ho := ow.offer(now, ripe); len(ho.Bills) > 0 {
+		if ho := ow.offer(now, cutoff); len(ho.Bills) > 0 {
 			ho.Process = id
-			ho.To = successor(id, linked, ow.round)
+			ho.To = successor(id, linked, ow.failedOffers)
 			if ho.To != "" {
 				out = append(out, ho)
 			}
@@ -189,35 +185,35 @@
 	return out
 }
 
-// gone reports whether the process's links have been away for long enough.
-func (ow *owner) gone(now time.Time) bool {
-	if ow.goneSince.IsZero() {
-		ow.goneSince = now
+// goneLongEnough reports whether the process has been without a link for takeoverAfter.
+func (ow *processCopies) goneLongEnough(now time.Time) bool {
+	if ow.unlinkedSince.IsZero() {
+		ow.unlinkedSince = now
 	}
-	return now.Sub(ow.goneSince) >= goneAfter
+	return now.Sub(ow.unlinkedSince) >= takeoverAfter
 }
 
-// ready reports whether another offer may be made: the last one was settled,
-// or has come to nothing.
-func (ow *owner) ready(now time.Time) bool {
+// mayOffer reports whether another offer may be made: the last one was settled, or its pause has
+// passed without that.
+func (ow *processCopies) mayOffer(now time.Time) bool {
 	switch {
 	case len(ow.offered) == 0:
-		ow.round = 0
+		ow.failedOffers = 0
 		return true
-	case now.Sub(ow.offeredAt) < again<<min(ow.round, doublings):
+	case now.Sub(ow.offeredAt) < retryPause<<min(ow.failedOffers, maxDoublings):
 		return false
 	}
-	ow.round++
+	ow.failedOffers++
 	return true
 }
 
-// offer takes the oldest copies, not younger than ripe.
-func (ow *owner) offer(now, ripe time.Time) Handover {
+// offer takes the oldest copies, none younger than cutoff, up to maxOfferBytes.
+func (ow *processCopies) offer(now, cutoff time.Time) Handover {
 	var ho Handover
 	ow.offered, ow.offeredAt = map[core.AttemptID]bool{}, now
 	size := 0
 	for _, he := range ow.copies {
-		if he.at.After(ripe) || size > 0 && size+len(he.raw) > offerBytes {
+		if he.heldSince.After(cutoff) || size > 0 && size+len(he.raw) > maxOfferBytes {
 			break
 		}
 		size += len(he.raw)
@@ -227,10 +223,10 @@
 	return ho
 }
 
-// successor chooses who is asked: the process itself while it is linked, else the
-// linked entries in their order by rendezvous hashing, one further in each
-// round. All agents of a region so prefer the same successor and it reads the
-// chains once for all of them. Another choice would cost reads only.
+// successor chooses the receiver of an offer: the process itself while it is linked, otherwise the
+// linked entries in the order of rendezvous hashing, one further after each failed offer. So all
+// agents of a region prefer the same successor, which reads the chains once for all of them.
+// Another choice would only cost reads.
 func successor(id core.ProcessID, linked []core.ProcessID, round int) core.ProcessID {
 	if len(linked) == 0 {
 		return ""
--- a/core/ledger/copies/copies_test.go
+++ b/core/ledger/copies/copies_test.go
@@ -14,11 +14,11 @@
 
 var start = time.Date(2026, 12, 1, 8, 0, 0, 0, time.UTC)
 
-// An entry dies before its last bills were written, or the word that they were
-// written is lost with a link. The agent that holds copies must ask somebody:
-// otherwise what the callers got is never billed, and the copies pile up.
-func TestWhoIsAskedAndWhen(t *testing.T) {
-	type ask struct {
+// An entry dies before its last bills were written, or the notice that they were written is lost
+// with a link. The agent that holds copies must offer them to some entry: otherwise the answers are
+// never billed, and the copies accumulate.
+func TestOfferTimingAndTarget(t *testing.T) {
+	type offer struct {
 		after time.Duration
 		to    core.ProcessID
 		bills int
@@ -29,16 +29,16 @@
 		forget   time.Duration
 		last     time.Duration
 		leaving  bool
-		expected []ask
+		expected []offer
 	}{
-		{"a linked entry is reminded of old copies only", []core.ProcessID{"gone", "a"}, 0, 80 * time.Second, false,
-			[]ask{{60 * time.Second, "gone", 2}, {75 * time.Second, "gone", 2}}},
-		{"one successor is asked, and another when it stays silent", []core.ProcessID{"a", "b"}, 0, 30 * time.Second, false,
-			[]ask{{10 * time.Second, "b", 2}, {25 * time.Second, "a", 2}}},
-		{"no one is asked again once the bills are durable", []core.ProcessID{"a", "b"}, 12 * time.Second, 60 * time.Second, false,
-			[]ask{{10 * time.Second, "b", 2}}},
-		{"an agent that stops asks at once", []core.ProcessID{"a", "b"}, 1 * time.Second, 60 * time.Second, true,
-			[]ask{{0, "b", 2}}},
+		{"a linked entry is offered old copies only", []core.ProcessID{"gone", "a"}, 0, 80 * time.Second, false,
+			[]offer{{60 * time.Second, "gone", 2}, {75 * time.Second, "gone", 2}}},
+		{"one successor receives an offer, and another when it does not respond", []core.ProcessID{"a", "b"}, 0, 30 * time.Second, false,
+			[]offer{{10 * time.Second, "b", 2}, {25 * time.Second, "a", 2}}},
+		{"no further offer once the bills are durable", []core.ProcessID{"a", "b"}, 12 * time.Second, 60 * time.Second, false,
+			[]offer{{10 * time.Second, "b", 2}}},
+		{"an agent that stops offers at once", []core.ProcessID{"a", "b"}, 1 * time.Second, 60 * time.Second, true,
+			[]offer{{0, "b", 2}}},
 		{"without a link the copies wait", nil, 0, 60 * time.Second, false, nil},
 	}
 	for _, sc := range scenarios {
@@ -50,14 +50,14 @@
 				set.Leave()
 			}
 			assert.Assert(t, !set.Hold("gone", "at-3", []byte("too long"), start))
-			var got []ask
+			var got []offer
 			for d := time.Duration(0); d <= sc.last; d += time.Second {
 				if sc.forget > 0 && d == sc.forget {
 					set.Forget([]core.AttemptID{"at-1", "at-2", "at-9"})
 				}
 				for _, ho := range set.Due(start.Add(d), sc.linked) {
 					assert.Equal(t, ho.Process, core.ProcessID("gone"))
-					got = append(got, ask{d, ho.To, len(ho.Bills)})
+					got = append(got, offer{d, ho.To, len(ho.Bills)})
 				}
 			}
 			assert.Equal(t, fmt.Sprint(got), fmt.Sprint(sc.expected))
--- a/core/ledger/fake_test.go
+++ b/core/ledger/fake_test.go
@@ -10,8 +10,8 @@
 	"skylarkstand/core"
 )
 
-// memory is a store without faults. It counts calls.
-type memory struct {
+// memoryStore is a store in memory without faults. It counts calls.
+type memoryStore struct {
 	mu            sync.Mutex
 	items         map[string]core.Item
 	revision      core.Revision
@@ -19,9 +19,9 @@
 	bytes         int
 }
 
-func newMemory() *memory { return &memory{items: map[string]core.Item{}} }
+func newMemoryStore() *memoryStore { return &memoryStore{items: map[string]core.Item{}} }
 
-func (me *memory) Get(_ context.Context, key string) (core.Item, error) {
+func (me *memoryStore) Get(_ context.Context, key string) (core.Item, error) {
 	me.mu.Lock()
 	defer me.mu.Unlock()
 	me.reads++
@@ -32,7 +32,7 @@
 	return it, nil
 }
 
-func (me *memory) List(_ context.Context, prefix string) ([]core.Item, error) {
+func (me *memoryStore) List(_ context.Context, prefix string) ([]core.Item, error) {
 	me.mu.Lock()
 	defer me.mu.Unlock()
 	me.reads++
@@ -45,7 +45,7 @@
 	return its, nil
 }
 
-func (me *memory) put(key string, prev core.Revision, value []byte) (core.Revision, error) {
+func (me *memoryStore) put(key string, prev core.Revision, value []byte) (core.Revision, error) {
 	me.mu.Lock()
 	defer me.mu.Unlock()
 	me.writes++
@@ -58,52 +58,52 @@
 	return me.revision, nil
 }
 
-func (me *memory) Create(_ context.Context, key string, value []byte, _ core.LeaseID) (core.Revision, error) {
+func (me *memoryStore) Create(_ context.Context, key string, value []byte, _ core.LeaseID) (core.Revision, error) {
 	return me.put(key, 0, value)
 }
 
-func (me *memory) Swap(_ context.Context, key string, prev core.Revision, value []byte) (core.Revision, error) {
+func (me *memoryStore) Swap(_ context.Context, key string, prev core.Revision, value []byte) (core.Revision, error) {
 	return me.put(key, prev, value)
 }
 
-func (me *memory) Delete(_ context.Context, key string, _ core.Revision) error {
+func (me *memoryStore) Delete(_ context.Context, key string, _ core.Revision) error {
 	me.mu.Lock()
 	defer me.mu.Unlock()
 	delete(me.items, key)
 	return nil
 }
 
-func (me *memory) Watch(context.Context, string, core.Revision) (core.Item, error) {
+func (me *memoryStore) Watch(context.Context, string, core.Revision) (core.Item, error) {
 	return core.Item{}, core.ErrUnavailable
 }
 
-func (me *memory) Grant(context.Context, time.Duration) (core.LeaseID, error) {
+func (me *memoryStore) Grant(context.Context, time.Duration) (core.LeaseID, error) {
 	return "", core.ErrUnavailable
 }
-func (me *memory) Renew(context.Context, core.LeaseID) error { return core.ErrUnavailable }
+func (me *memoryStore) Renew(context.Context, core.LeaseID) error { return core.ErrUnavailable }
 
-// flaky is one process's way to a store. Its calls are refused, held up for as
-// long as a process may be paused, lose their reply, or take effect late.
-type flaky struct {
+// faultyStore is one process's connection to a store. Its calls are refused, delayed for as long as
+// a process may be paused, lose their reply, or take effect late.
+type faultyStore struct {
 	core.Store
 	mu  sync.Mutex
 	rng *rand.Rand
-	// broken is the share of calls that go wrong.
-	broken float64
-	// dead makes every call end without an effect.
+	// faultShare is the share of calls that fail or are delayed.
+	faultShare float64
+	// dead makes every call fail without an effect.
 	dead bool
 }
 
-func (fl *flaky) set(broken float64, dead bool) {
+func (fl *faultyStore) set(broken float64, dead bool) {
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
-	fl.broken, fl.dead = broken, dead
+	fl.faultShare, fl.dead = broken, dead
 }
 
 // maxPause is the longest pause of a process at one call.
 const maxPause = 40 * time.Second
 
-// fault is what goes wrong with one call.
+// fault is the kind of failure of one call.
 type fault int
 
 const (
@@ -112,30 +112,30 @@
 	pausedBefore
 	pausedAfter
 	replyLost
-	never
-	late
-	faults
+	writeLost
+	appliedLate
+	faultCount
 )
 
-func (fl *flaky) draw() (fault, time.Duration) {
+func (fl *faultyStore) draw() (fault, time.Duration) {
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
 	switch {
 	case fl.dead:
 		return refused, 0
-	case fl.rng.Float64() >= fl.broken:
+	case fl.rng.Float64() >= fl.faultShare:
 		return none, time.Duration(fl.rng.Int64N(int64(10 * time.Millisecond)))
 	}
-	return fault(1 + fl.rng.IntN(int(faults)-1)), time.Duration(fl.rng.Int64N(int64(maxPause)))
+	return fault(1 + fl.rng.IntN(int(faultCount)-1)), time.Duration(fl.rng.Int64N(int64(maxPause)))
 }
 
-func (fl *flaky) isDead() bool {
+func (fl *faultyStore) isDead() bool {
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
 	return fl.dead
 }
 
-func (fl *flaky) write(put func() (core.Revision, error)) (core.Revision, error) {
+func (fl *faultyStore) write(put func() (core.Revision, error)) (core.Revision, error) {
 	fa, pause := fl.draw()
 	switch fa {
 	case refused:
@@ -143,9 +143,9 @@
 	case replyLost:
 		_, _ = put()
 		return 0, core.ErrUncertain
-	case never:
+	case writeLost:
 		return 0, core.ErrUncertain
-	case late:
+	case appliedLate:
 		time.AfterFunc(pause, func() { _, _ = put() })
 		return 0, core.ErrUncertain
 	case pausedAfter:
@@ -160,18 +160,18 @@
 	return put()
 }
 
-func (fl *flaky) Create(ctx context.Context, key string, value []byte, lease core.LeaseID) (core.Revision, error) {
+func (fl *faultyStore) Create(ctx context.Context, key string, value []byte, lease core.LeaseID) (core.Revision, error) {
 	return fl.write(func() (core.Revision, error) { return fl.Store.Create(ctx, key, value, lease) })
 }
 
-func (fl *flaky) Swap(ctx context.Context, key string, prev core.Revision, value []byte) (core.Revision, error) {
+func (fl *faultyStore) Swap(ctx context.Context, key string, prev core.Revision, value []byte) (core.Revision, error) {
 	return fl.write(func() (core.Revision, error) { return fl.Store.Swap(ctx, key, prev, value) })
 }
 
-func (fl *flaky) Get(ctx context.Context, key string) (core.Item, error) {
+func (fl *faultyStore) Get(ctx context.Context, key string) (core.Item, error) {
 	fa, pause := fl.draw()
 	switch fa {
-	case refused, replyLost, never, late:
+	case refused, replyLost, writeLost, appliedLate:
 		return core.Item{}, core.ErrUnavailable
 	case pausedAfter:
 		it, err := fl.Store.Get(ctx, key)
--- a/core/ledger/figures_test.go
+++ b/core/ledger/figures_test.go
@@ -15,16 +15,15 @@
 	"skylarkstand/test/figure"
 )
 
-// The fleet that the figures are for: 19,000 requests a second on 360 entries,
-// and 100 of the store's writes a second for all ledgers.
+// The fleet that the figures are for: 19,000 requests a second on 360 entries, and 100 of the
+// store's writes a second for all ledgers.
 const (
 	fleetRate    = 53
 	fleetEntries = 360
 	fleetBudget  = 100.0
 )
 
-// TestFiguresLedger measures what one entry costs the store. A bound is named
-// for none of it.
+// TestFiguresLedger measures what one entry costs the store. None of its figures has a bound.
 func TestFiguresLedger(t *testing.T) {
 	if os.Getenv("SKYLARKSTAND_MEASURE") != "1" {
 		t.Skip("set SKYLARKSTAND_MEASURE=1 to measure")
@@ -32,11 +31,11 @@
 	synctest.Test(t, func(t *testing.T) { measureLoad(t, fleetRate) })
 	synctest.Test(t, func(t *testing.T) { measureLoad(t, 0) })
 	measureAdd(t)
-	measureInherit(t)
+	measureSuccessor(t)
 }
 
-// usual is a bill as a chat request to one model leaves it.
-func usual() ledger.Bill {
+// typicalBill returns the bill of a chat request to one model.
+func typicalBill() ledger.Bill {
 	return ledger.Bill{
 		Request: core.RequestID(core.NewID()), Workspace: "landesamt-schools", When: time.Now(), Total: 1234, Content: ledger.Digest(nil),
 		Lines: []ledger.Line{{Target: "desk@v1", Attempt: core.AttemptID(core.NewID()), Usage: core.Usage{Prompt: 812, Generated: 164}, Cost: 1234}},
@@ -45,13 +44,13 @@
 
 func measureLoad(t *testing.T, rate int) {
 	const seconds = 600
-	st := newMemory()
+	st := newMemoryStore()
 	led := ledger.New(core.NewDeps(), st, ledger.Budget(fleetBudget, func() int { return fleetEntries }))
 	ctx, cancel := context.WithCancel(t.Context())
 	go func() { _ = led.Serve(ctx) }()
 	for range seconds {
 		for range rate {
-			led.Add(usual())
+			led.Add(typicalBill())
 		}
 		time.Sleep(time.Second)
 	}
@@ -72,7 +71,7 @@
 
 func measureAdd(t *testing.T) {
 	res := testing.Benchmark(func(b *testing.B) {
-		led, bi := ledger.New(core.NewDeps(), newMemory(), ledger.Memory(1<<40)), usual()
+		led, bi := ledger.New(core.NewDeps(), newMemoryStore(), ledger.Memory(1<<40)), typicalBill()
 		for b.Loop() {
 			led.Add(bi)
 		}
@@ -81,16 +80,16 @@
 	figure.Plain("ledger-add", float64(res.NsPerOp())/1000, "us")
 }
 
-// measureInherit counts what one pass of a successor costs after an hour of an
-// entry's segments, with the last eight seconds of bills to look up.
-func measureInherit(t *testing.T) {
-	st, deps := newMemory(), core.NewDeps()
+// measureSuccessor counts the store calls of one pass of a successor after an hour of an entry's
+// segments, with the bills of the last eight seconds to look up.
+func measureSuccessor(t *testing.T) {
+	st, deps := newMemoryStore(), core.NewDeps()
 	led := ledger.New(deps, st)
 	var copies []ledger.Copy
 	for i := range 501 {
 		floor := led.Floor()
 		for range 10 {
-			co := ledger.Copy{Floor: floor, Bill: usual()}
+			co := ledger.Copy{Floor: floor, Bill: typicalBill()}
 			led.Add(co.Bill)
 			if i == 500 {
 				copies = append(copies, co)
--- a/core/ledger/once_test.go
+++ b/core/ledger/once_test.go
@@ -16,67 +16,67 @@
 	"skylarkstand/test/property"
 )
 
-// world is one entry process, the agent that works for it and two entries that
-// may become its successors. Each has its own faulty way to one store.
-type world struct {
-	st         *memory
-	ways       []*flaky
-	led        *ledger.Writer
-	successors []*ledger.Successor
-	own        *ledger.Successor
-	// bills counts those that the agent was told of.
+// harness is one entry process, the agent that works for it and two entries that may become its
+// successors. Each entry has its own faulty connection to one store.
+type harness struct {
+	st           *memoryStore
+	stores       []*faultyStore
+	led          *ledger.Writer
+	successors   []*ledger.Successor
+	ownSuccessor *ledger.Successor
+	// bills is the number of bills whose copies the agent received.
 	bills int
 	dead  bool
 
-	mu     sync.Mutex
-	copies map[core.AttemptID]ledger.Copy
-	wrong  []string
+	mu         sync.Mutex
+	copies     map[core.AttemptID]ledger.Copy
+	violations []string
 }
 
-// small is a bound on memory that a few bills reach, so that some have no room.
-const small = 900
+// smallMemory is a bound on memory that a few bills reach, so that some do not fit.
+const smallMemory = 900
 
-func newWorld(t *rapid.T) *world {
-	wo := &world{st: newMemory(), copies: map[core.AttemptID]ledger.Copy{}}
+func newHarness(t *rapid.T) *harness {
+	wo := &harness{st: newMemoryStore(), copies: map[core.AttemptID]ledger.Copy{}}
 	seed := rapid.Uint64().Draw(t, "seed")
 	deps := core.NewDeps()
 	deps.Self = "gone"
-	wo.led = ledger.New(deps, wo.way(seed), ledger.Memory(small), ledger.OnDurable(wo.forget))
-	wo.own = ledger.NewSuccessor(deps, wo.ways[0], wo.led)
+	wo.led = ledger.New(deps, wo.newStore(seed), ledger.Memory(smallMemory), ledger.OnDurable(wo.forget))
+	wo.ownSuccessor = ledger.NewSuccessor(deps, wo.stores[0], wo.led)
 	for i := range 2 {
 		deps.Self = core.ProcessID(fmt.Sprint("successor-", i))
-		way := wo.way(seed + uint64(i) + 1)
+		way := wo.newStore(seed + uint64(i) + 1)
 		wo.successors = append(wo.successors, ledger.NewSuccessor(deps, way, ledger.New(deps, way)))
 	}
 	return wo
 }
 
-func (wo *world) way(seed uint64) *flaky {
-	fl := &flaky{Store: wo.st, rng: rand.New(rand.NewPCG(seed, 1)), broken: 0.3}
-	wo.ways = append(wo.ways, fl)
+func (wo *harness) newStore(seed uint64) *faultyStore {
+	fl := &faultyStore{Store: wo.st, rng: rand.New(rand.NewPCG(seed, 1)), faultShare: 0.3}
+	wo.stores = append(wo.stores, fl)
 	return fl
 }
 
-// forget is what an agent does when it is told that bills are durable. They
-// must stand in the store by then.
-func (wo *world) forget(ids []core.AttemptID) {
+// forget drops the agent's copies of bills that are reported durable, and checks that these are in
+// the store.
+func (wo *harness) forget(ids []core.AttemptID) {
 	acc, err := ledger.Sum(context.Background(), wo.st)
-	stands := map[core.AttemptID]bool{}
+	stored := map[core.AttemptID]bool{}
 	for _, bi := range acc.Bills {
-		stands[bi.ID()] = true
+		stored[bi.ID()] = true
 	}
 	wo.mu.Lock()
 	defer wo.mu.Unlock()
 	for _, id := range ids {
-		if err != nil || !stands[id] {
-			wo.wrong = append(wo.wrong, fmt.Sprintf("bill %s was told durable and is not", id))
+		if err != nil || !stored[id] {
+			wo.violations = append(wo.violations, fmt.Sprintf("bill %s was reported durable but is not in the store", id))
 		}
 		delete(wo.copies, id)
 	}
 }
 
-// settle ends a request at the entry.
-func (wo *world) settle(*rapid.T) {
+// settleRequest ends a request at the entry: it files the bill and hands the agent a copy.
+func (wo *harness) settleRequest(*rapid.T) {
 	if wo.dead {
 		return
 	}
@@ -88,7 +88,7 @@
 	wo.copies[co.Bill.ID()] = co
 }
 
-func (wo *world) write(*rapid.T) {
+func (wo *harness) write(*rapid.T) {
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 		defer cancel()
@@ -96,15 +96,15 @@
 	}()
 }
 
-// offer hands the agent's copies to a successor, or back to the entry itself.
-func (wo *world) offer(t *rapid.T) {
-	he := rapid.SampledFrom(append(wo.successors, wo.own)).Draw(t, "successor")
-	if held := wo.held(); len(held) > 0 && (he != wo.own || !wo.dead) {
+// offer offers the agent's copies to a successor, or to the entry itself.
+func (wo *harness) offer(t *rapid.T) {
+	he := rapid.SampledFrom(append(wo.successors, wo.ownSuccessor)).Draw(t, "successor")
+	if held := wo.held(); len(held) > 0 && (he != wo.ownSuccessor || !wo.dead) {
 		go wo.file(he, held)
 	}
 }
 
-func (wo *world) held() []ledger.Copy {
+func (wo *harness) held() []ledger.Copy {
 	wo.mu.Lock()
 	defer wo.mu.Unlock()
 	var held []ledger.Copy
@@ -114,7 +114,7 @@
 	return held
 }
 
-func (wo *world) file(he *ledger.Successor, held []ledger.Copy) {
+func (wo *harness) file(he *ledger.Successor, held []ledger.Copy) {
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
 	if done, err := he.File(ctx, "gone", held); err == nil {
@@ -122,32 +122,32 @@
 	}
 }
 
-func (wo *world) die(t *rapid.T) {
+func (wo *harness) die(t *rapid.T) {
 	if rapid.IntRange(0, 9).Draw(t, "dies") == 0 {
 		wo.dead = true
-		wo.ways[0].set(1, true)
+		wo.stores[0].set(1, true)
 	}
 }
 
-func (wo *world) pass(t *rapid.T) {
+func (wo *harness) wait(t *rapid.T) {
 	time.Sleep(time.Duration(rapid.Int64Range(1, int64(30*time.Second)).Draw(t, "time")))
 }
 
-// check runs after each action: nothing stands twice, no entry is missing.
-func (wo *world) check(t *rapid.T) {
+// check runs after each action: no bill is stored twice, no entry is missing.
+func (wo *harness) check(t *rapid.T) {
 	acc, err := ledger.Sum(context.Background(), wo.st)
 	assert.NilError(t, err)
 	assert.Equal(t, len(acc.Doubled), 0, "doubled: %v", acc.Doubled)
 	assert.Equal(t, len(acc.Faults), 0, "faults: %v", acc.Faults)
 	wo.mu.Lock()
 	defer wo.mu.Unlock()
-	assert.Equal(t, len(wo.wrong), 0, "%v", wo.wrong)
+	assert.Equal(t, len(wo.violations), 0, "%v", wo.violations)
 }
 
-// end heals the store, lets every pause pass, and has one successor file what the
-// agent still holds. Then each bill stands there once.
-func (wo *world) end(t *rapid.T) {
-	for _, way := range wo.ways {
+// finish removes the store's faults, waits until every pause has passed, and has one successor file
+// the agent's remaining copies. Then each bill must be stored exactly once.
+func (wo *harness) finish(t *rapid.T) {
+	for _, way := range wo.stores {
 		way.set(0, way.isDead())
 	}
 	time.Sleep(time.Hour)
@@ -164,25 +164,25 @@
 	assert.Equal(t, len(acc.Bills), wo.bills)
 }
 
-// The store loses replies, refuses, and applies writes late; the entry and its
-// successors are paused in the middle of a write, wake much later, or die. Agents
-// offer their copies whenever they take the entry for gone. A customer must
-// find each whole answer on the account once, whatever the order.
-func TestEachBillStandsOnce(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) { rapid.SyncTest(t, live) })
+// The store loses replies, refuses calls, and applies writes late; the entry and its successors are
+// paused in the middle of a write, resume much later, or die. Agents offer their copies whenever
+// they consider the entry gone. Whatever the order, the account must show each whole answer exactly
+// once.
+func TestEachBillIsStoredOnce(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) { rapid.SyncTest(t, runSequence) })
 }
 
-func live(t *rapid.T) {
-	wo := newWorld(t)
+func runSequence(t *rapid.T) {
+	wo := newHarness(t)
 	t.Repeat(map[string]func(*rapid.T){
-		"settle": wo.settle, "settle-2": wo.settle, "write": wo.write, "write-2": wo.write,
-		"offer": wo.offer, "offer-2": wo.offer, "die": wo.die, "pass": wo.pass, "pass-2": wo.pass,
+		"settle": wo.settleRequest, "settle-2": wo.settleRequest, "write": wo.write, "write-2": wo.write,
+		"offer": wo.offer, "offer-2": wo.offer, "die": wo.die, "pass": wo.wait, "pass-2": wo.wait,
 		"": wo.check,
 	})
-	wo.end(t)
+	wo.finish(t)
 }
 
-// The usual run has one seed and takes a second or two; the flags of rapid set
+// By default the property test runs with one seed and takes a second or two; rapid's flags set
 // others.
 const (
 	seed   = "7"
--- a/core/ledger/queue.go
+++ b/core/ledger/queue.go
@@ -9,8 +9,8 @@
 	"skylarkstand/core"
 )
 
-// waiting is a bill that is not durable yet, in its stored form.
-type waiting struct {
+// queuedBill is a bill that is not durable yet, in its stored form.
+type queuedBill struct {
 	id  core.AttemptID
 	raw json.RawMessage
 }
@@ -18,13 +18,13 @@
 // queue holds the bills that wait for a segment, in order.
 type queue struct {
 	mu    sync.Mutex
-	items []waiting
+	items []queuedBill
 	bytes int
 	limit int
 }
 
 // add appends a bill and reports whether there was room.
-func (qu *queue) add(wa waiting) bool {
+func (qu *queue) add(wa queuedBill) bool {
 	qu.mu.Lock()
 	defer qu.mu.Unlock()
 	if qu.bytes+len(wa.raw) > qu.limit {
@@ -35,8 +35,8 @@
 	return true
 }
 
-// head returns the bills at the front that fit into a segment, at least one.
-func (qu *queue) head() []waiting {
+// head returns the first bills that fit into a segment, at least one.
+func (qu *queue) head() []queuedBill {
 	qu.mu.Lock()
 	defer qu.mu.Unlock()
 	size, count := 0, 0
@@ -47,7 +47,7 @@
 	return slices.Clone(qu.items[:count])
 }
 
-// pop removes the first bills, which are durable.
+// pop removes the first count bills, which are durable.
 func (qu *queue) pop(count int) {
 	qu.mu.Lock()
 	defer qu.mu.Unlock()
@@ -58,11 +58,11 @@
 	qu.items = qu.items[count:]
 }
 
-// drop removes the bills that are named, wherever they stand.
+// drop removes the bills with the given IDs, at any position.
 func (qu *queue) drop(ids idSet) {
 	qu.mu.Lock()
 	defer qu.mu.Unlock()
-	qu.items = slices.DeleteFunc(qu.items, func(wa waiting) bool {
+	qu.items = slices.DeleteFunc(qu.items, func(wa queuedBill) bool {
 		if ids[wa.id] {
 			qu.bytes -= len(wa.raw)
 		}
@@ -70,22 +70,22 @@
 	})
 }
 
-// close refuses all further bills and returns those that wait.
-func (qu *queue) close() []waiting {
+// close makes the queue refuse further bills and returns those that wait.
+func (qu *queue) close() []queuedBill {
 	qu.mu.Lock()
 	defer qu.mu.Unlock()
 	qu.limit = 0
 	return qu.items
 }
 
-// size returns the bytes of what waits.
+// size returns the bytes of the bills that wait.
 func (qu *queue) size() int {
 	qu.mu.Lock()
 	defer qu.mu.Unlock()
 	return qu.bytes
 }
 
-// ids returns what waits.
+// ids returns the IDs of the bills that wait.
 func (qu *queue) ids() idSet {
 	qu.mu.Lock()
 	defer qu.mu.Unlock()
@@ -96,7 +96,7 @@
 	return ids
 }
 
-// idSet is a set of bills.
+// idSet is a set of bill IDs.
 type idSet map[core.AttemptID]bool
 
 func (se idSet) list() []core.AttemptID {
@@ -109,7 +109,7 @@
 }
 
 // encodeSegment returns the payload of a segment of bills.
-func encodeSegment(batch []waiting) []byte {
+func encodeSegment(batch []queuedBill) []byte {
 	raws := make([][]byte, len(batch))
 	for i, wa := range batch {
 		raws[i] = wa.raw
--- a/core/ledger/successor.go
+++ b/core/ledger/successor.go
@@ -12,46 +12,46 @@
 	"skylarkstand/core/event"
 )
 
-// Successor files the bills of processes that agents take for gone, and hands those
-// of this process back to its writer. Any entry may be the successor of any
-// process, also two at once: the chains decide. It is safe for concurrent use.
+// Successor files the bills of processes that agents consider gone, and returns those of this
+// process to its writer. Any entry may be the successor of any process, even two entries at once:
+// the chains keep each bill single. It is safe for concurrent use.
 type Successor struct {
-	deps   core.Deps
-	store  core.Store
-	own    *Writer
-	offers chan Offer
-	size   atomic.Int64
+	deps         core.Deps
+	store        core.Store
+	writer       *Writer
+	offers       chan Offer
+	offeredBytes atomic.Int64
 }
 
-// Offer is what one agent holds of one process's bills.
+// Offer is an agent's copies of one process's bills.
 type Offer struct {
 	Process core.ProcessID
 	Copies  []Copy
-	// Durable is told which of the copies stand in the store.
+	// Durable is called with the IDs of the copies whose bills are in the store.
 	Durable func([]core.AttemptID)
-	size    int64
+	bytes   int64
 }
 
-// NewSuccessor returns a successor that knows the process's own writer.
+// NewSuccessor returns a successor; own is the writer of this process.
 func NewSuccessor(deps core.Deps, st core.Store, own *Writer) *Successor {
-	return &Successor{deps: deps, store: st, own: own, offers: make(chan Offer, maxOffers)}
+	return &Successor{deps: deps, store: st, writer: own, offers: make(chan Offer, maxOffers)}
 }
 
 const (
-	// maxOffers and maxOffered bound what waits. The load they are made for is
-	// the loss of an entry that hundreds of agents hold bills of. An offer
-	// beyond them is dropped; its agent keeps the bills and offers them again.
+	// maxOffers and maxOffered bound the number and the bytes of waiting offers. They are sized for
+	// the loss of an entry whose bills hundreds of agents hold. An offer beyond them is dropped;
+	// its agent keeps the bills and offers them again.
 	maxOffers  = 1024
 	maxOffered = 64 << 20
-	// gather is the wait for offers of other agents. Each pass over a
-	// process's chains costs the store a few reads and two or three writes;
-	// without the wait every agent's offer would take one of its own.
-	gather = time.Second
-	// inheritLimit bounds a pass, so that one process cannot hold up others.
-	inheritLimit = 20 * time.Second
+	// gatherWait is the wait for offers of other agents. Each pass over a process's chains takes a
+	// few reads and two or three writes of the store; without the wait every agent's offer would
+	// need its own pass.
+	gatherWait = time.Second
+	// passTimeout bounds a pass, so that one process cannot block the others.
+	passTimeout = 20 * time.Second
 )
 
-// Offer takes copies in their stored form. It does not block.
+// Offer enqueues copies in their stored form. It does not block.
 func (su *Successor) Offer(process core.ProcessID, raws [][]byte, durable func([]core.AttemptID)) {
 	of := Offer{Process: process, Durable: durable}
 	for _, raw := range raws {
@@ -60,20 +60,20 @@
 			continue
 		}
 		of.Copies = append(of.Copies, co)
-		of.size += int64(len(raw))
+		of.bytes += int64(len(raw))
 	}
-	if len(of.Copies) == 0 || su.size.Load()+of.size > maxOffered {
+	if len(of.Copies) == 0 || su.offeredBytes.Load()+of.bytes > maxOffered {
 		return
 	}
-	su.size.Add(of.size)
+	su.offeredBytes.Add(of.bytes)
 	select {
 	case su.offers <- of:
 	default:
-		su.size.Add(-of.size)
+		su.offeredBytes.Add(-of.bytes)
 	}
 }
 
-// Serve files what is offered until the context ends.
+// Serve files the offered bills until the context ends.
 func (su *Successor) Serve(ctx context.Context) error {
 	for {
 		select {
@@ -82,34 +82,34 @@
 		case of := <-su.offers:
 			batch := su.collect(ctx, of)
 			for _, id := range sortedKeys(batch) {
-				su.pass(ctx, id, batch[id])
+				su.fileOffers(ctx, id, batch[id])
 			}
 		}
 	}
 }
 
-// collect gathers the offers that come shortly after one another, by process.
+// collect returns the offer and those that arrive within gatherWait, by process.
 func (su *Successor) collect(ctx context.Context, of Offer) map[core.ProcessID][]Offer {
 	select {
-	case <-time.After(gather):
+	case <-time.After(gatherWait):
 	case <-ctx.Done():
 	}
 	batch := map[core.ProcessID][]Offer{of.Process: {of}}
-	su.size.Add(-of.size)
+	su.offeredBytes.Add(-of.bytes)
 	for {
 		select {
 		case of := <-su.offers:
 			batch[of.Process] = append(batch[of.Process], of)
-			su.size.Add(-of.size)
+			su.offeredBytes.Add(-of.bytes)
 		default:
 			return batch
 		}
 	}
 }
 
-// pass files the offers of one process and tells the agents what is durable.
-func (su *Successor) pass(ctx context.Context, id core.ProcessID, ofs []Offer) {
-	ctx, cancel := context.WithTimeout(ctx, inheritLimit)
+// fileOffers files the offers of one process and reports the durable bills to the agents.
+func (su *Successor) fileOffers(ctx context.Context, id core.ProcessID, ofs []Offer) {
+	ctx, cancel := context.WithTimeout(ctx, passTimeout)
 	defer cancel()
 	var all []Copy
 	for _, of := range ofs {
@@ -121,14 +121,14 @@
 		event.Log(su.deps.Log, event.TakeoverLate, "process", id, "error", err)
 		return
 	}
-	stands := idSet{}
+	stored := idSet{}
 	for _, at := range done {
-		stands[at] = true
+		stored[at] = true
 	}
 	for _, of := range ofs {
 		var ids []core.AttemptID
 		for _, co := range of.Copies {
-			if stands[co.Bill.ID()] {
+			if stored[co.Bill.ID()] {
 				ids = append(ids, co.Bill.ID())
 			}
 		}
@@ -138,17 +138,17 @@
 	}
 }
 
-// File files the copies of a process's bills where they lack and returns those
-// that stand in the store. After an error nothing is known of them.
+// File files those bills of a process that no entry holds, and returns the IDs of all the copies,
+// which are then in the store. After an error it is unknown which bills are.
 func (su *Successor) File(ctx context.Context, id core.ProcessID, copies []Copy) ([]core.AttemptID, error) {
 	if id == su.deps.Self {
-		return su.own.Reclaim(ctx, copies)
+		return su.writer.Reclaim(ctx, copies)
 	}
 	chs := openChains(su.store, id)
-	if err := chs.enlist(ctx); err != nil {
+	if err := chs.addToIndex(ctx); err != nil {
 		return nil, err
 	}
-	fl := lowest(copies)
+	fl := lowestFloor(copies)
 	ta, err := seal(ctx, chs.own, fl.Own)
 	if err != nil {
 		return nil, err
@@ -157,17 +157,17 @@
 	if err != nil {
 		return nil, err
 	}
-	lacks, all := lacking(copies, ta.found)
-	if err := fileLacking(ctx, chs.takeover, ta, lacks); err != nil {
+	missing, all := missingBills(copies, ta.found)
+	if err := appendMissing(ctx, chs.takeover, ta, missing); err != nil {
 		return nil, err
 	}
-	event.Log(su.deps.Log, event.TakeoverFiled, "process", id, "offered", len(all), "lacked", len(lacks))
+	event.Log(su.deps.Log, event.TakeoverFiled, "process", id, "offered", len(all), "lacked", len(missing))
 	return all, nil
 }
 
-// seal ends a process's own chain and reads it from an entry on. Until the
-// seal stands, the process may still write; so the chain is read to the entry
-// that the seal takes, and a bill that came before it is seen.
+// seal seals a process's own chain and reads it from entry n on. Until the seal is written, the
+// process may still write; so the chain is read up to the seal's entry, to find the bills that came
+// before it.
 func seal(ctx context.Context, ch *chain.Chain, n uint64) (tail, error) {
 	ta, err := readTail(ctx, ch, n, idSet{})
 	for err == nil && !ta.sealed {
@@ -176,15 +176,15 @@
 		case err == nil, errors.Is(err, chain.ErrSealed), errors.Is(err, chain.ErrTaken):
 			ta, err = readTail(ctx, ch, ta.next, ta.found)
 		default:
-			return ta, late(err)
+			return ta, storeError(err)
 		}
 	}
 	return ta, err
 }
 
-// lacking returns the copies that no entry holds, and the ids of all.
-func lacking(copies []Copy, found idSet) ([]waiting, []core.AttemptID) {
-	var lacks []waiting
+// missingBills returns the copies that no entry holds, and the ids of all copies.
+func missingBills(copies []Copy, found idSet) ([]queuedBill, []core.AttemptID) {
+	var missing []queuedBill
 	seen := idSet{}
 	for i := range copies {
 		id := copies[i].Bill.ID()
@@ -196,17 +196,17 @@
 			continue
 		}
 		if raw, err := json.Marshal(copies[i].Bill); err == nil {
-			lacks = append(lacks, waiting{id, raw})
+			missing = append(missing, queuedBill{id, raw})
 		}
 	}
-	return lacks, seen.list()
+	return missing, seen.list()
 }
 
-// fileLacking appends bills to the takeover chain. Entry n is created only after all
-// entries below it were read, here and by the caller; an entry that somebody
-// else wrote meanwhile is read, and what it holds is left out.
-func fileLacking(ctx context.Context, ch *chain.Chain, ta tail, lacks []waiting) error {
-	qu := queue{items: lacks}
+// appendMissing appends bills to the takeover chain. Entry n is created only after all entries
+// before it were read, here and by the caller; if another process writes an entry meanwhile, it is
+// read and its bills are left out.
+func appendMissing(ctx context.Context, ch *chain.Chain, ta tail, missing []queuedBill) error {
+	qu := queue{items: missing}
 	for {
 		qu.drop(ta.found)
 		batch := qu.head()
@@ -224,7 +224,7 @@
 				return err
 			}
 		default:
-			return late(err)
+			return storeError(err)
 		}
 	}
 }
--- a/core/ledger/sum.go
+++ b/core/ledger/sum.go
@@ -20,43 +20,41 @@
 // Account is the sum of all ledger chains.
 type Account struct {
 	Workspaces map[core.WorkspaceID]*Balance
-	// Doubled lists requests with a bill that stands in two entries: a fault.
+	// Doubled lists requests with a bill that is in two entries, which is a fault.
 	Doubled []core.RequestID
-	// Faults lists what is wrong with the chains, such as a missing entry.
+	// Faults lists faults of the chains, such as a missing entry.
 	Faults []string
-	// Bills lists what is charged, by time.
+	// Bills lists the charged bills, by time.
 	Bills []Bill
-	// Segments counts the entries that were read.
+	// Segments is the number of entries that were read.
 	Segments int
 }
 
-// Balance is one workspace's part.
+// Balance is the account of one workspace.
 type Balance struct {
 	Requests int
 	Total    core.Millicents
-	// Resent counts whole answers to requests that were sent again. They are
-	// not charged.
+	// Resent counts whole answers to retried requests. They are not charged.
 	Resent int
 }
 
-// ResendWindow is how long after its first bill a request that is sent again,
-// with the same id and body, is the same request. It is above the longest
-// deadline. The limit is there because clients exist that send one fixed id
-// with each request; what they ask again later is charged.
+// ResendWindow is how long after its first bill a retry with the same id and body counts as the
+// same request. It is above the longest deadline. It is limited because some clients send one fixed
+// id with every request; their later requests are charged.
 const ResendWindow = time.Hour
 
-// Sum reads all ledger chains, one entry a call: a list of the chains would
-// return the whole ledger in one reply.
+// Sum reads all ledger chains, one entry per call: listing the chains would return the whole ledger
+// in one reply.
 func Sum(ctx context.Context, st core.Store) (Account, error) {
 	acc := Account{Workspaces: map[core.WorkspaceID]*Balance{}}
-	its, err := st.List(ctx, index)
+	its, err := st.List(ctx, indexPrefix)
 	if err != nil {
 		return acc, eris.Wrap(ErrLate, "list the processes that have a ledger")
 	}
 	slices.SortFunc(its, func(a, b core.Item) int { return cmp.Compare(a.Key, b.Key) })
 	var all []Bill
 	for _, it := range its {
-		chs := openChains(st, core.ProcessID(strings.TrimPrefix(it.Key, index)))
+		chs := openChains(st, core.ProcessID(strings.TrimPrefix(it.Key, indexPrefix)))
 		bis, err := acc.read(ctx, chs)
 		if err != nil {
 			return acc, err
@@ -70,8 +68,8 @@
 // read returns the bills of both chains of a process.
 func (acc *Account) read(ctx context.Context, chs *chains) ([]Bill, error) {
 	name := Prefix + string(chs.process)
-	// The takeover chain goes first: the seal stood before its first entry, so it is
-	// there when the own chain is read, also while both grow.
+	// The takeover chain is read first: the seal was written before its first entry, so the seal is
+	// there when the own chain is read, even while both chains grow.
 	takeover, _, err := acc.readChain(ctx, chs, chs.takeover, name+"/takeover")
 	if err != nil {
 		return nil, err
@@ -81,13 +79,13 @@
 		return nil, err
 	}
 	if len(takeover) > 0 && !sealed {
-		acc.fault("%s has a takeover chain but no seal", name)
+		acc.addFault("%s has a takeover chain but no seal", name)
 	}
 	return append(own, takeover...), nil
 }
 
-// readChain reads a chain to its end. An absent entry is the end unless the
-// hint of the head, or the entry after it, tells that the chain goes on.
+// readChain reads a chain to its end. An absent entry is the end unless the hint of the head, or
+// the entry after it, shows that the chain continues.
 func (acc *Account) readChain(ctx context.Context, chs *chains, ch *chain.Chain, name string) ([]Bill, bool, error) {
 	var all []Bill
 	sealed := false
@@ -105,19 +103,19 @@
 			en, err = ch.Read(ctx, n)
 		}
 		if errors.Is(err, chain.ErrAbsent) {
-			acc.fault("%s: entry %d is missing", name, n)
+			acc.addFault("%s: entry %d is missing", name, n)
 			continue
 		}
 		if err != nil {
-			return nil, sealed, eris.Wrapf(late(err), "%s, entry %d", name, n)
+			return nil, sealed, eris.Wrapf(storeError(err), "%s, entry %d", name, n)
 		}
 		if sealed {
-			acc.fault("%s: entry %d stands after the seal", name, n)
+			acc.addFault("%s: entry %d stands after the seal", name, n)
 		}
 		sealed = sealed || en.Seal
-		bis, err := bills(en)
+		bis, err := decodeBills(en)
 		if err != nil {
-			acc.fault("%s: %v", name, err)
+			acc.addFault("%s: %v", name, err)
 		}
 		acc.Segments++
 		all = append(all, bis...)
@@ -134,32 +132,32 @@
 	}
 	n, err := strconv.ParseUint(string(it.Value), 10, 64)
 	if err != nil {
-		return 0, nil // It is a hint only.
+		return 0, nil // The head is only a hint.
 	}
 	return n, nil
 }
 
-func (acc *Account) fault(format string, args ...any) {
+func (acc *Account) addFault(format string, args ...any) {
 	acc.Faults = append(acc.Faults, fmt.Sprintf(format, args...))
 }
 
-// sent identifies a caller's request.
-type sent struct {
+// requestKey identifies a caller's request.
+type requestKey struct {
 	workspace core.WorkspaceID
 	request   core.RequestID
 	content   string
 }
 
-// charge sorts the bills by time and sums them, each request once, and of the
-// bills for one run of an operation one.
+// charge sorts the bills by time and sums them. It charges each request once, and one of the bills
+// for one run of an operation.
 func (acc *Account) charge(all []Bill) {
 	slices.SortStableFunc(all, func(a, b Bill) int { return a.When.Compare(b.When) })
 	seen := idSet{}
-	first := map[sent]time.Time{}
-	ran := idSet{}
+	first := map[requestKey]time.Time{}
+	charged := idSet{}
 	for i := range all {
 		if all[i].ReplayOf == "" {
-			ran[all[i].ID()] = true
+			charged[all[i].ID()] = true
 		}
 	}
 	for i := range all {
@@ -171,12 +169,12 @@
 		seen[bi.ID()] = true
 		ba := acc.balance(bi.Workspace)
 		if bi.ReplayOf != "" {
-			if ran[bi.ReplayOf] {
-				bi.Total = 0 // The attempt that ran it is charged, or a replay was.
+			if charged[bi.ReplayOf] {
+				bi.Total = 0 // Already charged: the attempt that ran it or another replay.
 			}
-			ran[bi.ReplayOf] = true
+			charged[bi.ReplayOf] = true
 		} else {
-			ke := sent{bi.Workspace, bi.Request, bi.Content}
+			ke := requestKey{bi.Workspace, bi.Request, bi.Content}
 			if at, ok := first[ke]; ok && bi.When.Sub(at) <= ResendWindow {
 				ba.Resent++
 				continue
--- a/core/ledger/sum_test.go
+++ b/core/ledger/sum_test.go
@@ -13,25 +13,24 @@
 	"skylarkstand/core/ledger"
 )
 
-// entry is a segment of bills, or a seal, in a chain.
+// entry is a segment of bills, or a seal if bills is nil, in a chain.
 type entry struct {
 	chain  string
 	number uint64
 	bills  []ledger.Bill
 }
 
-// bill returns a bill of 700 millicents with an attempt of its own.
+// bill returns a bill of 700 millicents with its own attempt.
 func bill(request, attempt, body string, after time.Duration) ledger.Bill {
 	bi := newBill(attempt)
 	bi.Request, bi.Content, bi.When = core.RequestID(request), body, time.Unix(0, 0).Add(after)
 	return bi
 }
 
-// A caller sends a request again because the answer came late or the entry died
-// before it filed the bill of an operation that ran; each entry
-// that served it has filed a bill; or entries of the ledger are lost or doubled
-// by a fault of the store or of this product. The customer's account must show
-// each request once, and the operator must be told what is wrong by name.
+// A caller retries a request because the answer was late or the entry died before it filed the bill
+// of an operation that ran; each entry that served it has filed a bill; or entries of the ledger
+// are lost or doubled by a fault of the store or of this product. The customer's account must show
+// each request once, and the operator must see each fault by name.
 func TestAccountChargesOnceAndNamesFaults(t *testing.T) {
 	first := bill("r1", "a1", "x", 0)
 	replay, again := bill("r2", "a2", "x", -time.Second), bill("r2", "a3", "x", time.Second)
@@ -60,12 +59,12 @@
 	}
 	for _, sc := range scenarios {
 		t.Run(sc.testName, func(t *testing.T) {
-			st := newMemory()
+			st := newMemoryStore()
 			for _, en := range sc.entries {
 				write(t, st, en)
 			}
 			if sc.expected == "" {
-				// The hint of the head tells of an entry that is gone.
+				// The hint of the head refers to an entry that is gone.
 				assert.NilError(t, st.Delete(t.Context(), "ledger/p/3", 0))
 				sc.expected = "1 requests 700, 0 resent, doubled [], faults [ledger/p: entry 2 is missing ledger/p: entry 3 is missing]"
 			}
@@ -78,7 +77,7 @@
 	}
 }
 
-func write(t *testing.T, st *memory, en entry) {
+func write(t *testing.T, st *memoryStore, en entry) {
 	t.Helper()
 	ch := chain.New(st, "ledger/"+en.chain)
 	if en.chain == "p" || en.chain == "q" {
--- a/core/ledger/writer.go
+++ b/core/ledger/writer.go
@@ -16,78 +16,78 @@
 
 // Writer is the ledger of one entry process. It is safe for concurrent use.
 type Writer struct {
-	deps     core.Deps
-	chains   *chains
-	shortest time.Duration
-	budget   float64
-	live     func() int
-	durable  func([]core.AttemptID)
-	queue    queue
-
-	// turn is held by the one goroutine that reads or writes the chains. It is
-	// a channel so that a stop can give up waiting for it.
-	turn chan struct{}
-	// open is the segment whose write is not settled; enlisted tells that the
-	// process stands in the index. Both belong to the holder of turn.
-	open     *segment
-	enlisted bool
-
-	// mu guards the place of the next segment, which Floor reads.
+	deps        core.Deps
+	chains      *chains
+	minInterval time.Duration
+	budget      float64
+	liveEntries func() int
+	onDurable   func([]core.AttemptID)
+	queue       queue
+
+	// sem is held by the one goroutine that reads or writes the chains. It is a channel so that a
+	// stop can give up waiting for it.
+	sem chan struct{}
+	// pending is the segment whose write is not settled; indexed reports whether the process is in
+	// the index. Both belong to the holder of sem.
+	pending *segment
+	indexed bool
+
+	// mu guards the position of the next segment, which Floor reads.
 	mu     sync.Mutex
 	floor  Floor
 	sealed bool
 }
 
-// segment is one write. It stays the same, nonce and all, until its entry is
-// known to be taken by it or by another: the write may be on its way still, and
-// the chain tells by the nonce whose the entry is.
+// segment is one write. It keeps its nonce and content until it is known whether its entry is this
+// segment or another's: the write may still be in flight, and the chain identifies the writer of an
+// entry by the nonce.
 type segment struct {
 	nonce string
-	batch []waiting
+	batch []queuedBill
 	raw   []byte
 }
 
 // Option changes a Writer at construction.
 type Option func(*Writer)
 
-// Pace sets the shortest time between two segments. Default two seconds.
-func Pace(d time.Duration) Option { return func(wr *Writer) { wr.shortest = d } }
+// Pace sets the shortest time between two segments. The default is two seconds.
+func Pace(d time.Duration) Option { return func(wr *Writer) { wr.minInterval = d } }
 
-// Budget sets the writes a second that the ledgers of all live entries
-// together may take of the store, see [Interval].
+// Budget sets the writes per second that the ledgers of all live entries together may use, see
+// [Interval].
 func Budget(writes float64, live func() int) Option {
-	return func(wr *Writer) { wr.budget, wr.live = writes, live }
+	return func(wr *Writer) { wr.budget, wr.liveEntries = writes, live }
 }
 
 // Memory bounds the bills that wait, in bytes.
 //
-// The load it is made for is a store that is down for hours. An entry at 53
-// requests a second gathers 16 kB of bills a second, so the default holds more
-// than four hours. Beyond it a bill is logged whole as lost; its
-// agent still holds a copy and hands it back once the store answers. Refusing
-// requests instead would turn an outage of the store into one of the service.
+// The default is sized for a store that is down for hours. An entry at 53 requests a second
+// produces 16 kB of bills a second, so the default holds more than four hours of bills. Beyond the
+// bound a bill is logged in full as lost; its agent still holds a copy and offers it once the store
+// answers. Refusing requests instead would turn an outage of the store into an outage of the
+// service.
 func Memory(bytes int) Option { return func(wr *Writer) { wr.queue.limit = bytes } }
 
-// OnDurable sets what is called with the bills that stand in the store.
-func OnDurable(fn func([]core.AttemptID)) Option { return func(wr *Writer) { wr.durable = fn } }
+// OnDurable sets the function that is called with the IDs of bills once they are in the store.
+func OnDurable(fn func([]core.AttemptID)) Option { return func(wr *Writer) { wr.onDurable = fn } }
 
 const (
-	defaultPace   = 2 * time.Second
-	defaultMemory = 256 << 20
-	// segmentBytes bounds the bills of a segment, so that its value with the
-	// envelope stays below the store's megabyte.
+	defaultMinInterval     = 2 * time.Second
+	defaultMaxWaitingBytes = 256 << 20
+	// segmentBytes bounds the bills of a segment, so that its value with the envelope stays below
+	// the store's limit of a megabyte.
 	segmentBytes = 900_000
-	// writeLimit bounds one try to write, so that a store that swallows
-	// replies does not keep the turn from a stop or a hand-back.
-	writeLimit = 5 * time.Second
+	// writeTimeout bounds one attempt to write, so that a store that loses replies does not block a
+	// stop or a Reclaim that waits for sem.
+	writeTimeout = 5 * time.Second
 )
 
-// New returns the ledger of the process in deps.
+// New returns the ledger writer of the process in deps.
 func New(deps core.Deps, st core.Store, opts ...Option) *Writer {
 	wr := &Writer{
-		deps: deps, chains: openChains(st, deps.Self), shortest: defaultPace,
-		live: func() int { return 1 }, durable: func([]core.AttemptID) {},
-		queue: queue{limit: defaultMemory}, turn: make(chan struct{}, 1), floor: Floor{Own: 1, Takeover: 1},
+		deps: deps, chains: openChains(st, deps.Self), minInterval: defaultMinInterval,
+		liveEntries: func() int { return 1 }, onDurable: func([]core.AttemptID) {},
+		queue: queue{limit: defaultMaxWaitingBytes}, sem: make(chan struct{}, 1), floor: Floor{Own: 1, Takeover: 1},
 	}
 	for _, opt := range opts {
 		opt(wr)
@@ -95,34 +95,33 @@
 	return wr
 }
 
-// Floor returns where a bill that is added from now on can stand.
+// Floor returns the first entries that can hold a bill that is added from now on.
 func (wr *Writer) Floor() Floor {
 	wr.mu.Lock()
 	defer wr.mu.Unlock()
 	return wr.floor
 }
 
-// Add files a bill for the next segment. It does not block. It comes before an
-// agent is told of the bill: a successor could otherwise file the agent's copy in
-// an entry that this writer has read already, and the bill would stand twice.
+// Add enqueues a bill for the next segment. It does not block. It must be called before an agent
+// receives its copy: a successor could otherwise file the agent's copy in an entry that this writer
+// has already read, and the bill would be stored twice.
 func (wr *Writer) Add(bi Bill) {
 	raw, err := json.Marshal(bi)
-	if err != nil || !wr.queue.add(waiting{bi.ID(), raw}) {
-		wr.lose(raw)
+	if err != nil || !wr.queue.add(queuedBill{bi.ID(), raw}) {
+		wr.logLost(raw)
 	}
 }
 
-func (wr *Writer) lose(raw []byte) {
+func (wr *Writer) logLost(raw []byte) {
 	meter.BillsLost.Inc(wr.deps.Metrics)
 	event.Log(wr.deps.Log, event.BillLost, "bill", string(raw))
 }
 
-// Serve writes segments until the context ends, one in each interval. Close
-// must follow.
+// Serve writes one segment per interval until the context ends. Close must follow.
 //
-// One is enough: it takes thousands of bills. After an outage all entries have
-// segments waiting, and writing them at once would take the store from the
-// claims that callers wait for; so the budget holds then as well.
+// One segment per interval is enough: it holds thousands of bills. After an outage all entries have
+// segments waiting, and writing them at once would take the store's write rate from the claims that
+// callers wait for; so the budget applies then as well.
 func (wr *Writer) Serve(ctx context.Context) error {
 	wait := phase(wr.deps.Self, wr.interval())
 	for {
@@ -131,7 +130,7 @@
 			return ctx.Err()
 		case <-time.After(wait):
 		}
-		wctx, cancel := context.WithTimeout(ctx, writeLimit)
+		wctx, cancel := context.WithTimeout(ctx, writeTimeout)
 		if _, err := wr.step(wctx); err != nil && ctx.Err() == nil {
 			event.Log(wr.deps.Log, event.SegmentLate, "error", err)
 		}
@@ -141,32 +140,34 @@
 	}
 }
 
-func (wr *Writer) interval() time.Duration { return Interval(wr.budget, wr.live(), wr.shortest) }
+func (wr *Writer) interval() time.Duration {
+	return Interval(wr.budget, wr.liveEntries(), wr.minInterval)
+}
 
-// Close writes what waits, for at most limit, and logs each bill that could
-// not be written. Bills that are added later are logged as lost.
+// Close writes the waiting bills, for at most limit, and logs each bill that could not be written.
+// Bills that are added later are logged as lost.
 func (wr *Writer) Close(limit time.Duration) error {
 	ctx, cancel := context.WithTimeout(context.Background(), limit)
 	defer cancel()
 	err := wr.Flush(ctx)
 	for _, wa := range wr.queue.close() {
-		wr.lose(wa.raw)
+		wr.logLost(wa.raw)
 	}
 	return err
 }
 
-func (wr *Writer) take(ctx context.Context) error {
+func (wr *Writer) acquire(ctx context.Context) error {
 	select {
-	case wr.turn <- struct{}{}:
+	case wr.sem <- struct{}{}:
 		return nil
 	case <-ctx.Done():
 		return ErrLate
 	}
 }
 
-func (wr *Writer) release() { <-wr.turn }
+func (wr *Writer) release() { <-wr.sem }
 
-// Flush writes all bills that wait. Those that could not be written stay.
+// Flush writes all waiting bills. Those that could not be written keep waiting.
 func (wr *Writer) Flush(ctx context.Context) error {
 	for {
 		if more, err := wr.step(ctx); err != nil || !more {
@@ -175,54 +176,55 @@
 	}
 }
 
-// step tries to write one segment and reports whether there was one.
+// step tries to write one segment and reports whether there was one to write.
 func (wr *Writer) step(ctx context.Context) (bool, error) {
-	if err := wr.take(ctx); err != nil {
+	if err := wr.acquire(ctx); err != nil {
 		return false, err
 	}
 	defer wr.release()
-	if wr.open == nil && !wr.begin() {
+	if wr.pending == nil && !wr.beginSegment() {
 		return false, nil
 	}
-	return true, wr.write(ctx)
+	return true, wr.writeSegment(ctx)
 }
 
-// begin opens the next segment and reports whether any bill waits.
-func (wr *Writer) begin() bool {
+// beginSegment creates the pending segment from the first waiting bills and reports whether there
+// were any.
+func (wr *Writer) beginSegment() bool {
 	batch := wr.queue.head()
 	if len(batch) == 0 {
 		return false
 	}
-	wr.open = &segment{nonce: core.NewID(), batch: batch, raw: encodeSegment(batch)}
+	wr.pending = &segment{nonce: core.NewID(), batch: batch, raw: encodeSegment(batch)}
 	return true
 }
 
-// write tries to settle the open segment. After an error it stays open and the
-// same record is written again.
-func (wr *Writer) write(ctx context.Context) error {
-	if !wr.enlisted {
-		if err := wr.chains.enlist(ctx); err != nil {
+// writeSegment tries to settle the pending segment. After an error the segment stays pending and
+// the same record is written again.
+func (wr *Writer) writeSegment(ctx context.Context) error {
+	if !wr.indexed {
+		if err := wr.chains.addToIndex(ctx); err != nil {
 			return err
 		}
-		wr.enlisted = true
+		wr.indexed = true
 	}
-	ch, n := wr.place()
-	err := ch.CreateAs(ctx, n, wr.open.nonce, wr.open.raw)
+	ch, n := wr.nextEntry()
+	err := ch.CreateAs(ctx, n, wr.pending.nonce, wr.pending.raw)
 	switch {
 	case err == nil:
-		wr.settle(n)
+		wr.confirmSegment(n)
 		return nil
 	case errors.Is(err, chain.ErrSealed):
-		wr.goOver(n)
+		wr.switchToTakeover(n)
 		return nil
 	case errors.Is(err, chain.ErrTaken):
-		return wr.stepOver(ctx, ch, n)
+		return wr.skipEntry(ctx, ch, n)
 	default:
-		return late(err)
+		return storeError(err)
 	}
 }
 
-func (wr *Writer) place() (*chain.Chain, uint64) {
+func (wr *Writer) nextEntry() (*chain.Chain, uint64) {
 	wr.mu.Lock()
 	defer wr.mu.Unlock()
 	if wr.sealed {
@@ -240,11 +242,11 @@
 	} else {
 		wr.floor.Own = n + 1
 	}
-	wr.open = nil
+	wr.pending = nil
 }
 
-func (wr *Writer) settle(n uint64) {
-	batch := wr.open.batch
+func (wr *Writer) confirmSegment(n uint64) {
+	batch := wr.pending.batch
 	wr.queue.pop(len(batch))
 	wr.advance(n)
 	event.Log(wr.deps.Log, event.SegmentWritten, "bills", len(batch))
@@ -252,55 +254,54 @@
 	for i, wa := range batch {
 		ids[i] = wa.id
 	}
-	wr.durable(ids)
+	wr.onDurable(ids)
 }
 
-// goOver leaves the own chain, which a successor has sealed at entry n because it
-// took this process for gone. Writing on in it would file bills that the successor
-// has filed from the agents' copies; one would notice doubled bills after each
-// long pause of an entry. In the takeover chain every entry of a successor is read before
-// the next one is written.
-func (wr *Writer) goOver(n uint64) {
+// switchToTakeover leaves the own chain, which a successor has sealed at entry n because it
+// considered this process gone. Continuing in the own chain would file bills that the successor has
+// already filed from the agents' copies: bills would be doubled after each long pause of an entry.
+// In the takeover chain every entry of a successor is read before the next one is written.
+func (wr *Writer) switchToTakeover(n uint64) {
 	wr.mu.Lock()
 	defer wr.mu.Unlock()
-	wr.floor.Own, wr.sealed, wr.open = n, true, nil
+	wr.floor.Own, wr.sealed, wr.pending = n, true, nil
 	event.Log(wr.deps.Log, event.LedgerSealed, "process", wr.deps.Self, "entry", n)
 }
 
-// stepOver reads an entry that a successor wrote. What it holds is durable and
-// must not be written again.
-func (wr *Writer) stepOver(ctx context.Context, ch *chain.Chain, n uint64) error {
+// skipEntry reads an entry that a successor wrote. The bills in it are durable and must not be
+// written again.
+func (wr *Writer) skipEntry(ctx context.Context, ch *chain.Chain, n uint64) error {
 	en, err := ch.Read(ctx, n)
 	if err != nil {
-		return late(err)
+		return storeError(err)
 	}
 	ta := tail{found: idSet{}}
-	if err := ta.note(en); err != nil {
+	if err := ta.addBills(en); err != nil {
 		return err
 	}
 	wr.queue.drop(ta.found)
 	wr.advance(n)
-	wr.durable(ta.found.list())
+	wr.onDurable(ta.found.list())
 	return nil
 }
 
-// Reclaim takes back what agents still hold of this process, because they were
-// never told that it is durable or because there was no room when it was
-// added. It returns what is durable; the rest waits for a segment.
+// Reclaim takes back the copies that agents still hold of this process's bills, either because they
+// were never notified that a bill is durable or because the queue was full when the bill was added.
+// It returns the IDs of the durable ones; the rest wait for a segment.
 //
-// It holds the turn while it reads: between its last read and the add, the
-// writer must not step over an entry with one of these bills.
+// It holds sem while it reads: between its last read and the add, the writer must not skip an entry
+// that holds one of these bills.
 func (wr *Writer) Reclaim(ctx context.Context, copies []Copy) ([]core.AttemptID, error) {
-	if err := wr.take(ctx); err != nil {
+	if err := wr.acquire(ctx); err != nil {
 		return nil, err
 	}
 	defer wr.release()
-	waits := wr.queue.ids()
-	copies = slices.DeleteFunc(slices.Clone(copies), func(co Copy) bool { return waits[co.Bill.ID()] })
+	waiting := wr.queue.ids()
+	copies = slices.DeleteFunc(slices.Clone(copies), func(co Copy) bool { return waiting[co.Bill.ID()] })
 	if len(copies) == 0 {
 		return nil, nil
 	}
-	fl := lowest(copies)
+	fl := lowestFloor(copies)
 	ta, err := readTail(ctx, wr.chains.own, fl.Own, idSet{})
 	if err == nil && ta.sealed {
 		ta, err = readTail(ctx, wr.chains.takeover, fl.Takeover, ta.found)
@@ -314,22 +315,22 @@
 		if ta.found[id] {
 			durable = append(durable, id)
 		} else {
-			wr.readd(co.Bill)
+			wr.requeue(co.Bill)
 		}
 	}
 	return durable, nil
 }
 
-// readd files a bill that had no room before. Without room now it is left to
-// the agent, which offers it again; it was logged as lost when it came first.
-func (wr *Writer) readd(bi Bill) {
+// requeue enqueues a bill that did not fit before. If it does not fit now, the agent keeps it and
+// offers it again; it was logged as lost when it was first added.
+func (wr *Writer) requeue(bi Bill) {
 	if raw, err := json.Marshal(bi); err == nil {
-		wr.queue.add(waiting{bi.ID(), raw})
+		wr.queue.add(queuedBill{bi.ID(), raw})
 	}
 }
 
-// lowest returns the floor below all copies.
-func lowest(copies []Copy) Floor {
+// lowestFloor returns the lower bound of the floors of all copies.
+func lowestFloor(copies []Copy) Floor {
 	fl := copies[0].Floor
 	for _, co := range copies[1:] {
 		fl = fl.lower(co.Floor)
--- a/core/ledger/writer_test.go
+++ b/core/ledger/writer_test.go
@@ -23,41 +23,40 @@
 	}
 }
 
-// silent is a store whose writes take effect while their replies are lost for
-// a time.
-type silent struct {
-	*memory
-	lost bool
+// replyLosingStore is a store whose writes take effect while their replies are lost for a time.
+type replyLosingStore struct {
+	*memoryStore
+	losing bool
 }
 
-func (si *silent) Create(ctx context.Context, key string, value []byte, lease core.LeaseID) (core.Revision, error) {
-	rev, err := si.memory.Create(ctx, key, value, lease)
-	if si.lost {
+func (si *replyLosingStore) Create(ctx context.Context, key string, value []byte, lease core.LeaseID) (core.Revision, error) {
+	rev, err := si.memoryStore.Create(ctx, key, value, lease)
+	if si.losing {
 		return 0, core.ErrUncertain
 	}
 	return rev, err
 }
 
-func (si *silent) Get(ctx context.Context, key string) (core.Item, error) {
-	if si.lost {
+func (si *replyLosingStore) Get(ctx context.Context, key string) (core.Item, error) {
+	if si.losing {
 		return core.Item{}, core.ErrUnavailable
 	}
-	return si.memory.Get(ctx, key)
+	return si.memoryStore.Get(ctx, key)
 }
 
-// The store takes a segment, but its reply is lost and it then is away for
-// longer than the entry waits. A writer that tries again as somebody new finds
-// its own segment, takes it for another's and never writes again: every later
-// bill of that entry is missing on the customers' accounts.
-func TestUnsettledSegmentIsItsWritersOwn(t *testing.T) {
+// The store accepts a segment, but its reply is lost and the store is then down for longer than the
+// entry waits. A writer that retries with a new nonce finds its own segment, takes it for another
+// writer's and never writes again: every later bill of that entry is missing on the customers'
+// accounts.
+func TestWriterRecognizesItsUnsettledSegment(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		st := &silent{memory: newMemory(), lost: true}
+		st := &replyLosingStore{memoryStore: newMemoryStore(), losing: true}
 		led := ledger.New(core.NewDeps(), st)
 		led.Add(newBill("a1"))
 		ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 		defer cancel()
 		assert.Assert(t, led.Flush(ctx) != nil)
-		st.lost = false
+		st.losing = false
 		led.Add(newBill("a2"))
 		assert.NilError(t, led.Flush(t.Context()))
 		acc, err := ledger.Sum(t.Context(), st)
@@ -67,15 +66,15 @@
 	})
 }
 
-// The store stays down while an entry is asked to stop, after an outage in
-// which more bills came than it may hold. It must not hang, and the bills that
-// nobody wrote must be in its log in full, so that they are not lost with it.
+// The store stays down while an entry is stopped, after an outage that produced more bills than the
+// entry may hold. The entry must not hang, and its log must contain in full every bill that was not
+// written, so that none is lost with the process.
 func TestStopWithoutStoreLogsEachBill(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var log bytes.Buffer
 		deps := core.NewDeps()
 		deps.Log = slog.New(slog.NewJSONHandler(&log, nil))
-		led := ledger.New(deps, &silent{memory: newMemory(), lost: true}, ledger.Memory(400))
+		led := ledger.New(deps, &replyLosingStore{memoryStore: newMemoryStore(), losing: true}, ledger.Memory(400))
 		for _, id := range []string{"a1", "a2", "a3"} {
 			led.Add(newBill(id))
 		}
@@ -90,13 +89,12 @@
 	})
 }
 
-// The store comes back after an outage in which an entry gathered several
-// segments. Writing them in a burst, as all entries would, leaves callers of
-// at-most-once operations without claims: they are told "not run" although the
-// store is up.
-func TestBacklogKeepsThePace(t *testing.T) {
+// The store recovers after an outage in which an entry queued several segments. If all entries
+// wrote them in a burst, callers of at-most-once operations would get no claims: they would be
+// answered "not run" although the store is up.
+func TestBacklogKeepsTheInterval(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		st := newMemory()
+		st := newMemoryStore()
 		led := ledger.New(core.NewDeps(), st, ledger.Pace(time.Second))
 		long := strings.Repeat("x", 100_000)
 		for i := range 40 {
