--- a/io/front/conn.go
+++ b/io/front/conn.go
@@ -10,27 +10,26 @@
 	"skylarkstand/io/upstream"
 )
 
-// conn is a caller's connection that knows whether anything came since its last
-// answer.
+// conn is a caller's connection that records whether data arrived since its last response.
 //
-// net/http calls a connection idle until it has read a whole header. Closing
-// one by that word cuts off the caller whose request is being read: it has sent
-// a whole request and gets neither an answer nor a refusal.
+// net/http treats a connection as idle until it has read a complete request header. Closing a
+// connection on that basis would cut off a caller whose request is still being read: it would
+// have sent a complete request and received neither a response nor a refusal.
 type conn struct {
 	net.Conn
-	touched atomic.Bool
+	received atomic.Bool
 }
 
 // Read implements net.Conn.
 func (co *conn) Read(p []byte) (int, error) {
 	n, err := co.Conn.Read(p)
 	if n > 0 {
-		co.touched.Store(true)
+		co.received.Store(true)
 	}
 	return n, err
 }
 
-// CloseWrite lets net/http end a connection without losing its last answer.
+// CloseWrite lets net/http close the connection without losing its last response.
 func (co *conn) CloseWrite() error {
 	if tc, ok := co.Conn.(interface{ CloseWrite() error }); ok {
 		return tc.CloseWrite()
@@ -38,17 +37,17 @@
 	return nil
 }
 
-// closeUnused closes the connection unless a request has begun to arrive, and
-// reports whether it did.
-func (co *conn) closeUnused() bool {
-	if co.touched.Load() || !upstream.Quiet(co.Conn) || co.touched.Load() {
+// closeIfUnused closes the connection unless a request has begun to arrive, and reports whether
+// it closed it.
+func (co *conn) closeIfUnused() bool {
+	if co.received.Load() || !upstream.Quiet(co.Conn) || co.received.Load() {
 		return false
 	}
 	co.Close()
 	return true
 }
 
-// listener hands out connections of this package.
+// listener wraps accepted connections in conn.
 type listener struct{ net.Listener }
 
 // Accept implements net.Listener.
@@ -60,12 +59,12 @@
 	return &conn{Conn: nc}, nil
 }
 
-// Listen wraps a listener for callers.
+// Listen wraps a listener for callers. A [Server] can close only connections accepted from it.
 func Listen(li net.Listener) net.Listener { return listener{li} }
 
-// idlers closes connections that stay unused for longer than the configuration
-// allows. net/http's own limit is set once, and the configuration changes.
-type idlers struct {
+// idleConns closes connections that stay unused for longer than the configuration allows. The
+// idle timeout of net/http is set once, while the configuration can change.
+type idleConns struct {
 	mu     sync.Mutex
 	timers map[*conn]*time.Timer
 }
@@ -80,11 +79,11 @@
 	defer id.mu.Unlock()
 	switch st {
 	case http.StateIdle:
-		co.touched.Store(false)
-		if sv.closing.Load() && co.closeUnused() {
+		co.received.Store(false)
+		if sv.closing.Load() && co.closeIfUnused() {
 			return
 		}
-		id.timers[co] = time.AfterFunc(sv.idleLimit(), func() { co.closeUnused() })
+		id.timers[co] = time.AfterFunc(sv.idleTimeout(), func() { co.closeIfUnused() })
 	case http.StateActive, http.StateClosed, http.StateHijacked:
 		if ti := id.timers[co]; ti != nil {
 			ti.Stop()
@@ -93,43 +92,43 @@
 	}
 }
 
-func (sv *Server) idleLimit() time.Duration {
+func (sv *Server) idleTimeout() time.Duration {
 	if tb := sv.inf.Current(); tb != nil && tb.Limits.Idle > 0 {
 		return tb.Limits.Idle
 	}
-	return idleLimit
+	return idleTimeout
 }
 
-// CloseIdle closes the connections that carry no request now, not even the
-// beginning of one, and from now on each one after its answer. An answer that
-// began before [Server.Leave] did not tell its caller to go elsewhere.
+// CloseIdle closes the connections on which no request is in flight or arriving, and from now
+// on every other one after its response. A response that began before [Server.Leave] did not
+// announce that its connection would be closed.
 func (sv *Server) CloseIdle() {
 	sv.closing.Store(true)
 	id := &sv.idle
 	id.mu.Lock()
 	defer id.mu.Unlock()
 	for co, ti := range id.timers {
-		if co.closeUnused() {
+		if co.closeIfUnused() {
 			ti.Stop()
 			delete(id.timers, co)
 		}
 	}
 }
 
-// Unused counts the kept connections that carry no request now.
+// Unused counts the kept-alive connections without a request.
 func (sv *Server) Unused() int {
 	sv.idle.mu.Lock()
 	defer sv.idle.mu.Unlock()
 	return len(sv.idle.timers)
 }
 
-// Arriving reports whether the beginning of a request has come on some kept
+// Arriving reports whether the beginning of a request has been received on any kept-alive
 // connection.
 func (sv *Server) Arriving() bool {
 	sv.idle.mu.Lock()
 	defer sv.idle.mu.Unlock()
 	for co := range sv.idle.timers {
-		if co.touched.Load() {
+		if co.received.Load() {
 			return true
 		}
 	}
--- a/io/front/front_test.go
+++ b/io/front/front_test.go
@@ -23,7 +23,7 @@
 	"skylarkstand/io/front"
 )
 
-// plain is a codec that takes paths for routes and knows no keys.
+// plain is a codec that copies the path and body and ignores keys.
 type plain struct{}
 
 func (plain) Exchange(rq *http.Request, body []byte, arrived time.Time) (*core.Exchange, *core.Failure) {
@@ -33,7 +33,7 @@
 	}, nil
 }
 
-// echo answers with the body of the call.
+// echo is an upstream that responds with the body of the call.
 type echo struct{}
 
 func (echo) Call(_ context.Context, ca *core.Call) (*core.Reply, error) {
@@ -43,7 +43,7 @@
 	}, nil
 }
 
-// logged takes the lines of a log.
+// logged is a log writer that sends each line to a channel.
 type logged chan string
 
 func (lo logged) Write(p []byte) (int, error) {
@@ -51,7 +51,7 @@
 	return len(p), nil
 }
 
-// serve starts a front on loopback and returns it with a connection to it.
+// serve starts a server on loopback and returns it with a connection to it.
 func serve(t *testing.T, ac core.Access, lim route.Limits) (*front.Server, net.Conn) {
 	t.Helper()
 	return serveLogged(t, core.NewDeps(), ac, lim)
@@ -93,7 +93,7 @@
 	assert.NilError(t, err)
 }
 
-// answer is what a caller got, and whether its connection ends with it.
+// answer is a received response; closes states that it announced the end of its connection.
 type answer struct {
 	status int
 	body   string
@@ -112,11 +112,10 @@
 
 const request = "POST /claim/1 HTTP/1.1\r\nHost: desk.example\r\nContent-Length: 4\r\n\r\nlamp"
 
-// A planned stop closes the kept connections that nobody uses. A caller's next
-// request is arriving on one of them at that moment, half of it read. Were it
-// closed, the caller would have sent a whole request and got neither an answer
-// nor a refusal, and could not send a claim again.
-func TestStopSparesARequestThatArrives(t *testing.T) {
+// Guards against a planned stop that closes a kept-alive connection on which half of the
+// caller's next request has arrived. The caller would have sent a complete request and received
+// neither a response nor a refusal, and could not send a claim again.
+func TestStopKeepsConnectionWithArrivingRequest(t *testing.T) {
 	sv, nc := serve(t, echo{}, route.Limits{})
 	br := bufio.NewReader(nc)
 	send(t, nc, request)
@@ -130,14 +129,13 @@
 	send(t, nc, request[20:])
 	got := receive(t, br)
 	assert.Equal(t, got.body, "whole: lamp")
-	assert.Assert(t, got.closes, "the caller is told to go elsewhere with its next request")
+	assert.Assert(t, got.closes, "the response must announce that the connection closes")
 }
 
-// The last answer of a planned stop has ended, and the process takes a moment to
-// end. A request that comes then must be refused as not run: passed on to an
-// upstream, it would be cut off with the process, and a caller could not know
-// whether its claim had run.
-func TestRequestAfterTheLastAnswerOfAStop(t *testing.T) {
+// Guards against forwarding a request that arrives after the last response of a planned stop,
+// while the process takes a moment to exit. The exit would cut it off, and the caller could not
+// know whether its claim had run; it must be refused as not run.
+func TestRequestAfterDrainIsRefused(t *testing.T) {
 	lines, deps := make(logged, 1), core.NewDeps()
 	deps.Log = slog.New(slog.NewJSONHandler(lines, nil))
 	sv, nc := serveLogged(t, deps, echo{}, route.Limits{})
@@ -152,8 +150,8 @@
 	assert.Assert(t, strings.Contains(line, `"request":"r1"`) && strings.Contains(line, `"code":"leaving"`), line)
 }
 
-// The same stop with connections that are really unused: they must be closed,
-// or their callers send requests to a process that is about to end.
+// Guards against a stop that leaves unused connections open: their callers would send requests
+// to a process that is about to exit.
 func TestStopClosesUnusedConnections(t *testing.T) {
 	sv, nc := serve(t, echo{}, route.Limits{})
 	br := bufio.NewReader(nc)
@@ -168,7 +166,7 @@
 	assert.ErrorIs(t, err, io.EOF)
 }
 
-// held answers once it is let go.
+// held is an upstream that sends the end of its response only once free is closed.
 type held struct{ started, free chan struct{} }
 
 func (he held) Call(ctx context.Context, ca *core.Call) (*core.Reply, error) {
@@ -185,11 +183,10 @@
 	return re, err
 }
 
-// An answer is under way when a planned stop begins, so that its header has not
-// told the caller to go elsewhere. If its connection stays open afterwards, the
-// caller sends its next request on it, to a process that ends before it can
-// answer.
-func TestStopClosesAConnectionAfterItsAnswer(t *testing.T) {
+// Guards against a connection that stays open after a planned stop because its response began
+// before the stop, so that its header did not announce the close. The caller would send its
+// next request to a process that exits before it can respond.
+func TestStopClosesConnectionAfterItsResponse(t *testing.T) {
 	he := held{make(chan struct{}), make(chan struct{})}
 	sv, nc := serve(t, he, route.Limits{})
 	br := bufio.NewReader(nc)
@@ -203,7 +200,7 @@
 	assert.ErrorIs(t, err, io.EOF)
 }
 
-// mute takes a call and never answers.
+// mute is an upstream that never responds.
 type mute struct{ started chan struct{} }
 
 func (mu mute) Call(ctx context.Context, _ *core.Call) (*core.Reply, error) {
@@ -212,11 +209,10 @@
 	return nil, core.Lost("%v", ctx.Err())
 }
 
-// A planned stop has waited for as long as it may, and an upstream has still not
-// answered. The caller must get its final answer then, that the outcome of its
-// claim is not known; were the process simply to end, it would see a connection
-// that breaks and could not tell that from a fault on the way.
-func TestStopGivesTheFinalAnswer(t *testing.T) {
+// Guards against a planned stop that exits without a final response to a request whose upstream
+// has not responded in time. The caller must learn that the outcome of its claim is unknown; it
+// could not tell a broken connection from a network fault.
+func TestStopSendsFinalResponse(t *testing.T) {
 	mu := mute{make(chan struct{})}
 	sv, nc := serve(t, mu, route.Limits{})
 	br := bufio.NewReader(nc)
@@ -231,8 +227,8 @@
 	assert.Assert(t, strings.Contains(got.body, `"ran":"unknown"`), got.body)
 }
 
-// Callers send headers and bodies beyond the configuration's limits. They must
-// hear which, and the process must not hold what it will refuse.
+// Guards against requests beyond the configured limits that are held in memory, or refused
+// without naming the limit that was exceeded.
 func TestLimits(t *testing.T) {
 	for _, sc := range []struct {
 		testName, header, body string
--- a/io/front/refuse.go
+++ b/io/front/refuse.go
@@ -10,9 +10,9 @@
 	"skylarkstand/core"
 )
 
-// refusals are the statuses of failures that were not run and that the caller
-// can mend. All other failures that were not run are 503, by which a caller may
-// send even work that must not run twice.
+// refusals maps failures that were not run and that the caller can correct to their statuses.
+// All other failures that were not run are 503, after which a caller may resend even work that
+// must not run twice.
 var refusals = map[core.Code]int{
 	core.CodeBadRequest:    http.StatusBadRequest,
 	core.CodeUnauthorized:  http.StatusUnauthorized,
@@ -22,8 +22,8 @@
 	core.CodeHeaderTooLong: http.StatusRequestHeaderFieldsTooLarge,
 }
 
-// status is what a failure is told by. Work that may have run is never told by
-// a status that promises the opposite.
+// status returns the HTTP status of a failure. Work that may have run never gets a status that
+// promises the opposite.
 func status(fl *core.Failure) int {
 	if fl.Ran != core.NotRun {
 		if fl.Code == core.CodeDeadline {
@@ -45,10 +45,10 @@
 	return core.Lost("%v", err)
 }
 
-// refuse answers with a failure, at once, and with the time to come back.
+// refuse responds with a failure, immediately, with Retry-After if the failure has a time.
 func (sv *Server) refuse(w http.ResponseWriter, id core.RequestID, fl *core.Failure) {
 	hd := w.Header()
-	sv.announce(hd)
+	sv.announceClose(hd)
 	hd.Set("Content-Type", "application/json")
 	if fl.RetryAfter > 0 {
 		hd.Set("Retry-After", seconds(fl.RetryAfter))
@@ -57,7 +57,8 @@
 	_ = json.NewEncoder(w).Encode(fl.Problem(id))
 }
 
-// seconds may have a fraction; callers that read whole seconds round it up.
+// seconds formats a duration for Retry-After. It may have a fraction; callers that read whole
+// seconds round it up.
 func seconds(du time.Duration) string {
 	return strconv.FormatFloat(du.Seconds(), 'f', 2, 64)
 }
