--- a/io/upstream/conn.go
+++ b/io/upstream/conn.go
@@ -15,37 +15,38 @@
 	"golang.org/x/sys/unix"
 )
 
-// conn is one connection. It carries one request at a time.
+// conn is one connection to an upstream. It carries one request at a time.
 type conn struct {
 	net.Conn
-	addr  string
-	br    *bufio.Reader
-	until time.Time
-	// written is closed when the body that is sent beside the reading is out;
-	// nil when it was sent before. failed is set before that.
-	written chan struct{}
-	failed  bool
+	addr      string
+	br        *bufio.Reader
+	idleUntil time.Time
+	// written is closed once a body that is written asynchronously is complete; it is nil if
+	// the body was written before the response was awaited. writeFailed is set before written
+	// is closed.
+	written     chan struct{}
+	writeFailed bool
 }
 
 const (
-	// Probes find a peer that lost power or was cut off while a request is at
-	// it: one a second, and two without an answer end the connection.
-	probeIdle  = time.Second
-	probeEvery = time.Second
-	probeCount = 2
-	// unackedLimit ends a connection whose bytes are not acknowledged. Between
-	// regions it leaves room for two lost packets.
-	unackedLimit = 2500 * time.Millisecond
+	// Keep-alive probes detect a peer that lost power or its network while a request is in
+	// flight: one probe per second, and two without a reply end the connection.
+	probeIdle     = time.Second
+	probeInterval = time.Second
+	probeCount    = 2
+	// unackedTimeout ends a connection whose bytes are not acknowledged. Between regions it
+	// tolerates two lost packets.
+	unackedTimeout = 2500 * time.Millisecond
 )
 
 func dial(ctx context.Context, addr string) (net.Conn, error) {
 	di := net.Dialer{
-		Timeout:         dialLimit,
-		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: probeIdle, Interval: probeEvery, Count: probeCount},
+		Timeout:         dialTimeout,
+		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: probeIdle, Interval: probeInterval, Count: probeCount},
 		Control: func(_, _ string, rc syscall.RawConn) error {
 			var opt error
 			err := rc.Control(func(fd uintptr) {
-				opt = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unackedLimit.Milliseconds()))
+				opt = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unackedTimeout.Milliseconds()))
 			})
 			return errors.Join(err, opt)
 		},
@@ -53,19 +54,18 @@
 	return di.DialContext(ctx, "tcp", addr)
 }
 
-// past is a deadline that has passed.
+// past is a deadline that has already expired.
 var past = time.Unix(1, 0)
 
-// interrupt wakes whoever reads or writes.
+// interrupt makes pending reads and writes fail.
 func (co *conn) interrupt() { _ = co.SetDeadline(past) }
 
-// quiet reports whether an idle connection is open and brings nothing. What
-// arrives without a request belongs to none, and would be taken for the answer
-// to the next.
-func (co *conn) quiet() bool { return co.br.Buffered() == 0 && Quiet(co.Conn) }
+// usable reports whether an idle connection is open and has no unread data. Data that arrives
+// without a request belongs to none, and would be taken for the response to the next one.
+func (co *conn) usable() bool { return co.br.Buffered() == 0 && Quiet(co.Conn) }
 
-// Quiet reports whether a connection is open and the kernel holds no bytes of
-// it that were not read. One that cannot be asked counts as quiet.
+// Quiet reports whether a connection is open and the kernel holds no unread data of it. A
+// connection that does not expose its file descriptor counts as quiet.
 func Quiet(nc net.Conn) bool {
 	sc, ok := nc.(syscall.Conn)
 	if !ok {
@@ -84,32 +84,32 @@
 	return err == nil && quiet
 }
 
-// clean reports whether the connection can carry another request.
-func (co *conn) clean() bool {
+// reusable reports whether the connection can carry another request.
+func (co *conn) reusable() bool {
 	if co.written != nil {
 		select {
 		case <-co.written:
 		default:
-			return false // The upstream answered before it had read the body.
+			return false // The upstream responded before it had read the body.
 		}
 	}
-	return !co.failed && co.br.Buffered() == 0
+	return !co.writeFailed && co.br.Buffered() == 0
 }
 
-// exchange sends a request and reads the header of its answer.
+// exchange sends a request and reads the header of its response.
 func (co *conn) exchange(rq *Request) (*Response, *Error) {
 	head := rq.head()
 	inline := rq.Body
-	if len(inline) > inlineBody {
+	if len(inline) > maxInlineBody {
 		inline = nil
 	}
 	head = append(head, inline...)
 	if n, err := co.Write(head); err != nil && n == 0 {
 		return nil, &Error{Err: err}
 	}
-	co.written, co.failed = nil, false
+	co.written, co.writeFailed = nil, false
 	if len(inline) < len(rq.Body) {
-		co.sendBeside(rq.Body)
+		co.writeAsync(rq.Body)
 	}
 	rs, err := co.read(rq)
 	if err != nil {
@@ -118,22 +118,22 @@
 	return rs, nil
 }
 
-// sendBeside writes a long body while the answer is awaited: an upstream may
-// refuse early and not read on, and would block a writer that does not listen.
-func (co *conn) sendBeside(data []byte) {
+// writeAsync writes a long body while the response is awaited: an upstream may refuse early and
+// stop reading, which would block a writer that does not read the response.
+func (co *conn) writeAsync(data []byte) {
 	done := make(chan struct{})
 	co.written = done
 	go func() {
 		defer close(done)
 		if _, err := co.Write(data); err != nil {
-			co.failed = true
+			co.writeFailed = true
 		}
 	}()
 }
 
-// read returns the answer to a request and passes over those to others.
+// read returns the response to a request and skips those to other requests.
 func (co *conn) read(rq *Request) (*Response, error) {
-	strays := 0
+	foreign := 0
 	for {
 		rs, err := http.ReadResponse(co.br, &http.Request{Method: rq.Method}) //nolint:bodyclose // The caller closes it.
 		if err != nil {
@@ -143,11 +143,11 @@
 			return nil, err
 		}
 		if rs.StatusCode < http.StatusOK {
-			continue // An interim answer; the final one follows.
+			continue // An interim response; the final one follows.
 		}
 		if rq.Mine != nil && !rq.Mine(rs.Header) {
-			strays++
-			if strays > maxStrays {
+			foreign++
+			if foreign > maxForeign {
 				return nil, ErrStray
 			}
 			_, err := io.Copy(io.Discard, rs.Body)
@@ -157,15 +157,15 @@
 			}
 			continue
 		}
-		// A connection that brought stray answers may bring more.
-		return &Response{Status: rs.StatusCode, Header: rs.Header, Body: rs.Body, Closing: rs.Close || strays > 0}, nil
+		// A connection that delivered responses to other requests may deliver more.
+		return &Response{Status: rs.StatusCode, Header: rs.Header, Body: rs.Body, Closing: rs.Close || foreign > 0}, nil
 	}
 }
 
-// head renders the request line and the headers.
+// head encodes the request line and the headers.
 func (rq *Request) head() []byte {
 	var bu bytes.Buffer
-	bu.Grow(1024 + min(len(rq.Body), inlineBody))
+	bu.Grow(1024 + min(len(rq.Body), maxInlineBody))
 	bu.WriteString(rq.Method + " " + rq.Target + " HTTP/1.1\r\nHost: " + rq.Host + "\r\n")
 	// Writing to a buffer cannot fail.
 	_ = rq.Header.Write(&bu)
--- a/io/upstream/upstream.go
+++ b/io/upstream/upstream.go
@@ -1,19 +1,19 @@
-// Package upstream calls upstreams directly by HTTP/1.1, one request at a time
-// on a kept connection.
+// Package upstream is an HTTP/1.1 client for upstreams that sends one request at a time on a
+// kept-alive connection.
 //
-// It exists beside net/http's client for what that hides: whether a byte of a
-// request has left, so that "not run" can be said truthfully; that nothing is
-// ever sent twice; and which bytes on a connection belong to which request. An
-// upstream may answer before it has read a body, send more than one answer, or
-// let a connection go silent. Bytes that belong to no request end their
-// connection, and an answer counts as whole only when its framing says so.
+// It exists because the client of net/http hides what the router needs: whether any byte of a
+// request was sent, so that "not run" can be stated truthfully; that nothing is ever sent
+// twice; and which bytes on a connection belong to which request. An upstream may respond
+// before it has read a body, send more than one response, or let a connection go silent. A
+// connection that delivers bytes belonging to no request is closed, and a response counts as
+// complete only if its framing says so.
 //
 // # Usage
 //
 //	cl, cleanup := upstream.New()
 //	rs, err := cl.Do(ctx, addr, &upstream.Request{Method: "GET", Target: "/", Host: "a", Header: hd})
 //	if upstream.Sent(err) { … it may have run … }
-//	io.Copy(w, rs.Body) // ends with io.EOF only when the answer is whole
+//	io.Copy(w, rs.Body) // ends with io.EOF only when the response is complete
 package upstream
 
 import (
@@ -30,57 +30,57 @@
 )
 
 const (
-	// dialLimit bounds the opening of a connection. A round trip between
-	// regions takes 60 ms, so that one lost packet still fits; a host without
-	// power never answers, and each caller that waits for it waits this long.
-	dialLimit = 600 * time.Millisecond
-	// idleLimit closes connections that nobody used, for upstreams that do not
-	// say when they do.
-	idleLimit = 8 * time.Second
-	// idleMargin is how much sooner than the upstream a connection is given up:
-	// a request that crosses the upstream's close may or may not have run.
+	// dialTimeout bounds the opening of a connection. A round trip between regions takes 60 ms,
+	// so one lost packet still fits; a host without power never responds, and each caller that
+	// waits for it waits this long.
+	dialTimeout = 600 * time.Millisecond
+	// idleTimeout closes unused connections to upstreams that do not announce their own idle
+	// timeout.
+	idleTimeout = 8 * time.Second
+	// idleMargin is how much earlier than the upstream this client closes an idle connection: a
+	// request that crosses the upstream's close may or may not have run.
 	idleMargin = 800 * time.Millisecond
-	// maxIdle bounds the kept connections to one upstream: the width of a usual
-	// burst. Each costs about 5 kB here and a place among those that the
-	// upstream accepts.
+	// maxIdle bounds the idle connections to one upstream: the width of a usual burst. Each
+	// takes about 5 kB here, and one of the connections that the upstream accepts.
 	maxIdle = 32
-	// maxStrays is how many answers of other requests are passed over before a
-	// connection is given up.
-	maxStrays = 2
-	// readBuffer holds the header of an answer; larger ones take several reads.
-	readBuffer = 2048
-	// inlineBody is what is written before the answer is awaited. It fits the
-	// send buffer of a new connection, so that an upstream that answers early
-	// and does not read cannot block the writer.
-	inlineBody = 4096
+	// maxForeign is how many responses to other requests are skipped before a connection is
+	// closed.
+	maxForeign = 2
+	// readBufferSize is the size, in bytes, of a connection's read buffer. It holds the header
+	// of a usual response; larger ones take several reads.
+	readBufferSize = 2048
+	// maxInlineBody is the number of bytes of a body that are written before the response is
+	// awaited. It fits the send buffer of a new connection, so that an upstream that responds
+	// early and does not read cannot block the writer.
+	maxInlineBody = 4096
 )
 
-// Request is one request.
+// Request is a request to an upstream.
 type Request struct {
 	Method, Target, Host string
 	Header               http.Header
 	Body                 []byte
-	// Connections bounds those to the address; 0 is no bound.
+	// Connections bounds the open connections to the address; 0 means no limit.
 	Connections int
-	// Mine tells the answer to this request from others by its header; nil
-	// takes the first.
+	// Mine reports, by a response's header, whether the response belongs to this request. If it
+	// is nil, the first response does.
 	Mine func(http.Header) bool
 }
 
-// Response is an answer. Closing its body early ends the connection.
+// Response is the response to a request. Closing its body before the end closes the connection.
 type Response struct {
 	Status int
 	Header http.Header
 	Body   io.ReadCloser
-	// Closing says that the upstream ends the connection after this answer.
+	// Closing states that the connection is not reused after this response.
 	Closing bool
 }
 
-// Error is a request that got no answer.
+// Error is the error of a request without a response.
 type Error struct {
-	// Sent says that bytes of it have left. The upstream may have run it.
+	// Sent states that bytes of the request were sent. The upstream may have run it.
 	Sent bool
-	// Dial says that no connection could be opened.
+	// Dial states that no connection could be opened.
 	Dial bool
 	Err  error
 }
@@ -101,43 +101,45 @@
 var (
 	// ErrNoConnection: all connections to the upstream are in use.
 	ErrNoConnection = errors.New("all connections are in use")
-	// ErrStray: the connection brings answers to other requests.
+	// ErrStray: the connection delivers responses to other requests.
 	ErrStray = errors.New("answers to other requests")
 )
 
-// Client keeps connections. It is safe for concurrent use.
+// Client sends requests to upstreams and keeps their connections alive. It is safe for
+// concurrent use.
 type Client struct {
 	dial func(ctx context.Context, addr string) (net.Conn, error)
 	now  func() time.Time
 
 	mu    sync.Mutex
-	hosts map[string]*host
+	pools map[string]*pool
 }
 
-// host is the connections to one address.
-type host struct {
+// pool holds the idle connections to one address and counts the open ones, in use or idle.
+type pool struct {
 	idle []*conn
 	open int
 }
 
-// Option changes a Client at construction.
+// Option configures a Client.
 type Option func(*Client)
 
 // Clock sets the clock, for tests.
 func Clock(now func() time.Time) Option { return func(cl *Client) { cl.now = now } }
 
-// New returns a client and its clean-up, which closes the idle connections.
+// New returns a client and a cleanup function that closes its idle connections.
 func New(opts ...Option) (*Client, func()) {
-	cl := &Client{hosts: map[string]*host{}, now: time.Now, dial: dial}
+	cl := &Client{pools: map[string]*pool{}, now: time.Now, dial: dial}
 	for _, opt := range opts {
 		opt(cl)
 	}
 	return cl, cl.closeIdle
 }
 
-// Do sends a request and returns the header of its answer. Errors are *Error.
+// Do sends a request and returns the response once its header has been read. Errors are of type
+// *Error.
 func (cl *Client) Do(ctx context.Context, addr string, rq *Request) (*Response, error) {
-	co, err := cl.take(ctx, addr, rq)
+	co, err := cl.acquire(ctx, addr, rq)
 	if err != nil {
 		return nil, err
 	}
@@ -151,19 +153,19 @@
 		}
 		return nil, er
 	}
-	rs.Body = &body{ReadCloser: rs.Body, cl: cl, co: co, stop: stop, keep: !rs.Closing, idle: keepAlive(rs.Header)}
+	rs.Body = &body{ReadCloser: rs.Body, cl: cl, co: co, stop: stop, reuse: !rs.Closing, idle: keepAlive(rs.Header)}
 	return rs, nil
 }
 
-// Refused reports whether nobody listens at the address of a call that failed.
+// Refused reports whether a call failed because no process listens at the address.
 func Refused(err error) bool {
 	var er *Error
 	return errors.As(err, &er) && er.Dial && errors.Is(er.Err, syscall.ECONNREFUSED)
 }
 
-// take returns an idle connection that is still good, or a new one.
-func (cl *Client) take(ctx context.Context, addr string, rq *Request) (*conn, error) {
-	if co := cl.takeIdle(addr); co != nil {
+// acquire returns an idle connection that is still usable, or a new one.
+func (cl *Client) acquire(ctx context.Context, addr string, rq *Request) (*conn, error) {
+	if co := cl.acquireIdle(addr); co != nil {
 		return co, nil
 	}
 	if !cl.reserve(addr, rq.Connections) {
@@ -174,51 +176,51 @@
 		cl.release(addr)
 		return nil, &Error{Dial: true, Err: err}
 	}
-	return &conn{Conn: nc, addr: addr, br: bufio.NewReaderSize(nc, readBuffer)}, nil
+	return &conn{Conn: nc, addr: addr, br: bufio.NewReaderSize(nc, readBufferSize)}, nil
 }
 
-// takeIdle takes the connection that was used last. One that has ended, or
-// brings bytes that nobody asked for, is dropped.
-func (cl *Client) takeIdle(addr string) *conn {
+// acquireIdle returns the most recently used idle connection. A connection that was closed, or
+// that has unread data without a request, is dropped.
+func (cl *Client) acquireIdle(addr string) *conn {
 	for {
 		cl.mu.Lock()
-		ho := cl.hosts[addr]
-		if ho == nil || len(ho.idle) == 0 {
+		po := cl.pools[addr]
+		if po == nil || len(po.idle) == 0 {
 			cl.mu.Unlock()
 			return nil
 		}
-		co := ho.idle[len(ho.idle)-1]
-		ho.idle = ho.idle[:len(ho.idle)-1]
+		co := po.idle[len(po.idle)-1]
+		po.idle = po.idle[:len(po.idle)-1]
 		cl.mu.Unlock()
-		if cl.now().Before(co.until) && co.quiet() {
+		if cl.now().Before(co.idleUntil) && co.usable() {
 			return co
 		}
 		cl.drop(co)
 	}
 }
 
-func (cl *Client) reserve(addr string, most int) bool {
+func (cl *Client) reserve(addr string, limit int) bool {
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
-	ho := cl.hosts[addr]
-	if ho == nil {
-		ho = new(host)
-		cl.hosts[addr] = ho
+	po := cl.pools[addr]
+	if po == nil {
+		po = new(pool)
+		cl.pools[addr] = po
 	}
-	if most > 0 && ho.open >= most {
+	if limit > 0 && po.open >= limit {
 		return false
 	}
-	ho.open++
+	po.open++
 	return true
 }
 
 func (cl *Client) release(addr string) {
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
-	ho := cl.hosts[addr]
-	ho.open--
-	if ho.open == 0 {
-		delete(cl.hosts, addr)
+	po := cl.pools[addr]
+	po.open--
+	if po.open == 0 {
+		delete(cl.pools, addr)
 	}
 }
 
@@ -227,13 +229,13 @@
 	cl.release(co.addr)
 }
 
-// put keeps a connection for the next request.
+// put keeps a connection for the next request, unless enough are idle already.
 func (cl *Client) put(co *conn, idle time.Duration) {
-	co.until = cl.now().Add(idle)
+	co.idleUntil = cl.now().Add(idle)
 	cl.mu.Lock()
-	ho := cl.hosts[co.addr]
-	if len(ho.idle) < maxIdle {
-		ho.idle = append(ho.idle, co)
+	po := cl.pools[co.addr]
+	if len(po.idle) < maxIdle {
+		po.idle = append(po.idle, co)
 		cl.mu.Unlock()
 		return
 	}
@@ -241,12 +243,12 @@
 	cl.drop(co)
 }
 
-// Forget closes the idle connections to an address, when its upstream is gone.
+// Forget closes the idle connections to an address whose upstream was removed.
 func (cl *Client) Forget(addr string) {
 	cl.mu.Lock()
 	var idle []*conn
-	if ho := cl.hosts[addr]; ho != nil {
-		idle, ho.idle = ho.idle, nil
+	if po := cl.pools[addr]; po != nil {
+		idle, po.idle = po.idle, nil
 	}
 	cl.mu.Unlock()
 	for _, co := range idle {
@@ -256,8 +258,8 @@
 
 func (cl *Client) closeIdle() {
 	cl.mu.Lock()
-	addrs := make([]string, 0, len(cl.hosts))
-	for addr := range cl.hosts {
+	addrs := make([]string, 0, len(cl.pools))
+	for addr := range cl.pools {
 		addrs = append(addrs, addr)
 	}
 	cl.mu.Unlock()
@@ -266,10 +268,10 @@
 	}
 }
 
-// keepAlive returns how long a connection may stay idle, by the header of the
-// last answer.
+// keepAlive returns how long a connection may stay idle, according to the header of the last
+// response.
 func keepAlive(hd http.Header) time.Duration {
-	idle := idleLimit
+	idle := idleTimeout
 	if secs, ok := timeoutParam(hd.Get("Keep-Alive")); ok {
 		idle = min(idle, time.Duration(secs)*time.Second)
 	}
@@ -292,15 +294,15 @@
 	return 0, false
 }
 
-// body is an answer's body. It gives the connection back at its whole end.
+// body is the body of a response. Reading it to its end returns the connection to the pool.
 type body struct {
 	io.ReadCloser
-	cl   *Client
-	co   *conn
-	stop func() bool
-	keep bool
-	idle time.Duration
-	done bool
+	cl    *Client
+	co    *conn
+	stop  func() bool
+	reuse bool
+	idle  time.Duration
+	done  bool
 }
 
 // Read implements io.Reader.
@@ -318,15 +320,15 @@
 	return nil
 }
 
-// end gives the connection back or closes it. It is kept only when the answer
-// is whole, the request was written to its end and nothing follows the answer.
+// end returns the connection to the pool or closes it. The connection is kept only if the
+// response is complete, the request was written completely, and no data follows the response.
 func (bo *body) end(whole bool) {
 	if bo.done {
 		return
 	}
 	bo.done = true
-	// A context that has ended may be about to interrupt the connection.
-	if bo.stop() && whole && bo.keep && bo.idle > 0 && bo.co.clean() {
+	// A cancelled context may be about to interrupt the connection.
+	if bo.stop() && whole && bo.reuse && bo.idle > 0 && bo.co.reusable() {
 		bo.cl.put(bo.co, bo.idle)
 		return
 	}
--- a/io/upstream/upstream_test.go
+++ b/io/upstream/upstream_test.go
@@ -18,16 +18,17 @@
 	"skylarkstand/io/upstream"
 )
 
-// turn is what a peer does with one request on one of its connections.
-type turn func(nc net.Conn, rq *http.Request)
+// handler handles one request on one of a peer's connections.
+type handler func(nc net.Conn, rq *http.Request)
 
-// peer accepts connections and plays a row of turns, over all connections.
+// peer is an upstream that handles each request, over all connections, by the next of its
+// handlers.
 type peer struct {
 	addr     string
 	accepted atomic.Int64
 }
 
-func newPeer(t *testing.T, turns ...turn) *peer {
+func newPeer(t *testing.T, handlers ...handler) *peer {
 	t.Helper()
 	li, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -50,10 +51,10 @@
 						return
 					}
 					n := int(next.Add(1)) - 1
-					if n >= len(turns) {
+					if n >= len(handlers) {
 						return
 					}
-					turns[n](nc, rq)
+					handlers[n](nc, rq)
 				}
 			}()
 		}
@@ -61,38 +62,38 @@
 	return pe
 }
 
-// says answers with text as it stands, after it has read the body.
-func says(text string) turn {
+// responds reads the body and writes text as the response.
+func responds(text string) handler {
 	return func(nc net.Conn, rq *http.Request) {
 		_, _ = io.Copy(io.Discard, rq.Body)
 		_, _ = io.WriteString(nc, text)
 	}
 }
 
-// whole is an answer with a length, to the request of an id.
-func whole(id, body string) string {
+// response is a complete response with a length, to the request with an id.
+func response(id, body string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nId: %s\r\nContent-Length: %d\r\n\r\n%s", id, len(body), body)
 }
 
-// hangsUp answers and closes; resets answers and breaks the connection.
-func hangsUp(text string) turn {
+// respondsAndCloses responds and closes the connection; respondsAndResets resets it.
+func respondsAndCloses(text string) handler {
 	return func(nc net.Conn, rq *http.Request) {
-		says(text)(nc, rq)
+		responds(text)(nc, rq)
 		nc.Close()
 	}
 }
 
-func resets(text string) turn {
+func respondsAndResets(text string) handler {
 	return func(nc net.Conn, rq *http.Request) {
-		says(text)(nc, rq)
-		time.Sleep(20 * time.Millisecond) // The bytes are to arrive before the reset.
+		responds(text)(nc, rq)
+		time.Sleep(20 * time.Millisecond) // The bytes must arrive before the reset.
 		_ = nc.(*net.TCPConn).SetLinger(0)
 		nc.Close()
 	}
 }
 
-// silent never answers.
-func silent(nc net.Conn, _ *http.Request) { _, _ = io.Copy(io.Discard, nc) }
+// neverResponds reads until the connection closes.
+func neverResponds(nc net.Conn, _ *http.Request) { _, _ = io.Copy(io.Discard, nc) }
 
 func request(id, body string) *upstream.Request {
 	return &upstream.Request{
@@ -101,8 +102,8 @@
 	}
 }
 
-// ask sends a request and reads the whole answer.
-func ask(t *testing.T, cl *upstream.Client, pe *peer, id, body string) (string, error) {
+// roundTrip sends a request and reads the whole response.
+func roundTrip(t *testing.T, cl *upstream.Client, pe *peer, id, body string) (string, error) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 	defer cancel()
@@ -115,101 +116,101 @@
 	return string(data), err
 }
 
-// Upstreams end their answers in many ways. A caller must never get a part as
-// the whole, or another request's answer; and what may not run twice must be
-// known to have left or not.
-func TestAnswers(t *testing.T) {
+// Guards against a partial response that is taken for a complete one, a response to another
+// request, and a wrong statement on whether a request that must not run twice was sent.
+// Upstreams end their responses in many ways.
+func TestResponses(t *testing.T) {
 	scenarios := []struct {
 		testName string
-		turn     turn
+		handler  handler
 		body     string
 		whole    bool
-		sent     bool // of the error before any answer
+		sent     bool // whether the error before any response states so
 	}{
-		{"with a length", says(whole("a", "done")), "done", true, false},
-		{"in chunks", says("HTTP/1.1 200 OK\r\nId: a\r\nTransfer-Encoding: chunked\r\n\r\n4\r\ndone\r\n0\r\n\r\n"), "done", true, false},
-		{"to the connection's end", hangsUp("HTTP/1.1 200 OK\r\nId: a\r\n\r\ndone"), "done", true, false},
-		{"to the connection's end, but reset", resets("HTTP/1.1 200 OK\r\nId: a\r\n\r\ndo"), "do", false, false},
-		{"shorter than its length", hangsUp("HTTP/1.1 200 OK\r\nId: a\r\nContent-Length: 9\r\n\r\ndone"), "done", false, false},
-		{"without its last chunk", hangsUp("HTTP/1.1 200 OK\r\nId: a\r\nTransfer-Encoding: chunked\r\n\r\n4\r\ndone\r\n"), "done", false, false},
-		{"after an interim answer", says("HTTP/1.1 103 Early Hints\r\n\r\n" + whole("a", "done")), "done", true, false},
-		{"after another request's answer", says(whole("b", "not yours") + whole("a", "done")), "done", true, false},
-		{"only other requests' answers", hangsUp(whole("b", "x") + whole("c", "y")), "", false, true},
-		{"bytes that are no answer", hangsUp("hello\r\n\r\n"), "", false, true},
-		{"none", hangsUp(""), "", false, true},
+		{"with a length", responds(response("a", "done")), "done", true, false},
+		{"chunked", responds("HTTP/1.1 200 OK\r\nId: a\r\nTransfer-Encoding: chunked\r\n\r\n4\r\ndone\r\n0\r\n\r\n"), "done", true, false},
+		{"until the connection closes", respondsAndCloses("HTTP/1.1 200 OK\r\nId: a\r\n\r\ndone"), "done", true, false},
+		{"until the connection is reset", respondsAndResets("HTTP/1.1 200 OK\r\nId: a\r\n\r\ndo"), "do", false, false},
+		{"shorter than its length", respondsAndCloses("HTTP/1.1 200 OK\r\nId: a\r\nContent-Length: 9\r\n\r\ndone"), "done", false, false},
+		{"without its last chunk", respondsAndCloses("HTTP/1.1 200 OK\r\nId: a\r\nTransfer-Encoding: chunked\r\n\r\n4\r\ndone\r\n"), "done", false, false},
+		{"after an interim response", responds("HTTP/1.1 103 Early Hints\r\n\r\n" + response("a", "done")), "done", true, false},
+		{"after the response to another request", responds(response("b", "not yours") + response("a", "done")), "done", true, false},
+		{"only responses to other requests", respondsAndCloses(response("b", "x") + response("c", "y")), "", false, true},
+		{"invalid response", respondsAndCloses("hello\r\n\r\n"), "", false, true},
+		{"none", respondsAndCloses(""), "", false, true},
 	}
 	for _, sc := range scenarios {
 		t.Run(sc.testName, func(t *testing.T) {
 			cl, cleanup := upstream.New()
 			defer cleanup()
-			got, err := ask(t, cl, newPeer(t, sc.turn), "a", "lamp")
+			got, err := roundTrip(t, cl, newPeer(t, sc.handler), "a", "lamp")
 			assert.Equal(t, got, sc.body)
 			assert.Equal(t, err == nil, sc.whole, "%v", err)
 			if sc.sent {
-				assert.Assert(t, upstream.Sent(err), "it may have run")
+				assert.Assert(t, upstream.Sent(err), "the error must state that the request may have run")
 			}
 		})
 	}
 }
 
-// An upstream sends one answer too many. The next request on that connection
-// would take it for its own, and its caller would get somebody else's quote.
-func TestExtraAnswerEndsItsConnection(t *testing.T) {
+// Guards against an extra response that the next request on the connection takes for its own,
+// so that its caller receives another caller's quote.
+func TestExtraResponseClosesConnection(t *testing.T) {
 	cl, cleanup := upstream.New()
 	defer cleanup()
-	pe := newPeer(t, says(whole("a", "one")+whole("a", "again")), says(whole("b", "two")))
-	got, err := ask(t, cl, pe, "a", "lamp")
+	pe := newPeer(t, responds(response("a", "one")+response("a", "again")), responds(response("b", "two")))
+	got, err := roundTrip(t, cl, pe, "a", "lamp")
 	assert.NilError(t, err)
 	assert.Equal(t, got, "one")
-	got, err = ask(t, cl, pe, "b", "lamp")
+	got, err = roundTrip(t, cl, pe, "b", "lamp")
 	assert.NilError(t, err)
 	assert.Equal(t, got, "two")
 	assert.Equal(t, pe.accepted.Load(), int64(2))
 }
 
-// The extra answer comes late, when the connection is kept already.
-func TestLateExtraAnswerEndsItsConnection(t *testing.T) {
+// Guards against an extra response that arrives when the connection is already idle.
+func TestLateExtraResponseClosesConnection(t *testing.T) {
 	cl, cleanup := upstream.New()
 	defer cleanup()
 	late := make(chan struct{})
 	pe := newPeer(t, func(nc net.Conn, rq *http.Request) {
-		says(whole("a", "one"))(nc, rq)
+		responds(response("a", "one"))(nc, rq)
 		go func() {
-			_, _ = io.WriteString(nc, whole("a", "again"))
+			_, _ = io.WriteString(nc, response("a", "again"))
 			close(late)
 		}()
-	}, says(whole("b", "two")))
-	_, err := ask(t, cl, pe, "a", "lamp")
+	}, responds(response("b", "two")))
+	_, err := roundTrip(t, cl, pe, "a", "lamp")
 	assert.NilError(t, err)
 	<-late
-	got, err := ask(t, cl, pe, "b", "lamp")
+	got, err := roundTrip(t, cl, pe, "b", "lamp")
 	assert.NilError(t, err)
 	assert.Equal(t, got, "two")
 }
 
-// Requests follow one another. Each new connection takes a place of the
-// upstream for a moment, so one that is whole must be kept.
-func TestConnectionsAreKept(t *testing.T) {
+// Guards against a new connection for each request: each takes one of the upstream's connection
+// slots for a moment, so a connection must be reused after a complete response.
+func TestConnectionsAreReused(t *testing.T) {
 	cl, cleanup := upstream.New()
 	defer cleanup()
-	pe := newPeer(t, says(whole("a", "one")), says(whole("b", "two")), says(whole("c", "three")))
+	pe := newPeer(t, responds(response("a", "one")), responds(response("b", "two")), responds(response("c", "three")))
 	for _, id := range []string{"a", "b", "c"} {
-		_, err := ask(t, cl, pe, id, "lamp")
+		_, err := roundTrip(t, cl, pe, id, "lamp")
 		assert.NilError(t, err)
 	}
 	assert.Equal(t, pe.accepted.Load(), int64(1))
 }
 
-// An upstream closes connections that it finds idle. A claim sent on one may or
-// may not have run, so a connection that is known to be closed, or that is older
-// than the upstream keeps them, must not carry one.
+// Guards against a claim that is sent on an idle connection which the upstream closes: it may
+// or may not have run. A connection that is known to be closed, or that is older than the
+// upstream's idle timeout, must not be reused.
 func TestIdleConnectionThatEnded(t *testing.T) {
 	cl, cleanup := upstream.New()
 	defer cleanup()
-	pe := newPeer(t, hangsUp(whole("a", "one")), says(whole("b", "two")))
-	_, err := ask(t, cl, pe, "a", "lamp")
+	pe := newPeer(t, respondsAndCloses(response("a", "one")), responds(response("b", "two")))
+	_, err := roundTrip(t, cl, pe, "a", "lamp")
 	assert.NilError(t, err)
-	got, err := ask(t, cl, pe, "b", "lamp")
+	got, err := roundTrip(t, cl, pe, "b", "lamp")
 	assert.NilError(t, err)
 	assert.Equal(t, got, "two")
 }
@@ -218,44 +219,44 @@
 	now := time.Now()
 	cl, cleanup := upstream.New(upstream.Clock(func() time.Time { return now }))
 	defer cleanup()
-	keeps := strings.Replace(whole("a", "one"), "Id: a", "Id: a\r\nKeep-Alive: timeout=3", 1)
-	pe := newPeer(t, says(keeps), says(keeps), says(whole("a", "three")))
+	keeps := strings.Replace(response("a", "one"), "Id: a", "Id: a\r\nKeep-Alive: timeout=3", 1)
+	pe := newPeer(t, responds(keeps), responds(keeps), responds(response("a", "three")))
 	for _, later := range []time.Duration{0, 2 * time.Second, 2500 * time.Millisecond} {
 		now = now.Add(later)
-		_, err := ask(t, cl, pe, "a", "lamp")
+		_, err := roundTrip(t, cl, pe, "a", "lamp")
 		assert.NilError(t, err)
 	}
-	assert.Equal(t, pe.accepted.Load(), int64(2), "the last one was asked on a new connection")
+	assert.Equal(t, pe.accepted.Load(), int64(2), "the last request must use a new connection")
 }
 
-// An upstream answers a long request before it has read it, keeps the
-// connection and reads on. What it reads must be the rest of that body and
-// nothing else, and the answer must not wait for it.
-func TestEarlyAnswerToALongBody(t *testing.T) {
+// Guards against a body whose remainder is read as another request. An upstream responds to a
+// long request before it has read it, keeps the connection and continues to read: it must
+// receive the remainder of that body and nothing else, and the response must not wait for it.
+func TestEarlyResponseToLongBody(t *testing.T) {
 	cl, cleanup := upstream.New()
 	defer cleanup()
 	body := strings.Repeat("floor plan ", 1<<20)
 	pe := newPeer(t, func(nc net.Conn, _ *http.Request) {
-		_, _ = io.WriteString(nc, whole("a", "too long"))
+		_, _ = io.WriteString(nc, response("a", "too long"))
 		time.Sleep(50 * time.Millisecond)
-	}, says(whole("b", "two")))
-	got, err := ask(t, cl, pe, "a", body)
+	}, responds(response("b", "two")))
+	got, err := roundTrip(t, cl, pe, "a", body)
 	assert.NilError(t, err)
 	assert.Equal(t, got, "too long")
-	got, err = ask(t, cl, pe, "b", "lamp")
+	got, err = roundTrip(t, cl, pe, "b", "lamp")
 	assert.NilError(t, err)
 	assert.Equal(t, got, "two")
-	assert.Equal(t, pe.accepted.Load(), int64(2), "the rest of the body ends with its connection")
+	assert.Equal(t, pe.accepted.Load(), int64(2), "the connection with the unread rest of the body must not be reused")
 }
 
-// A caller leaves while its upstream works. The upstream notices only by its
-// connection, and would work on for nobody.
-func TestCallerThatLeavesEndsTheConnection(t *testing.T) {
+// Guards against an upstream that continues to work for a caller that has left: it notices this
+// only when its connection closes.
+func TestCancelledRequestClosesConnection(t *testing.T) {
 	cl, cleanup := upstream.New()
 	defer cleanup()
 	ended := make(chan struct{})
 	pe := newPeer(t, func(nc net.Conn, _ *http.Request) {
-		silent(nc, nil)
+		neverResponds(nc, nil)
 		close(ended)
 	})
 	ctx, cancel := context.WithCancel(t.Context())
@@ -266,9 +267,10 @@
 	<-ended
 }
 
-// Nobody listens at an address, or all connections that the upstream accepts are
-// in use. Nothing has left then, and a claim can go elsewhere.
-func TestNothingHasLeft(t *testing.T) {
+// Guards against reporting a request as sent when no process listens at the address, or when
+// all connections that the upstream accepts are in use. Nothing was sent then, and a claim can
+// be sent elsewhere.
+func TestRequestNotSent(t *testing.T) {
 	cl, cleanup := upstream.New()
 	defer cleanup()
 	li, err := net.Listen("tcp", "127.0.0.1:0")
@@ -278,7 +280,7 @@
 	_, err = cl.Do(t.Context(), addr, request("a", "lamp"))
 	assert.Assert(t, err != nil && !upstream.Sent(err), "%v", err)
 
-	pe := newPeer(t, silent)
+	pe := newPeer(t, neverResponds)
 	ctx, cancel := context.WithCancel(t.Context())
 	started := make(chan struct{})
 	go func() {
