--- a/io/caller/admit.go
+++ b/io/caller/admit.go
@@ -14,11 +14,12 @@
 	"skylarkstand/core/placement"
 )
 
-// HeaderPriority orders a workspace's own requests: "high", "normal" or "low".
+// HeaderPriority is the priority of a request among those of its workspace: "high", "normal" or
+// "low".
 const HeaderPriority = "Skylarkstand-Priority"
 
-// priority reads the priority of a request.
-func priority(rq *http.Request) (admission.Priority, error) {
+// parsePriority reads the priority of a request.
+func parsePriority(rq *http.Request) (admission.Priority, error) {
 	switch rq.Header.Get(HeaderPriority) {
 	case "", "normal":
 		return admission.Normal, nil
@@ -31,18 +32,18 @@
 	}
 }
 
-// admitted is a request's place in the entry.
+// admitted is an admitted request. It counts as in flight until release.
 type admitted struct {
 	srv  *Server
 	pass *admission.Pass
 }
 
-// admit waits until the request may start, or refuses it at once. The limit on
-// the process comes first: it bounds the memory that bodies take, whatever
-// the pools could still do.
+// admit waits until the request may start, or refuses it immediately. The limit of the process
+// is checked first: it bounds the memory that bodies take, whatever capacity the pools have
+// left.
 func (srv *Server) admit(ctx context.Context, po admission.Pool, ws *declaration.Workspace, dr *dispatch.Request) (*admitted, error) {
-	if srv.flying.Add(1) > srv.limit {
-		srv.flying.Add(-1)
+	if srv.inFlight.Add(1) > srv.maxInFlight {
+		srv.inFlight.Add(-1)
 		return nil, core.Refuse(core.CodeOverloaded, time.Second, "too many requests are in this entry")
 	}
 	ad := &admitted{srv: srv}
@@ -55,19 +56,20 @@
 		Body: len(dr.Body), MayCross: len(dr.Body) <= placement.MaxCrossing,
 	})
 	if err != nil {
-		srv.flying.Add(-1)
+		srv.inFlight.Add(-1)
 		return nil, err
 	}
 	ad.pass, dr.Crossing = pass, pass.Crossing()
 	return ad, nil
 }
 
-// bytesPerToken is the usual length of a token in a prompt. An estimate is
-// enough: the engine's own count corrects it once the answer is there.
+// bytesPerToken is the usual length of a token in a prompt. An estimate is sufficient: the
+// engine's own count corrects it once the response is complete.
 const bytesPerToken = 4
 
-// settled tells the admission what the answer took, over all stages.
-func (ad *admitted) settled(bi ledger.Bill) {
+// recordUsage reports the usage of the response, summed over all stages, to the admission
+// control.
+func (ad *admitted) recordUsage(bi ledger.Bill) {
 	if ad.pass == nil {
 		return
 	}
@@ -79,17 +81,16 @@
 	ad.pass.Used(us)
 }
 
-// leave gives the place back.
-func (ad *admitted) leave() {
+// release ends the request's admission.
+func (ad *admitted) release() {
 	if ad.pass != nil {
 		ad.pass.Leave()
 	}
-	ad.srv.flying.Add(-1)
+	ad.srv.inFlight.Add(-1)
 }
 
-// chatPool is the pool that a chat request begins on. Later stages of a
-// cascade are not admitted again: refusing them would throw away what the
-// first has cost.
+// chatPool returns the pool of a chat request's first stage. Later stages of a cascade are not
+// admitted again: refusing them would waste the cost of the first.
 func (srv *Server) chatPool(dr *dispatch.Request) (admission.Pool, error) {
 	first, err := srv.dis.First(dr)
 	if err != nil {
@@ -98,15 +99,15 @@
 	return admission.ModelPool(first), nil
 }
 
-// servicePool is the pool of a plain service. A service that is not declared
-// gets none: the pools are kept, and a caller must not be able to make any.
+// servicePool returns the pool of a call of a plain service. A service that is not declared
+// gets none: pools are never removed, and a caller must not be able to create them.
 func (srv *Server) servicePool(ws core.WorkspaceID, dr *dispatch.Request) (admission.Pool, error) {
 	sn := srv.inf.Current()
 	if sn == nil {
 		return admission.Pool{}, core.Refuse(core.CodeNoConfig, time.Second, "no configuration is known yet")
 	}
 	if sn.Operation(dr.Service, dr.Operation) == nil || !sn.MayCall(ws, dr.Service) {
-		return admission.Pool{}, nil // The dispatcher says why.
+		return admission.Pool{}, nil // The dispatcher returns the reason.
 	}
 	return admission.ServicePool(dr.Service), nil
 }
--- a/io/caller/handlers.go
+++ b/io/caller/handlers.go
@@ -24,14 +24,14 @@
 }
 
 func (srv *Server) serveChat(w http.ResponseWriter, rq *http.Request, id core.RequestID) error {
-	ws, dr, err := srv.common(w, rq, id)
+	ws, dr, err := srv.parseCommon(w, rq, id)
 	if err != nil {
 		return err
 	}
 	if err := parseChat(dr); err != nil {
 		return err
 	}
-	pin, se, err := srv.pin(rq, ws.ID, id)
+	pin, se, err := srv.readSession(rq, ws.ID, id)
 	if err != nil {
 		return err
 	}
@@ -40,18 +40,18 @@
 	if err != nil {
 		return err
 	}
-	return srv.answer(w, rq, id, po, ws, dr, func(ctx context.Context) (*dispatch.Outcome, error) {
+	return srv.run(w, rq, id, po, ws, dr, func(ctx context.Context) (*dispatch.Outcome, error) {
 		out, err := srv.dis.Chat(ctx, dr)
 		if err == nil {
-			srv.tellVersion(w.Header(), pin, rq.Header.Get(HeaderSession) != "", out)
+			srv.setVersion(w.Header(), pin, rq.Header.Get(HeaderSession) != "", out)
 		}
 		return out, err
 	})
 }
 
-// answer admits a request to its pool, asks for its outcome and passes that on.
-func (srv *Server) answer(w http.ResponseWriter, rq *http.Request, id core.RequestID, po admission.Pool, ws *declaration.Workspace,
-	dr *dispatch.Request, ask func(context.Context) (*dispatch.Outcome, error),
+// run admits a request to its pool, executes it and relays the outcome.
+func (srv *Server) run(w http.ResponseWriter, rq *http.Request, id core.RequestID, po admission.Pool, ws *declaration.Workspace,
+	dr *dispatch.Request, execute func(context.Context) (*dispatch.Outcome, error),
 ) error {
 	ctx, cancel := withDeadline(rq.Context(), dr.Deadline)
 	defer cancel()
@@ -59,8 +59,8 @@
 	if err != nil {
 		return err
 	}
-	defer ad.leave()
-	out, err := ask(ctx)
+	defer ad.release()
+	out, err := execute(ctx)
 	if err != nil {
 		return err
 	}
@@ -75,16 +75,16 @@
 	return context.WithTimeout(ctx, limit)
 }
 
-// tellVersion sets the headers that keep the session on its version, and has a
-// session that the caller named held for its next request.
-func (srv *Server) tellVersion(hd http.Header, pin session.Pin, named bool, out *dispatch.Outcome) {
-	held := pin.Versions[out.Target.Model] == out.Target.Version
+// setVersion sets the headers that keep the session on its version, and records the version for
+// the next request of a session that the caller named.
+func (srv *Server) setVersion(hd http.Header, pin session.Pin, named bool, out *dispatch.Outcome) {
+	recorded := pin.Versions[out.Target.Model] == out.Target.Version
 	pin.Versions = maps.Clone(pin.Versions)
 	if pin.Versions == nil {
 		pin.Versions = session.Versions{}
 	}
 	pin.Versions[out.Target.Model] = out.Target.Version
-	if named && !held {
+	if named && !recorded {
 		srv.sessions.Keep(session.Key{Workspace: pin.Workspace, Session: pin.Session}, pin.Versions)
 	}
 	hd.Set(HeaderVersion, out.Target.String())
@@ -104,17 +104,17 @@
 }
 
 func (srv *Server) serveCall(w http.ResponseWriter, rq *http.Request, id core.RequestID, sv core.ServiceID, op core.OperationID) error {
-	ws, dr, err := srv.common(w, rq, id)
+	ws, dr, err := srv.parseCommon(w, rq, id)
 	if err != nil {
 		return err
 	}
 	dr.Service, dr.Operation, dr.IdempotencyKey = sv, op, rq.Header.Get(headerIdempotency)
-	if len(dr.IdempotencyKey) > maxKey {
-		return core.Refuse(core.CodeBadRequest, 0, "the header %s is longer than %d bytes", headerIdempotency, maxKey)
+	if len(dr.IdempotencyKey) > maxKeyLength {
+		return core.Refuse(core.CodeBadRequest, 0, "the header %s is longer than %d bytes", headerIdempotency, maxKeyLength)
 	}
 	po, err := srv.servicePool(ws.ID, dr)
 	if err != nil {
 		return err
 	}
-	return srv.answer(w, rq, id, po, ws, dr, func(ctx context.Context) (*dispatch.Outcome, error) { return srv.dis.Call(ctx, dr) })
+	return srv.run(w, rq, id, po, ws, dr, func(ctx context.Context) (*dispatch.Outcome, error) { return srv.dis.Call(ctx, dr) })
 }
--- a/io/caller/relay.go
+++ b/io/caller/relay.go
@@ -11,8 +11,8 @@
 	"skylarkstand/core/event"
 )
 
-// relay copies an answer to the caller. The end of it is held until the
-// request is settled: once the caller has the whole answer, the bill is filed.
+// relay copies a response to the caller. It holds back the end of the response until the
+// request is settled: the bill must be recorded before the caller has the whole response.
 func (srv *Server) relay(w http.ResponseWriter, id core.RequestID, out *dispatch.Outcome, stream bool, ad *admitted) error {
 	if stream {
 		return srv.relayStream(w, id, out, ad)
@@ -20,88 +20,88 @@
 	return srv.relayWhole(w, id, out, ad)
 }
 
-func begin(w http.ResponseWriter, out *dispatch.Outcome) {
+func writeHeader(w http.ResponseWriter, out *dispatch.Outcome) {
 	if ct := out.ContentType(); ct != "" {
 		w.Header().Set("Content-Type", ct)
 	}
 	w.WriteHeader(out.Status())
 }
 
-// doneMark ends a whole stream; a caller that has it takes the answer for whole.
-var doneMark = []byte("data: [DONE]")
+// doneMarker ends a complete stream; a caller that receives it treats the response as complete.
+var doneMarker = []byte("data: [DONE]")
 
-// relayStream holds the end mark alone. Holding each piece until the next one
-// came would delay every token by one.
+// relayStream holds back only the end marker. Holding back each chunk until the next one would
+// delay every token by one.
 func (srv *Server) relayStream(w http.ResponseWriter, id core.RequestID, out *dispatch.Outcome, ad *admitted) error {
-	piece, err := out.Next()
+	chunk, err := out.Next()
 	if err != nil && !errors.Is(err, io.EOF) {
 		return err
 	}
-	begin(w, out)
+	writeHeader(w, out)
 	ctl := http.NewResponseController(w)
-	var held []byte
-	for ; err == nil; piece, err = out.Next() {
-		if len(held) > 0 {
-			_, _ = w.Write(held)
-			held = held[:0]
+	var pending []byte
+	for ; err == nil; chunk, err = out.Next() {
+		if len(pending) > 0 {
+			_, _ = w.Write(pending)
+			pending = pending[:0]
 		}
-		if bytes.HasPrefix(piece, doneMark) {
-			held = append(held, piece...)
+		if bytes.HasPrefix(chunk, doneMarker) {
+			pending = append(pending, chunk...)
 			continue
 		}
-		if _, werr := w.Write(piece); werr != nil {
-			return nil // The caller is gone.
+		if _, werr := w.Write(chunk); werr != nil {
+			return nil // The caller has disconnected.
 		}
 		_ = ctl.Flush()
 	}
 	if !errors.Is(err, io.EOF) {
-		srv.breakOff(w, id, err)
+		srv.abortStream(w, id, err)
 		return nil
 	}
-	ad.settled(out.Settle())
-	_, _ = w.Write(held)
+	ad.recordUsage(out.Settle())
+	_, _ = w.Write(pending)
 	return nil
 }
 
-// relayWhole holds the last piece, and with it the status: most answers are one
-// piece, and one that is cut behind it can still become an error.
+// relayWhole holds back the last chunk, and with it the status: most responses are a single
+// chunk, and one that is cut after it can still become an error.
 func (srv *Server) relayWhole(w http.ResponseWriter, id core.RequestID, out *dispatch.Outcome, ad *admitted) error {
-	var held []byte
-	begun := false
+	var pending []byte
+	started := false
 	for {
-		piece, err := out.Next()
+		chunk, err := out.Next()
 		switch {
 		case errors.Is(err, io.EOF):
-			ad.settled(out.Settle())
-			if !begun {
-				begin(w, out)
+			ad.recordUsage(out.Settle())
+			if !started {
+				writeHeader(w, out)
 			}
-			_, _ = w.Write(held)
+			_, _ = w.Write(pending)
 			return nil
-		case err != nil && !begun:
+		case err != nil && !started:
 			return err
 		case err != nil:
-			// A part has gone out under a status of success. Ended in good
-			// order it would pass for the whole; the connection must break.
+			// A part was sent with a success status. If the response ended normally, the part
+			// would pass for the whole; the connection must break.
 			event.Log(srv.deps.Log, event.RequestFailed, "request", id, "code", asFailure(err).Code, "cut", true)
 			panic(http.ErrAbortHandler)
 		}
-		if len(held) > 0 {
-			if !begun {
-				begin(w, out)
-				begun = true
+		if len(pending) > 0 {
+			if !started {
+				writeHeader(w, out)
+				started = true
 			}
-			if _, werr := w.Write(held); werr != nil {
-				return nil // The caller is gone.
+			if _, werr := w.Write(pending); werr != nil {
+				return nil // The caller has disconnected.
 			}
 		}
-		held = append(held[:0], piece...)
+		pending = append(pending[:0], chunk...)
 	}
 }
 
-// recovered answers for a handler that panicked. The library's own way shows
-// the caller a stack trace.
-func (srv *Server) recovered(reason any, w http.ResponseWriter) {
+// handlePanic responds when a handler panicked. The default of go-restful would send a stack
+// trace to the caller.
+func (srv *Server) handlePanic(reason any, w http.ResponseWriter) {
 	if err, ok := reason.(error); ok && errors.Is(err, http.ErrAbortHandler) {
 		panic(reason)
 	}
@@ -109,5 +109,5 @@
 	srv.refuse(w, core.RequestID(w.Header().Get(HeaderRequest)), errInternal)
 }
 
-// errInternal is told when it is not known how far a request has come.
+// errInternal is the response to an error after which it is unknown whether the request ran.
 var errInternal = &core.Failure{Code: core.CodeInternalError, Ran: core.RanUnknown, Message: "internal error"}
--- a/io/caller/reply.go
+++ b/io/caller/reply.go
@@ -13,12 +13,12 @@
 	"skylarkstand/core/meter"
 )
 
-// errorBody is what a caller gets in place of an answer.
+// errorBody is the body of an error response.
 type errorBody struct {
 	Error core.Problem `json:"error"`
 }
 
-// statuses maps failure codes to HTTP. Others are 502.
+// statuses maps failure codes to HTTP statuses. All other codes map to 502.
 var statuses = map[core.Code]int{
 	core.CodeBadRequest:    http.StatusBadRequest,
 	core.CodeUnauthorized:  http.StatusUnauthorized,
@@ -50,8 +50,8 @@
 	return errInternal
 }
 
-// refuse answers a request with a failure, at once: an answer held back would
-// only hide from the client when to come back.
+// refuse responds with a failure, immediately: a delay would only hide Retry-After from the
+// client.
 func (srv *Server) refuse(w http.ResponseWriter, id core.RequestID, err error) {
 	fl := asFailure(err)
 	event.Log(srv.deps.Log, event.RequestFailed, "request", id, "code", fl.Code, "ran", fl.Ran, "message", fl.Message)
@@ -69,15 +69,15 @@
 	_ = json.NewEncoder(w).Encode(errorBody{fl.Problem(id)})
 }
 
-// retryAfter is in whole seconds, rounded up: coming back early would be
-// refused again.
+// retryAfter formats a duration for Retry-After in whole seconds, rounded up: an earlier retry
+// would be refused again.
 func retryAfter(d time.Duration) string {
 	return strconv.Itoa(int(math.Ceil(d.Seconds())))
 }
 
-// breakOff ends a stream that cannot be finished: an error event, and no
-// [DONE], which is the mark of a whole answer.
-func (srv *Server) breakOff(w http.ResponseWriter, id core.RequestID, err error) {
+// abortStream ends a stream that cannot be completed with an error event and without [DONE],
+// which marks a complete response.
+func (srv *Server) abortStream(w http.ResponseWriter, id core.RequestID, err error) {
 	fl := asFailure(err)
 	event.Log(srv.deps.Log, event.RequestFailed, "request", id, "code", fl.Code, "ran", fl.Ran, "message", fl.Message)
 	raw, err := json.Marshal(errorBody{fl.Problem(id)})
--- a/io/caller/request.go
+++ b/io/caller/request.go
@@ -16,30 +16,30 @@
 	"skylarkstand/core/session"
 )
 
-// Headers of the API, besides the usual ones.
+// Headers of the API, in addition to the standard ones.
 const (
-	// HeaderSession names the caller's session; HeaderPin carries the token
-	// that keeps it on its versions, both ways.
+	// HeaderSession identifies the caller's session; HeaderPin carries, in requests and
+	// responses, the token that keeps it on its versions.
 	HeaderSession = "Skylarkstand-Session"
 	HeaderPin     = "Skylarkstand-Pin"
-	// HeaderRepinned tells that the session had to leave its version.
+	// HeaderRepinned states that the session had to move to another version.
 	HeaderRepinned = "Skylarkstand-Repinned"
-	// HeaderVersion tells what answered, as model@version.
+	// HeaderVersion is the version that produced the response, as model@version.
 	HeaderVersion = "Skylarkstand-Version"
-	// HeaderDeadline is how long the caller waits, as in "1.5s".
+	// HeaderDeadline is how long the caller waits for the response, such as "1.5s".
 	HeaderDeadline = "Skylarkstand-Deadline"
-	// HeaderRequest is the request's id. A caller may choose it, so that the
-	// same request sent again is billed once.
+	// HeaderRequest is the request's id. A caller may choose it, so that a request that it
+	// sends again is billed once.
 	HeaderRequest     = "X-Request-Id"
 	headerIdempotency = "Idempotency-Key"
 )
 
 const (
-	maxDeadline = time.Hour
-	maxKey      = 255
+	maxDeadline  = time.Hour
+	maxKeyLength = 255
 )
 
-// authenticate finds the workspace of a request.
+// authenticate returns the workspace whose key the request carries.
 func (srv *Server) authenticate(rq *http.Request) (*declaration.Workspace, error) {
 	sn := srv.inf.Current()
 	if sn == nil {
@@ -58,8 +58,8 @@
 
 func (srv *Server) readBody(w http.ResponseWriter, rq *http.Request) ([]byte, error) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, rq.Body, srv.maxBody))
-	var big *http.MaxBytesError
-	if errors.As(err, &big) {
+	var tooLarge *http.MaxBytesError
+	if errors.As(err, &tooLarge) {
 		return nil, core.Refuse(core.CodeTooLarge, 0, "the body is larger than %d bytes", srv.maxBody)
 	}
 	if err != nil {
@@ -68,25 +68,25 @@
 	return body, nil
 }
 
-// chatBody is what the router reads of a chat request; the engine gets the
-// body as it came.
+// chatBody holds the fields of a chat request that the router reads; the engine receives the
+// body unchanged.
 type chatBody struct {
 	Model    string          `json:"model"`
 	Stream   bool            `json:"stream"`
 	Messages json.RawMessage `json:"messages"`
 }
 
-// common reads what chat requests and service calls share.
-func (srv *Server) common(w http.ResponseWriter, rq *http.Request, id core.RequestID) (*declaration.Workspace, *dispatch.Request, error) {
+// parseCommon reads what chat requests and service calls share.
+func (srv *Server) parseCommon(w http.ResponseWriter, rq *http.Request, id core.RequestID) (*declaration.Workspace, *dispatch.Request, error) {
 	ws, err := srv.authenticate(rq)
 	if err != nil {
 		return nil, nil, err
 	}
-	limit, err := deadline(rq)
+	limit, err := parseDeadline(rq)
 	if err != nil {
 		return nil, nil, err
 	}
-	pr, err := priority(rq)
+	pr, err := parsePriority(rq)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -97,7 +97,7 @@
 	return ws, &dispatch.Request{ID: id, Workspace: ws.ID, Deadline: limit, Priority: int(pr), Body: body}, nil
 }
 
-func deadline(rq *http.Request) (time.Duration, error) {
+func parseDeadline(rq *http.Request) (time.Duration, error) {
 	text := rq.Header.Get(HeaderDeadline)
 	if text == "" {
 		return 0, nil
@@ -109,10 +109,10 @@
 	return d, nil
 }
 
-// requestID takes the caller's id if it is usable, or makes one.
+// requestID returns the caller's id if it is usable, and a new one otherwise.
 func requestID(rq *http.Request) core.RequestID {
 	id := rq.Header.Get(HeaderRequest)
-	if id == "" || len(id) > maxKey || strings.ContainsFunc(id, func(r rune) bool { return r < '!' || r > '~' }) {
+	if id == "" || len(id) > maxKeyLength || strings.ContainsFunc(id, func(r rune) bool { return r < '!' || r > '~' }) {
 		return core.RequestID(core.NewID())
 	}
 	return core.RequestID(id)
@@ -133,9 +133,9 @@
 	return nil
 }
 
-// pin reads the session of a request. A token that is not ours is refused
-// rather than ignored: the caller believes that its session is kept.
-func (srv *Server) pin(rq *http.Request, ws core.WorkspaceID, id core.RequestID) (session.Pin, routing.Session, error) {
+// readSession reads the session of a request. An invalid token is refused rather than ignored:
+// the caller relies on its session staying on its versions.
+func (srv *Server) readSession(rq *http.Request, ws core.WorkspaceID, id core.RequestID) (session.Pin, routing.Session, error) {
 	pin := session.Pin{Workspace: ws, Session: core.SessionID(rq.Header.Get(HeaderSession))}
 	if tok := rq.Header.Get(HeaderPin); tok != "" {
 		opened, err := srv.keys.Open(tok, ws)
@@ -150,5 +150,5 @@
 	case pin.Versions == nil:
 		pin.Versions = srv.sessions.Find(rq.Context(), session.Key{Workspace: ws, Session: pin.Session})
 	}
-	return pin, routing.Session{Pins: pin.Versions, Draw: session.Draw(ws, pin.Session), Stale: !srv.inf.Fresh(time.Now(), srv.fresh)}, nil
+	return pin, routing.Session{Pins: pin.Versions, Draw: session.Draw(ws, pin.Session), Stale: !srv.inf.Fresh(time.Now(), srv.maxConfigAge)}, nil
 }
--- a/io/caller/server.go
+++ b/io/caller/server.go
@@ -1,5 +1,5 @@
-// Package caller is an entry's side towards its callers: HTTP in the shape of
-// the OpenAI-compatible chat completions API, and calls of plain services.
+// Package caller is an entry's HTTP API for callers: OpenAI-compatible chat completions and
+// calls of plain services.
 //
 // # Usage
 //
@@ -23,68 +23,69 @@
 	"skylarkstand/core/session"
 )
 
-// Server answers callers. It is safe for concurrent use.
+// Server serves the requests of callers. It is safe for concurrent use.
 type Server struct {
-	deps     core.Deps
-	inf      *declaration.InForce
-	dis      *dispatch.Dispatcher
-	keys     *session.Keyring
-	maxBody  int64
-	metrics  http.Handler
-	cont     *restful.Container
-	sessions Sessions
-	leaving  atomic.Bool
-	flying   atomic.Int64
-	limit    int64
-	fresh    time.Duration
-	gate     *admission.Gate
+	deps         core.Deps
+	inf          *declaration.InForce
+	dis          *dispatch.Dispatcher
+	keys         *session.Keyring
+	maxBody      int64
+	metrics      http.Handler
+	cont         *restful.Container
+	sessions     Sessions
+	leaving      atomic.Bool
+	inFlight     atomic.Int64
+	maxInFlight  int64
+	maxConfigAge time.Duration
+	gate         *admission.Gate
 }
 
-// Option changes a Server at construction.
+// Option configures a Server.
 type Option func(*Server)
 
 // MaxBody bounds a request's body in bytes.
 func MaxBody(n int64) Option { return func(srv *Server) { srv.maxBody = n } }
 
-// MaxInFlight bounds the requests in this entry.
-func MaxInFlight(n int64) Option { return func(srv *Server) { srv.limit = n } }
+// MaxInFlight bounds the number of requests in flight in this entry.
+func MaxInFlight(n int64) Option { return func(srv *Server) { srv.maxInFlight = n } }
 
-// Gate sets what admits requests before they are dispatched. Without one only
-// MaxInFlight bounds them.
+// Gate sets the admission control that requests pass before they are dispatched. Without it
+// only MaxInFlight bounds them.
 func Gate(gt *admission.Gate) Option { return func(srv *Server) { srv.gate = gt } }
 
-// Sessions keeps the versions of sessions whose callers send an id and no
-// token. Errors do not exist for it: what cannot be found begins anew.
+// Sessions stores the versions of sessions whose callers send an id but no token. It returns no
+// errors: a session that cannot be found starts anew.
 type Sessions interface {
 	Find(ctx context.Context, key session.Key) session.Versions
 	Keep(key session.Key, vs session.Versions)
 }
 
-// WithSessions sets where the versions of sessions are held.
+// WithSessions sets the store for the versions of sessions.
 func WithSessions(se Sessions) Option { return func(srv *Server) { srv.sessions = se } }
 
-// Freshness sets how old the last word of the newest configuration may be.
-func Freshness(d time.Duration) Option { return func(srv *Server) { srv.fresh = d } }
+// Freshness sets how long ago the configuration may have been confirmed as the newest before
+// routing treats it as stale.
+func Freshness(d time.Duration) Option { return func(srv *Server) { srv.maxConfigAge = d } }
 
-// Metrics sets the page at /metrics.
+// Metrics sets the handler of /metrics.
 func Metrics(ha http.Handler) Option { return func(srv *Server) { srv.metrics = ha } }
 
 const (
-	defaultMaxBody = 4 << 20
-	defaultLimit   = 4096
-	defaultFresh   = 20 * time.Second
+	defaultMaxBody      = 4 << 20
+	defaultMaxInFlight  = 4096
+	defaultMaxConfigAge = 20 * time.Second
 )
 
-// New returns a server.
+// New returns a server that passes requests to dis.
 func New(deps core.Deps, inf *declaration.InForce, dis *dispatch.Dispatcher, kr *session.Keyring, opts ...Option) *Server {
-	srv := &Server{deps: deps, inf: inf, dis: dis, keys: kr, maxBody: defaultMaxBody, limit: defaultLimit, fresh: defaultFresh, metrics: http.NotFoundHandler()}
+	srv := &Server{deps: deps, inf: inf, dis: dis, keys: kr, maxBody: defaultMaxBody, maxInFlight: defaultMaxInFlight, maxConfigAge: defaultMaxConfigAge, metrics: http.NotFoundHandler()}
 	srv.sessions = noSessions{}
 	for _, opt := range opts {
 		opt(srv)
 	}
 	srv.cont = restful.NewContainer()
 	srv.cont.DoNotRecover(false)
-	srv.cont.RecoverHandler(srv.recovered)
+	srv.cont.RecoverHandler(srv.handlePanic)
 	ws := new(restful.WebService)
 	ws.Path("/").Produces("application/json", "text/event-stream", "*/*").Consumes("*/*")
 	ws.Route(ws.POST("/v1/chat/completions").To(srv.chat))
@@ -101,7 +102,7 @@
 // ServeHTTP implements [http.Handler].
 func (srv *Server) ServeHTTP(w http.ResponseWriter, rq *http.Request) { srv.cont.ServeHTTP(w, rq) }
 
-// Leave makes readyz fail, so that the platform's balancer sends no more.
+// Leave makes readyz fail, so that the platform's load balancer sends no more requests.
 func (srv *Server) Leave() { srv.leaving.Store(true) }
 
 func (srv *Server) healthz(_ *restful.Request, rs *restful.Response) { rs.WriteHeader(http.StatusOK) }
@@ -114,7 +115,7 @@
 	rs.WriteHeader(http.StatusOK)
 }
 
-// noSessions holds nothing.
+// noSessions stores nothing.
 type noSessions struct{}
 
 func (noSessions) Find(context.Context, session.Key) session.Versions { return nil }
--- a/io/caller/server_test.go
+++ b/io/caller/server_test.go
@@ -20,11 +20,11 @@
 	"skylarkstand/io/caller"
 )
 
-// upstream is a fake pool of one upstream that gives a scripted answer.
+// upstream is a fake fleet of one upstream that sends a scripted response.
 type upstream struct {
-	pieces []string
-	end    error
-	asked  int
+	chunks     []string
+	end        error
+	dispatched int
 }
 
 func (us *upstream) Serving(mv core.ModelVersion) []core.Upstream {
@@ -33,7 +33,7 @@
 func (us *upstream) Offering(core.ServiceID) []core.Upstream                        { return nil }
 func (us *upstream) Settle(core.UpstreamID, core.RequestID, core.AttemptID, []byte) {}
 func (us *upstream) Dispatch(context.Context, core.UpstreamID, *core.Attempt) (core.Answer, error) {
-	us.asked++
+	us.dispatched++
 	return &scripted{us: us}, nil
 }
 
@@ -43,11 +43,11 @@
 }
 
 func (sc *scripted) Next() ([]byte, error) {
-	if sc.at == len(sc.us.pieces) {
+	if sc.at == len(sc.us.chunks) {
 		return nil, sc.us.end
 	}
 	sc.at++
-	return []byte(sc.us.pieces[sc.at-1]), nil
+	return []byte(sc.us.chunks[sc.at-1]), nil
 }
 func (sc *scripted) Usage() core.Usage        { return core.Usage{Generated: 2} }
 func (sc *scripted) Status() int              { return http.StatusOK }
@@ -55,7 +55,7 @@
 func (sc *scripted) Close()                   {}
 func (sc *scripted) ReplayOf() core.AttemptID { return "" }
 
-// bills counts what was billed, and what the caller had read by then.
+// bills records the bills, and the body that the caller had received when each was filed.
 type bills struct {
 	rec    *httptest.ResponseRecorder
 	filed  []ledger.Bill
@@ -103,8 +103,8 @@
 	return rq
 }
 
-// Callers send what they should not. Each must be told what is wrong in a form
-// that programs can read, nothing may run, and nothing may be billed.
+// Guards against invalid requests that run, that are billed, or whose refusal programs cannot
+// interpret.
 func TestBadInput(t *testing.T) {
 	type scenario struct {
 		testName string
@@ -115,15 +115,15 @@
 	token := session.NewKeyring("secret").Sign(session.Pin{Workspace: "districts"})
 	for _, sc := range []scenario{
 		{"no key", post(goodBody, map[string]string{"Authorization": ""}), 401, core.CodeUnauthorized},
-		{"foreign key", post(goodBody, map[string]string{"Authorization": "Bearer other"}), 401, core.CodeUnauthorized},
+		{"unknown key", post(goodBody, map[string]string{"Authorization": "Bearer other"}), 401, core.CodeUnauthorized},
 		{"key of another scheme", post(goodBody, map[string]string{"Authorization": "Basic key"}), 401, core.CodeUnauthorized},
 		{"broken JSON", post(`{"model":`, nil), 400, core.CodeBadRequest},
 		{"empty body", post(``, nil), 400, core.CodeBadRequest},
-		{"a list for an object", post(`[]`, nil), 400, core.CodeBadRequest},
-		{"a number for the model", post(`{"model":7,"messages":[]}`, nil), 400, core.CodeBadRequest},
+		{"a list instead of an object", post(`[]`, nil), 400, core.CodeBadRequest},
+		{"a number as the model", post(`{"model":7,"messages":[]}`, nil), 400, core.CodeBadRequest},
 		{"no model", post(`{"messages":[]}`, nil), 400, core.CodeBadRequest},
 		{"no messages", post(`{"model":"desk"}`, nil), 400, core.CodeBadRequest},
-		{"messages are no list", post(`{"model":"desk","messages":"hi"}`, nil), 400, core.CodeBadRequest},
+		{"messages are not a list", post(`{"model":"desk","messages":"hi"}`, nil), 400, core.CodeBadRequest},
 		{"oversized", post(`{"model":"desk","messages":["`+strings.Repeat("x", 2000)+`"]}`, nil), 413, core.CodeTooLarge},
 		{"unknown model", post(`{"model":"dsek","messages":[]}`, nil), 404, core.CodeUnknownModel},
 		{"wrong deadline", post(goodBody, map[string]string{caller.HeaderDeadline: "soon"}), 400, core.CodeBadRequest},
@@ -148,16 +148,17 @@
 			assert.Equal(t, body.Error.Code, sc.code)
 			assert.Equal(t, body.Error.Ran, core.NotRun)
 			assert.Assert(t, body.Error.Message != "" && body.Error.RequestID != "")
-			assert.Equal(t, us.asked, 0)
+			assert.Equal(t, us.dispatched, 0)
 			assert.Equal(t, len(bi.filed), 0)
 		})
 	}
 }
 
-// The entry dies after the caller has read the end of its answer and before the
-// bill was filed: the work was given away. The bill must come first.
-func TestBillComesBeforeTheEndMark(t *testing.T) {
-	us := &upstream{pieces: []string{"data: one\n\n", "data: two\n\n", "data: [DONE]\n\n"}, end: io.EOF}
+// Guards against unbilled work: if the entry crashes after the caller has received the end of
+// its response and before the bill is filed, the work is never paid for. The bill must be filed
+// first.
+func TestBillIsFiledBeforeDoneMarker(t *testing.T) {
+	us := &upstream{chunks: []string{"data: one\n\n", "data: two\n\n", "data: [DONE]\n\n"}, end: io.EOF}
 	rec := httptest.NewRecorder()
 	bi := &bills{rec: rec}
 	newServer(t, us, bi).ServeHTTP(rec, post(goodBody, nil))
@@ -167,10 +168,10 @@
 	assert.Equal(t, rec.Body.String(), "data: one\n\ndata: two\n\ndata: [DONE]\n\n")
 }
 
-// The link to an agent is lost in the middle of an answer. The caller must see
-// that it was cut, and what is known of it, and must not pay.
+// Guards against a stream that looks complete although the link to the agent was lost in the
+// middle. The caller must receive an error that states whether the work ran, and must not pay.
 func TestCutStreamEndsWithAnError(t *testing.T) {
-	us := &upstream{pieces: []string{"data: one\n\n"}, end: core.Lost("the link was lost")}
+	us := &upstream{chunks: []string{"data: one\n\n"}, end: core.Lost("the link was lost")}
 	rec, bi := httptest.NewRecorder(), new(bills)
 	newServer(t, us, bi).ServeHTTP(rec, post(goodBody, nil))
 	assert.Assert(t, strings.Contains(rec.Body.String(), "event: error"))
@@ -179,11 +180,11 @@
 	assert.Equal(t, len(bi.filed), 0)
 }
 
-// The link to an agent is lost between the only piece of an answer that is not
-// streamed and its end. The caller must get an error with its status, not a 200
-// with something that is no answer behind it.
-func TestCutWholeAnswerIsAnError(t *testing.T) {
-	us := &upstream{pieces: []string{`{"id":"x"`}, end: core.Lost("the link was lost")}
+// Guards against a status of 200 for an incomplete response when the link to an agent is lost
+// between the only chunk of a response that is not streamed and its end. The caller must
+// receive an error with its status.
+func TestCutSingleChunkResponseIsAnError(t *testing.T) {
+	us := &upstream{chunks: []string{`{"id":"x"`}, end: core.Lost("the link was lost")}
 	rec, bi := httptest.NewRecorder(), new(bills)
 	newServer(t, us, bi).ServeHTTP(rec, post(`{"model":"desk","messages":[]}`, nil))
 	assert.Equal(t, rec.Code, http.StatusBadGateway)
@@ -191,11 +192,11 @@
 	assert.Equal(t, len(bi.filed), 0)
 }
 
-// A long answer that is not streamed is cut after a part of it has gone out. It
-// is too late for a status; the connection must break, so that no client takes
-// the part for the whole.
-func TestCutLongAnswerBreaksTheConnection(t *testing.T) {
-	us := &upstream{pieces: []string{"one", "two"}, end: core.Lost("the link was lost")}
+// Guards against a client that takes a part for the whole: a long response that is not streamed
+// is cut after a part of it was sent. It is too late for an error status, so the connection
+// must break.
+func TestCutLongResponseBreaksConnection(t *testing.T) {
+	us := &upstream{chunks: []string{"one", "two"}, end: core.Lost("the link was lost")}
 	hs := httptest.NewServer(newServer(t, us, new(bills)))
 	defer hs.Close()
 	rq := post(`{"model":"desk","messages":[]}`, nil)
@@ -205,9 +206,9 @@
 	rq.URL = to
 	rs, err := http.DefaultClient.Do(rq)
 	if err != nil {
-		return // Broken before the header went out.
+		return // The connection broke before the header was sent.
 	}
 	defer rs.Body.Close()
 	_, err = io.ReadAll(rs.Body)
-	assert.Assert(t, err != nil, "the part looks whole")
+	assert.Assert(t, err != nil, "a cut response must not end like a complete one")
 }
