--- a/io/entry/bills.go
+++ b/io/entry/bills.go
@@ -14,11 +14,10 @@
 	"skylarkstand/io/link"
 )
 
-// bills is the agent's copies of bills that are not durable yet, and the
-// entries that it can hand them to. An agent that restarts loses its copies;
-// the bills are lost with it only if their entry dies too before they are
-// durable.
-type bills struct {
+// billCopies holds the agent's copies of bills that are not yet durable, and the links to the
+// entries that it can hand them over to. An agent that restarts loses its copies; the bills are
+// lost with it only if their entry also crashes before they are durable.
+type billCopies struct {
 	deps core.Deps
 
 	mu      sync.Mutex
@@ -26,18 +25,18 @@
 	entries map[core.ProcessID]*link.Control
 }
 
-func newBills(deps core.Deps) bills {
-	return bills{deps: deps, copies: copies.New(), entries: map[core.ProcessID]*link.Control{}}
+func newBillCopies(deps core.Deps) billCopies {
+	return billCopies{deps: deps, copies: copies.New(), entries: map[core.ProcessID]*link.Control{}}
 }
 
-func (bl *bills) linked(id core.ProcessID, co *link.Control) {
+func (bl *billCopies) addLink(id core.ProcessID, co *link.Control) {
 	bl.mu.Lock()
 	defer bl.mu.Unlock()
 	bl.entries[id] = co
 }
 
-// unlinked forgets a link, unless its entry has a newer one.
-func (bl *bills) unlinked(co *link.Control) {
+// removeLink removes a link, unless its entry has a newer one.
+func (bl *billCopies) removeLink(co *link.Control) {
 	bl.mu.Lock()
 	defer bl.mu.Unlock()
 	for id, other := range bl.entries {
@@ -47,7 +46,7 @@
 	}
 }
 
-func (bl *bills) settled(se *frame.Settled) {
+func (bl *billCopies) receiveBill(se *frame.Settled) {
 	bl.mu.Lock()
 	defer bl.mu.Unlock()
 	at := core.AttemptID(se.Attempt)
@@ -56,7 +55,7 @@
 	}
 }
 
-func (bl *bills) durable(du *frame.Durable) {
+func (bl *billCopies) receiveDurable(du *frame.Durable) {
 	bl.mu.Lock()
 	defer bl.mu.Unlock()
 	ats := make([]core.AttemptID, len(du.Attempts))
@@ -66,13 +65,13 @@
 	bl.copies.Forget(ats)
 }
 
-// offerEvery is how often it is decided what to hand over. It is small beside
-// the bound after which an entry is taken for gone.
-const offerEvery = time.Second
+// handoverInterval is the interval of the check for copies to hand over. It is short compared
+// with the time after which an entry counts as lost.
+const handoverInterval = time.Second
 
 // serve hands copies over until the context ends.
-func (bl *bills) serve(ctx context.Context) {
-	tick := time.NewTicker(offerEvery)
+func (bl *billCopies) serve(ctx context.Context) {
+	tick := time.NewTicker(handoverInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -80,58 +79,57 @@
 			return
 		case <-tick.C:
 		}
-		for _, de := range bl.due(time.Now()) {
-			// A link that was lost is noticed by its control stream; the
-			// copies are offered again.
+		for _, de := range bl.dueHandovers(time.Now()) {
+			// The control stream detects a lost link; the copies are offered again.
 			_ = de.to.Send(&frame.Frame{Body: &frame.Frame_Told{Told: de.told}})
 		}
 	}
 }
 
-// strandedLimit bounds how long a planned stop waits for a successor.
-const strandedLimit = 5 * time.Second
+// drainTimeout bounds how long a planned stop waits for another entry to take the copies.
+const drainTimeout = 5 * time.Second
 
-// drain hands the copies of entries that are not linked to a successor and waits
-// until they are durable. An agent that stopped shortly after an entry died
-// would otherwise take the last trace of its bills along.
-func (bl *bills) drain(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, strandedLimit)
+// drain hands the copies of entries without a link to a successor and waits until they are
+// durable. Otherwise an agent that stops shortly after the crash of an entry would take the
+// last copies of its bills with it.
+func (bl *billCopies) drain(ctx context.Context) {
+	ctx, cancel := context.WithTimeout(ctx, drainTimeout)
 	defer cancel()
 	bl.mu.Lock()
 	bl.copies.Leave()
 	bl.mu.Unlock()
-	for count := bl.stranded(); count > 0; count = bl.stranded() {
+	for count := bl.strandedCopies(); count > 0; count = bl.strandedCopies() {
 		select {
 		case <-ctx.Done():
 			event.Log(bl.deps.Log, event.CopiesLeft, "copies", count)
 			return
-		case <-time.After(offerEvery / 10):
+		case <-time.After(handoverInterval / 10):
 		}
 	}
 }
 
-func (bl *bills) stranded() int {
+func (bl *billCopies) strandedCopies() int {
 	bl.mu.Lock()
 	defer bl.mu.Unlock()
-	return bl.copies.Stranded(bl.linkedIDs())
+	return bl.copies.Stranded(bl.linkedEntries())
 }
 
-func (bl *bills) linkedIDs() []core.ProcessID {
+func (bl *billCopies) linkedEntries() []core.ProcessID {
 	return slices.Sorted(maps.Keys(bl.entries))
 }
 
-// delivery is a message for one entry.
-type delivery struct {
+// handover is a message with bills for one entry.
+type handover struct {
 	to   *link.Control
 	told *frame.Told
 }
 
-func (bl *bills) due(now time.Time) []delivery {
+func (bl *billCopies) dueHandovers(now time.Time) []handover {
 	bl.mu.Lock()
 	defer bl.mu.Unlock()
-	var out []delivery
-	for _, ho := range bl.copies.Due(now, bl.linkedIDs()) {
-		out = append(out, delivery{bl.entries[ho.To], &frame.Told{Process: string(ho.Process), Bills: ho.Bills}})
+	var out []handover
+	for _, ho := range bl.copies.Due(now, bl.linkedEntries()) {
+		out = append(out, handover{bl.entries[ho.To], &frame.Told{Process: string(ho.Process), Bills: ho.Bills}})
 	}
 	return out
 }
--- a/io/entry/bills_test.go
+++ b/io/entry/bills_test.go
@@ -15,34 +15,34 @@
 	"skylarkstand/io/link"
 )
 
-// connect links an entry with the agent's bills over a pipe and returns the
-// entry's side, whose Told is called with what the agent hands over.
-func connect(ctx context.Context, bl *bills, id core.ProcessID, told func(*link.Control, *frame.Told)) *link.Control {
+// connect links an entry to the agent's copies over a pipe and returns the entry's side. told
+// is called with what the agent hands over.
+func connect(ctx context.Context, bl *billCopies, id core.ProcessID, told func(*link.Control, *frame.Told)) *link.Control {
 	here, there := net.Pipe()
 	deps, inf := core.NewDeps(), declaration.NewInForce()
 	var agent, entry *link.Control
 	agent = link.NewControl(deps, inf, here, link.Handlers{
-		Settled: bl.settled, Durable: bl.durable,
-		Hello: func(he *frame.Hello) { bl.linked(core.ProcessID(he.Process), agent) },
+		Settled: bl.receiveBill, Durable: bl.receiveDurable,
+		Hello: func(he *frame.Hello) { bl.addLink(core.ProcessID(he.Process), agent) },
 	})
 	deps.Self = id
 	entry = link.NewControl(deps, inf, there, link.Handlers{Told: func(to *frame.Told) { go told(entry, to) }})
 	go func() { _ = entry.Serve(ctx) }()
 	go func() {
 		_ = agent.Serve(ctx)
-		bl.unlinked(agent)
+		bl.removeLink(agent)
 	}()
 	_ = entry.Hello("")
 	return entry
 }
 
-// An entry dies with bills that it has not written, while another one is
-// linked; or the agent itself is stopped shortly after. If the copies do not
-// reach the other entry, the callers' answers are never billed.
-func TestCopiesOfALostEntryReachAnother(t *testing.T) {
+// Guards against responses that are never billed: an entry crashes with bills that it has not
+// written while another one is linked, or the agent itself is stopped shortly after the crash.
+// The copies must reach the other entry.
+func TestCopiesOfLostEntryReachAnother(t *testing.T) {
 	for _, stops := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
-			bl := newBills(core.NewDeps())
+			bl := newBillCopies(core.NewDeps())
 			ctx, cancel := context.WithCancel(t.Context())
 			defer cancel()
 			go bl.serve(ctx)
@@ -59,15 +59,15 @@
 			}
 			die()
 			synctest.Wait()
-			assert.Equal(t, bl.stranded(), 2)
+			assert.Equal(t, bl.strandedCopies(), 2)
 			if stops {
 				began := time.Now()
 				bl.drain(ctx)
-				assert.Assert(t, time.Since(began) < strandedLimit)
+				assert.Assert(t, time.Since(began) < drainTimeout)
 			} else {
 				time.Sleep(15 * time.Second)
 			}
-			assert.Equal(t, bl.stranded(), 0)
+			assert.Equal(t, bl.strandedCopies(), 0)
 			assert.Equal(t, handed, 2)
 		})
 	}
--- a/io/entry/orders.go
+++ b/io/entry/orders.go
@@ -8,9 +8,9 @@
 	"skylarkstand/io/frame"
 )
 
-// order passes an order on to the engine if its number is the newest. Engines
-// that ignore fencing numbers are so guarded as well.
-func (srv *Server) order(ctx context.Context, wr *frame.Writer, or *frame.Order) {
+// handleOrder forwards an order to the engine if its fencing number is the newest. This also
+// protects engines that ignore fencing numbers.
+func (srv *Server) handleOrder(ctx context.Context, wr *frame.Writer, or *frame.Order) {
 	done := &frame.OrderDone{}
 	err := srv.gate.Pass(ctx, order.Fence(or.Fence), func(ctx context.Context) error {
 		return srv.ex.Order(ctx, or.Fence, or.Body)
--- a/io/entry/server.go
+++ b/io/entry/server.go
@@ -1,13 +1,12 @@
-// Package entry is an agent's side of the links from the entries: it accepts
-// links, runs the attempts that come over them and tells the entries how the
-// upstream is.
+// Package entry is an agent's server for the links from entries: it accepts links, runs the
+// attempts that arrive over them and reports the upstream's state to the entries.
 //
 // # Usage
 //
 //	srv := entry.New(deps, host, inForce, executor, gate)
 //	go srv.Serve(ctx, listener)
-//	srv.Leave()              // refuse new work and say so on all links
-//	srv.Drain(ctx)           // wait for the work in flight
+//	srv.Leave()              // refuse new work and announce it on all links
+//	srv.Drain(ctx)           // wait for the attempts in flight
 package entry
 
 import (
@@ -42,21 +41,21 @@
 	mu       sync.Mutex
 	controls map[*link.Control]bool
 	inFlight sync.WaitGroup
-	// down tells that the upstream accepts no connections.
+	// down states that the upstream accepts no connections.
 	down  atomic.Bool
-	bills bills
+	bills billCopies
 }
 
 // New returns a server for the upstream beside the agent.
 func New(deps core.Deps, ho core.Host, inf *declaration.InForce, ex *execute.Executor, ga *order.Gate) *Server {
-	return &Server{deps: deps, host: ho, inf: inf, ex: ex, gate: ga, controls: map[*link.Control]bool{}, bills: newBills(deps)}
+	return &Server{deps: deps, host: ho, inf: inf, ex: ex, gate: ga, controls: map[*link.Control]bool{}, bills: newBillCopies(deps)}
 }
 
 // Serve accepts links until the listener closes or the context ends.
 func (srv *Server) Serve(ctx context.Context, li net.Listener) error {
 	stop := context.AfterFunc(ctx, func() { li.Close() })
 	defer stop()
-	go srv.report(ctx)
+	go srv.reportState(ctx)
 	go srv.bills.serve(ctx)
 	for {
 		conn, err := li.Accept()
@@ -66,12 +65,12 @@
 			}
 			return err
 		}
-		go srv.link(ctx, conn)
+		go srv.serveLink(ctx, conn)
 	}
 }
 
-// link serves one connection. Its first stream is the control stream.
-func (srv *Server) link(ctx context.Context, conn net.Conn) {
+// serveLink serves one connection. Its first stream is the control stream.
+func (srv *Server) serveLink(ctx context.Context, conn net.Conn) {
 	ses, st, cleanup, err := link.Accept(ctx, conn)
 	if err != nil {
 		return
@@ -79,12 +78,12 @@
 	defer cleanup()
 	var co *link.Control
 	co = link.NewControl(srv.deps, srv.inf, st, link.Handlers{
-		Settled: srv.bills.settled, Durable: srv.bills.durable,
-		Hello: func(he *frame.Hello) { srv.bills.linked(core.ProcessID(he.Process), co) },
+		Settled: srv.bills.receiveBill, Durable: srv.bills.receiveDurable,
+		Hello: func(he *frame.Hello) { srv.bills.addLink(core.ProcessID(he.Process), co) },
 	})
-	defer func() { srv.bills.unlinked(co) }()
-	srv.enter(co)
-	defer srv.leave(co)
+	defer func() { srv.bills.removeLink(co) }()
+	srv.addControl(co)
+	defer srv.removeControl(co)
 	if co.Hello(srv.host.ID) != nil || co.Send(srv.stateFrame()) != nil {
 		return
 	}
@@ -100,25 +99,26 @@
 		srv.inFlight.Add(1)
 		go func() {
 			defer srv.inFlight.Done()
-			srv.attempt(ctx, st)
+			srv.serveStream(ctx, st)
 		}()
 	}
 }
 
-func (srv *Server) enter(co *link.Control) {
+func (srv *Server) addControl(co *link.Control) {
 	srv.mu.Lock()
 	defer srv.mu.Unlock()
 	srv.controls[co] = true
 }
 
-func (srv *Server) leave(co *link.Control) {
+func (srv *Server) removeControl(co *link.Control) {
 	srv.mu.Lock()
 	defer srv.mu.Unlock()
 	delete(srv.controls, co)
 }
 
-// attempt runs one stream: a dispatch in, an answer out.
-func (srv *Server) attempt(ctx context.Context, st *yamux.Stream) {
+// serveStream serves one stream: an order, or an attempt whose dispatch it reads and whose
+// response it writes.
+func (srv *Server) serveStream(ctx context.Context, st *yamux.Stream) {
 	defer st.Close()
 	rd, wr := frame.NewReader(st), frame.NewWriter(st)
 	fr, err := rd.Read()
@@ -126,7 +126,7 @@
 		return
 	}
 	if or := fr.GetOrder(); or != nil {
-		srv.order(ctx, wr, or)
+		srv.handleOrder(ctx, wr, or)
 		return
 	}
 	if fr.GetDispatch() == nil {
@@ -135,31 +135,31 @@
 	at := link.Attempt(fr.GetDispatch())
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	// The entry sends nothing more on this stream; its end means that the
-	// caller is gone or the link is lost, and the upstream is told to cancel.
+	// The entry sends nothing more on this stream. Its end means that the caller has
+	// disconnected or the link is lost, and cancels the attempt at the upstream.
 	go func() {
 		_, _ = rd.Read()
 		cancel()
 	}()
 	ans, err := srv.ex.Run(ctx, at)
 	if err != nil {
-		_ = wr.Write(link.FailureFrame(at.ID, failureOf(err), srv.state()))
+		_ = wr.Write(link.FailureFrame(at.ID, asFailure(err), srv.state()))
 		return
 	}
 	defer ans.Close()
 	srv.relay(wr, at, ans)
 }
 
-// relay copies an answer to the entry. The end frame goes out only after the
-// upstream's own end: an answer that was cut never looks whole.
+// relay copies a response to the entry. The end frame is sent only after the upstream's own
+// end, so that a response that was cut never looks complete.
 func (srv *Server) relay(wr *frame.Writer, at *core.Attempt, ans core.Answer) {
 	ch := &frame.Chunk{Attempt: string(at.ID), Status: int32(ans.Status()), ContentType: ans.ContentType()}
 	fr := &frame.Frame{Body: &frame.Frame_Chunk{Chunk: ch}}
 	for {
 		data, err := ans.Next()
 		if errors.Is(err, io.EOF) {
-			// The slot is free before the end goes out with the state: told the
-			// other way round, an idle upstream would look busy by one.
+			// The slot is released before the end frame is sent with the state; otherwise an
+			// idle upstream would appear to have one attempt running.
 			us := ans.Usage()
 			ans.Close()
 			_ = wr.Write(&frame.Frame{Body: &frame.Frame_End{End: &frame.End{
@@ -169,24 +169,24 @@
 			return
 		}
 		if err != nil {
-			_ = wr.Write(link.FailureFrame(at.ID, failureOf(err), srv.state()))
+			_ = wr.Write(link.FailureFrame(at.ID, asFailure(err), srv.state()))
 			return
 		}
-		for piece := range slices.Chunk(data, maxPiece) {
-			ch.Data = piece
+		for chunk := range slices.Chunk(data, maxChunkBytes) {
+			ch.Data = chunk
 			if wr.Write(fr) != nil {
 				return
 			}
-			ch.ContentType = "" // The first chunk has told it.
+			ch.ContentType = "" // Only the first chunk carries it.
 		}
 	}
 }
 
-// maxPiece bounds the data of one frame, so that a long answer does not hold
-// up the other streams of the link.
-const maxPiece = 64 << 10
+// maxChunkBytes bounds the data of one frame, so that a long response does not block the other
+// streams of the link.
+const maxChunkBytes = 64 << 10
 
-func failureOf(err error) *core.Failure {
+func asFailure(err error) *core.Failure {
 	var fl *core.Failure
 	if errors.As(err, &fl) {
 		return fl
@@ -218,12 +218,12 @@
 	}
 }
 
-// reportEvery is the pace of state reports while the load changes. Answers
-// carry the state as well, so this one only helps entries without traffic.
-const reportEvery = time.Second
+// reportInterval is the interval of state reports while the load changes. Responses carry the
+// state too, so the reports only serve entries without traffic.
+const reportInterval = time.Second
 
-func (srv *Server) report(ctx context.Context) {
-	tick := time.NewTicker(reportEvery)
+func (srv *Server) reportState(ctx context.Context) {
+	tick := time.NewTicker(reportInterval)
 	defer tick.Stop()
 	var last core.Load
 	for {
@@ -232,17 +232,17 @@
 			return
 		case <-tick.C:
 		}
-		now, turned := srv.ex.Load(), srv.probe()
-		if now != last || turned {
+		now, changed := srv.ex.Load(), srv.probe()
+		if now != last || changed {
 			last = now
 			srv.broadcast()
 		}
 	}
 }
 
-// probe asks whether the upstream accepts connections and reports a turn. An
-// upstream that went down would otherwise draw work: it fails fast, so it
-// always looks idle.
+// probe checks whether the upstream accepts connections and reports whether that has changed.
+// Without it, an upstream that is down would attract work: it fails fast and therefore always
+// appears idle.
 func (srv *Server) probe() bool {
 	down := srv.ex.Probe() != nil
 	if srv.down.Swap(down) == down {
@@ -254,16 +254,16 @@
 	return true
 }
 
-// Leave refuses all new work from now on and says so on all links, without
-// waiting for the platform's list, which lags.
+// Leave refuses all new work from now on and announces it on all links, without waiting for the
+// platform's host list, which lags.
 func (srv *Server) Leave() {
 	srv.ex.Leave()
 	event.Log(srv.deps.Log, event.UpstreamLeaving, "upstream", srv.host.ID)
 	srv.broadcast()
 }
 
-// Drain waits until no attempt is in flight and the bills of lost entries are
-// handed over, or the context ends.
+// Drain waits until no attempt is in flight and the bills of lost entries are handed over, or
+// the context ends.
 func (srv *Server) Drain(ctx context.Context) error {
 	done := make(chan struct{})
 	go func() {
