--- a/io/entry/bills.go
+++ b/io/entry/bills.go
@@ -98,7 +98,7 @@
 	bl.mu.Lock()
 	bl.copies.Leave()
 	bl.mu.Unlock()
-	for count := bl.strandedCopies(); count > 0; count = bl.strandedCopies() {
+	for count := bl.unlinkedCopies(); count > 0; count = bl.unlinkedCopies() {
 		select {
 		case <-ctx.Done():
 			event.Log(bl.deps.Log, event.CopiesLeft, "copies", count)
@@ -108,7 +108,7 @@
 	}
 }
 
-func (bl *billCopies) strandedCopies() int {
+func (bl *billCopies) unlinkedCopies() int {
 	bl.mu.Lock()
 	defer bl.mu.Unlock()
 	return bl.copies.Stranded(bl.linkedEntries())
--- a/io/entry/bills_test.go
+++ b/io/entry/bills_test.go
@@ -59,7 +59,7 @@
 			}
 			die()
 			synctest.Wait()
-			assert.Equal(t, bl.strandedCopies(), 2)
+			assert.Equal(t, bl.unlinkedCopies(), 2)
 			if stops {
 				began := time.Now()
 				bl.drain(ctx)
@@ -67,7 +67,7 @@
 			} else {
 				time.Sleep(15 * time.Second)
 			}
-			assert.Equal(t, bl.strandedCopies(), 0)
+			assert.Equal(t, bl.unlinkedCopies(), 0)
 			assert.Equal(t, handed, 2)
 		})
 	}
