--- a/core/spelling/nearest.go
+++ b/core/spelling/nearest.go
@@ -1,23 +1,23 @@
-// Package spelling finds the known name that a mistyped one most likely meant.
+// Package spelling suggests the known name that is most similar to a mistyped one.
 //
 // # Usage
 //
 //	near, ok := spelling.Nearest("draftr", []string{"desk", "drafter"})   // "drafter", true
 package spelling
 
-// A name is taken for a typing mistake of another when fewer than one in
-// minShare of its letters, and at least minEdits, would have to change. More
-// distant names mislead: an operator who trusts the hint would allow a version
-// that was never meant.
+// A known name is suggested if its edit distance is at most
+// max(baseEdits, length/lengthPerEdit), where length is that of the mistyped name in
+// bytes, and less than the known name's own length. More distant suggestions would
+// mislead: an operator who follows one could allow the wrong version.
 const (
-	minEdits = 2
-	minShare = 3
+	baseEdits     = 2
+	lengthPerEdit = 3
 )
 
-// Nearest returns the known name with the fewest edits to name. It reports
-// false when none is near enough.
+// Nearest returns the known name with the fewest edits from name. It reports false
+// if no name is similar enough. Name itself is not a suggestion.
 func Nearest(name string, known []string) (string, bool) {
-	best, least := "", max(minEdits, len(name)/minShare)+1
+	best, least := "", max(baseEdits, len(name)/lengthPerEdit)+1
 	for _, kn := range known {
 		if kn == name {
 			continue
@@ -29,7 +29,7 @@
 	return best, best != ""
 }
 
-// distance is the Levenshtein distance in bytes.
+// distance returns the Levenshtein distance in bytes.
 func distance(from, to string) int {
 	row := make([]int, len(to)+1)
 	for j := range row {
--- a/core/spelling/nearest_test.go
+++ b/core/spelling/nearest_test.go
@@ -13,10 +13,10 @@
 	for _, sc := range []struct{ testName, name, want string }{
 		{"a letter is missing", "draftr", "drafter"},
 		{"letters are swapped", "deks", "desk"},
-		{"another digit", "v7", "v1"},
+		{"wrong digit", "v7", "v1"},
 		{"the nearer of two", "kogane-lm-smal", "kogane-lm-small"},
-		{"nothing is near", "subsidy", ""},
-		{"nothing is known of an empty name", "", ""},
+		{"no similar name", "subsidy", ""},
+		{"empty name", "", ""},
 	} {
 		t.Run(sc.testName, func(t *testing.T) {
 			got, ok := spelling.Nearest(sc.name, known)
