--- a/core/declaration/check.go
+++ b/core/declaration/check.go
@@ -5,27 +5,27 @@
 	"slices"
 )
 
-// Check finds the mistakes of a document that can be seen without the
-// configuration in force. It returns nil or a [Mistakes].
+// Check validates the content of a document, without comparing it to the current
+// configuration. It returns nil or [Mistakes].
 func (doc *Document) Check() error {
-	fi := doc.find()
-	return doc.settle(fi, false).err()
+	fi := doc.inspect()
+	return doc.resolveRisks(fi, false).err()
 }
 
-// CheckChange finds the mistakes of a document and of the step to it from the
-// one in force. It returns nil or a [Mistakes]. The first document of all is
-// a step from an empty one: nobody is served yet, so no step is too large.
+// CheckChange validates a document and the change to it from the current one. It
+// returns nil or [Mistakes]. The first document is a change from an empty one: no
+// caller is served yet, so no change is too large.
 func CheckChange(from, to *Document) error {
-	fi := to.find()
-	findChange(fi, from, to)
-	return to.settle(fi, true).err()
+	fi := to.inspect()
+	inspectChange(fi, from, to)
+	return to.resolveRisks(fi, true).err()
 }
 
-// Accepted returns the entries of accept-risks that the step from one document
-// to another makes use of. The audit trail keeps them.
+// Accepted returns the entries of accept-risks that the change from one document
+// to another needs, for the audit record.
 func Accepted(from, to *Document) []AcceptRisk {
-	fi := to.find()
-	findChange(fi, from, to)
+	fi := to.inspect()
+	inspectChange(fi, from, to)
 	var out []AcceptRisk
 	for _, ar := range to.AcceptRisks {
 		if slices.ContainsFunc(fi.risks, ar.covers) {
@@ -35,10 +35,11 @@
 	return out
 }
 
-func (doc *Document) find() *findings {
+// inspect applies all rules about a document. The findings include accepted risks.
+func (doc *Document) inspect() *findings {
 	ch := &checker{findings: &findings{}, doc: doc, sn: NewSnapshot(&Generation{Document: *doc}, nil)}
 	if len(doc.Workspaces) == 0 {
-		ch.add(EmptyDocument, "workspaces", "no workspace is declared, so every caller would be turned away", "declare the workspaces; is this the right file?")
+		ch.add(EmptyDocument, "workspaces", "no workspace is declared, so every caller would be rejected", "declare the workspaces, or check that this is the right file")
 	}
 	ch.names()
 	ch.models()
@@ -52,7 +53,7 @@
 	return ch.findings
 }
 
-// checker looks at one document.
+// checker validates one document.
 type checker struct {
 	*findings
 	doc *Document
@@ -61,12 +62,12 @@
 
 func (ar AcceptRisk) covers(mi Mistake) bool { return Rule(ar.Rule) == mi.Rule && ar.Place == mi.Place }
 
-// settle holds the risks that were found against those that the document
-// accepts.
+// resolveRisks returns the mistakes and the risks that the document does not accept.
+// Change reports that the findings include those about a change.
 //
-// An accepted risk that is not there is refused too: left in the file, it
-// would wave the same risk through on a later day, when nobody thought of it.
-func (doc *Document) settle(fi *findings, change bool) Mistakes {
+// An accepted risk that was not found is a mistake too: if the entry stayed in the
+// file, it would accept the same risk in a later change, unintentionally.
+func (doc *Document) resolveRisks(fi *findings, change bool) Mistakes {
 	out := fi.mistakes
 	for _, mi := range fi.risks {
 		if slices.ContainsFunc(doc.AcceptRisks, func(ar AcceptRisk) bool { return ar.covers(mi) }) {
@@ -77,24 +78,25 @@
 	}
 	for i, ar := range doc.AcceptRisks {
 		rest := &findings{}
-		rest.acceptRisk(i, ar, fi.risks, change)
+		rest.checkAcceptRisk(i, ar, fi.risks, change)
 		out = append(out, rest.mistakes...)
 	}
 	return out
 }
 
-func (fi *findings) acceptRisk(i int, ar AcceptRisk, found Mistakes, change bool) {
+// checkAcceptRisk validates an entry of accept-risks against the risks found.
+func (fi *findings) checkAcceptRisk(i int, ar AcceptRisk, found Mistakes, change bool) {
 	place := fmt.Sprintf("accept-risks[%d]", i)
-	of, known := risks[Rule(ar.Rule)]
+	subject, known := risks[Rule(ar.Rule)]
 	if !known {
 		fi.unknown(place+".rule", "risk", ar.Rule, names(Risks(), func(ru Rule) Rule { return ru }))
 		fi.mistakes[len(fi.mistakes)-1].Rule = UnknownRisk
 		return
 	}
 	if ar.Reason == "" {
-		fi.add(NoReason, place+".reason", "the risk is accepted without a reason", "say why; the audit trail keeps it")
+		fi.add(NoReason, place+".reason", "the risk is accepted without a reason", "give a reason; it is recorded in the audit trail")
 	}
-	if (change || of == ofDocument) && !slices.ContainsFunc(found, ar.covers) {
+	if (change || subject == ofDocument) && !slices.ContainsFunc(found, ar.covers) {
 		fi.add(IdleRisk, place, fmt.Sprintf("there is no risk %s at %s", ar.Rule, ar.Place), "remove the entry or correct its place")
 	}
 }
--- a/core/declaration/check_models.go
+++ b/core/declaration/check_models.go
@@ -13,7 +13,7 @@
 			ch.add(NoVersions, place+".versions", "the model has no version, so nothing can run", "declare at least one version")
 			continue
 		}
-		ch.known(place+".stable", core.ModelVersion{Model: mo.ID, Version: mo.Stable})
+		ch.checkDeclared(place+".stable", core.ModelVersion{Model: mo.ID, Version: mo.Stable})
 		for _, ve := range mo.Versions {
 			at := fmt.Sprintf("%s.versions[%s]", place, ve.ID)
 			ch.quality(at+".quality", ve.Quality)
@@ -36,7 +36,7 @@
 
 func (ch *checker) price(place string, mc core.Millicents) {
 	if mc < 0 {
-		ch.add(NegativePrice, place, fmt.Sprintf("the price %d is negative, so that use would be paid back", mc), "give a price of 0 or more, in thousandths of a cent")
+		ch.add(NegativePrice, place, fmt.Sprintf("the price %d is negative, so callers would be paid for their requests", mc), "give a price of 0 or more, in thousandths of a cent")
 	}
 }
 
@@ -67,19 +67,19 @@
 			}
 			ve := ch.sn.Version(core.ModelVersion{Model: id, Version: mo.Stable})
 			if before != nil && ve != nil {
-				ch.order(place, ca.Stages[i-1], id, before, ve)
+				ch.checkOrder(place, ca.Stages[i-1], id, before, ve)
 			}
 			before = ve
 		}
 	}
 }
 
-// order compares two neighbouring stages. A cascade that goes from costly to
-// cheap, or from good to worse, pays for the costly model on every request and
-// then for a second answer that cannot be better: it shows only on the bill.
-func (ch *checker) order(place string, first, second core.ModelID, fv, sv *Version) {
+// checkOrder compares two consecutive stages. A cascade from a costly to a cheaper
+// model, or from a better to a worse one, pays for the costly model on every request
+// and then for a second answer that is no better. Only the bill would reveal it.
+func (ch *checker) checkOrder(place string, first, second core.ModelID, fv, sv *Version) {
 	if sv.PromptPrice+sv.TokenPrice < fv.PromptPrice+fv.TokenPrice {
-		ch.add(CascadeOrder, place, fmt.Sprintf("it goes from costly %s (%d) to cheap %s (%d)", first, fv.PromptPrice+fv.TokenPrice, second, sv.PromptPrice+sv.TokenPrice), "list the cheap model first")
+		ch.add(CascadeOrder, place, fmt.Sprintf("the costly model %s (%d) comes before the cheaper model %s (%d)", first, fv.PromptPrice+fv.TokenPrice, second, sv.PromptPrice+sv.TokenPrice), "list the cheaper model first")
 		return
 	}
 	if sv.Quality < fv.Quality && fv.Quality <= 1 {
--- a/core/declaration/check_names.go
+++ b/core/declaration/check_names.go
@@ -8,7 +8,7 @@
 	"skylarkstand/core"
 )
 
-// names checks that each thing is declared once, under a usable name.
+// names reports invalid and duplicate names.
 func (ch *checker) names() {
 	unique(ch, "models", ch.doc.Models, func(mo Model) string { return string(mo.ID) })
 	unique(ch, "services", ch.doc.Services, func(sv Service) string { return string(sv.ID) })
@@ -25,10 +25,10 @@
 	}
 	for _, ca := range ch.doc.Cascades {
 		unique(ch, fmt.Sprintf("cascades[%s].stages", ca.ID), ca.Stages, func(id core.ModelID) string { return string(id) })
-		// Callers name a cascade or a model in the same field, and a cascade
-		// goes first: a model of that name could no longer be asked for alone.
+		// Callers request a cascade or a model by the same field, and a cascade
+		// takes precedence, so the model could no longer be requested alone.
 		if ch.sn.Model(core.ModelID(ca.ID)) != nil {
-			ch.add(NameClash, fmt.Sprintf("cascades[%s]", ca.ID), "a model has the same name, and callers name both in one field", "give the cascade another name")
+			ch.add(NameClash, fmt.Sprintf("cascades[%s]", ca.ID), "a model has the same name, and callers request both by the same field", "give the cascade another name")
 		}
 	}
 	for _, ws := range ch.doc.Workspaces {
@@ -42,15 +42,15 @@
 	}
 }
 
-// unique reports ids that are unusable or stand twice. Of two entries with one
-// id only the last would count, so an operator who edits the first sees no
-// effect, or loses what another wrote.
+// unique reports IDs that are invalid or duplicate. Of two entries with one ID
+// only the last would take effect, so an operator's edit of the first would have no
+// effect, or would be lost to another operator's entry.
 func unique[T any, K comparable](ch *checker, place string, list []T, id func(T) K) {
 	seen := make([]K, 0, len(list))
 	for i, el := range list {
 		name := id(el)
 		at := fmt.Sprintf("%s[%v]", place, name)
-		if reason := unusable(name); reason != "" {
+		if reason := nameProblem(name); reason != "" {
 			ch.add(BadName, fmt.Sprintf("%s[%d]", place, i), reason, "use letters, digits, dots, dashes and underscores")
 		}
 		if slices.Contains(seen, name) {
@@ -60,21 +60,21 @@
 	}
 }
 
-// unusable says what is wrong with a name, if anything. Names stand in URLs,
-// headers and log lines, where a blank or a slash would cut them in two.
-func unusable(id any) string {
+// nameProblem returns why a name is invalid, or nothing if it is valid. Names are used
+// in URLs, headers and log lines, where a space or a slash would split them.
+func nameProblem(id any) string {
 	name, single := id.(string)
 	if !single {
-		return "" // Made of names that are checked where they are declared.
+		return "" // Composed of names that are checked where they are declared.
 	}
 	if name == "" {
 		return "the name is empty"
 	}
-	odd := func(r rune) bool {
+	invalid := func(r rune) bool {
 		return !strings.ContainsRune("abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789.-_", r)
 	}
-	if i := strings.IndexFunc(name, odd); i >= 0 {
-		return fmt.Sprintf("the name %q has a character that is not allowed in one", name)
+	if i := strings.IndexFunc(name, invalid); i >= 0 {
+		return fmt.Sprintf("the name %q contains a character that is not allowed in names", name)
 	}
 	return ""
 }
@@ -87,8 +87,9 @@
 	return core.ModelVersion{Model: ro.Model, Version: ro.Version}
 }
 
-// known reports whether a model version is declared, and a mistake if not.
-func (ch *checker) known(place string, mv core.ModelVersion) bool {
+// checkDeclared reports whether a model version is declared, and records a mistake if it is
+// not.
+func (ch *checker) checkDeclared(place string, mv core.ModelVersion) bool {
 	mo := ch.sn.Model(mv.Model)
 	if mo == nil {
 		ch.unknown(place, "model", string(mv.Model), names(ch.doc.Models, func(mo Model) core.ModelID { return mo.ID }))
--- a/core/declaration/check_rollouts.go
+++ b/core/declaration/check_rollouts.go
@@ -6,16 +6,16 @@
 	"skylarkstand/core"
 )
 
-// everything is a roll-out's percent that leaves no session out.
-const everything = 100
+// allSessions is all new sessions, in percent.
+const allSessions = 100
 
 func (ch *checker) rollOuts() {
 	for _, ro := range ch.doc.RollOuts {
 		place := fmt.Sprintf("roll-outs[%s]", ro.Model)
-		if ro.Percent < 1 || ro.Percent > everything {
+		if ro.Percent < 1 || ro.Percent > allSessions {
 			ch.add(PercentRange, place+".percent", fmt.Sprintf("%d%% of new sessions is not possible", ro.Percent), "give 1 to 100; to stop a roll-out, remove it")
 		}
-		if !ch.known(place+".version", ro.target()) {
+		if !ch.checkDeclared(place+".version", ro.target()) {
 			continue
 		}
 		if ch.sn.Model(ro.Model).Stable == ro.Version {
@@ -25,7 +25,7 @@
 			ch.add(RollOutGone, place+".version", fmt.Sprintf("%s is withdrawn and rolled out at the same time", ro.target()), "remove the roll-out or the withdrawal")
 		}
 		if !ch.allowedAnywhere(ro.target()) {
-			ch.add(RollOutUnseen, place+".version", fmt.Sprintf("no workspace may use %s, so the roll-out reaches nobody", ro.target()), "add the version to allow of the workspaces that are meant")
+			ch.add(RollOutUnseen, place+".version", fmt.Sprintf("no workspace may use %s, so the roll-out reaches nobody", ro.target()), "add the version to the allow list of the intended workspaces")
 		}
 	}
 }
@@ -43,15 +43,15 @@
 	for _, wd := range ch.doc.Withdrawals {
 		place := fmt.Sprintf("withdrawals[%s]", wd.target())
 		if wd.Reason == "" {
-			ch.add(NoReason, place+".reason", "the withdrawal has no reason", "say why; callers whose session moves are told")
+			ch.add(NoReason, place+".reason", "the withdrawal has no reason", "give a reason; it is returned to callers whose session moves")
 		}
-		if !ch.known(place, wd.target()) {
+		if !ch.checkDeclared(place, wd.target()) {
 			continue
 		}
 		mo := ch.sn.Model(wd.Model)
 		switch {
 		case !ch.sn.anyLeft(mo):
-			ch.add(OnlyVersionWithdrawn, place, fmt.Sprintf("no version of %s is left, so every request for it would be turned away", mo.ID), "declare a version to take its place first")
+			ch.add(OnlyVersionWithdrawn, place, fmt.Sprintf("every version of %s is withdrawn, so every request for it would be rejected", mo.ID), "declare a replacement version first")
 		case mo.Stable == wd.Version:
 			ch.add(StableWithdrawn, fmt.Sprintf("models[%s].stable", mo.ID), fmt.Sprintf("%s is withdrawn, so new sessions have no stable version", wd.target()), "name a version as stable that is not withdrawn")
 		}
--- a/core/declaration/check_test.go
+++ b/core/declaration/check_test.go
@@ -16,8 +16,8 @@
 	otherKey     = "0000000000000000000000000000000000000000000000000000000000000000"
 )
 
-// sound returns a document without mistakes.
-func sound() *declaration.Document {
+// validDocument returns a valid document.
+func validDocument() *declaration.Document {
 	return &declaration.Document{
 		Models: []declaration.Model{
 			{ID: "desk", Stable: "v1", Versions: []declaration.Version{
@@ -47,35 +47,35 @@
 	return declaration.Withdrawal{Model: model, Version: version, Reason: "wrong prices"}
 }
 
-// Each scenario is a slip that an operator made in a sound document. What the
-// operator then reads decides whether it is mended in a minute or guessed at,
-// so the whole line is held: place, reason, remedy and rule.
+// Each scenario introduces a mistake into a valid document. The test compares the
+// whole message, since an operator needs each part of it to correct the mistake:
+// place, reason, remedy and rule.
 func TestMistakesAreNamedWithPlaceReasonAndRemedy(t *testing.T) {
-	for _, sc := range mistakes {
+	for _, sc := range mistakeCases {
 		t.Run(sc.testName, func(t *testing.T) {
-			from, to := sound(), sound()
+			from, to := validDocument(), validDocument()
 			if sc.before != nil {
 				sc.before(from)
 				sc.before(to)
 			}
-			sc.slip(to)
+			sc.mistake(to)
 			err := declaration.CheckChange(from, to)
-			assert.Assert(t, err != nil, "no mistake was found")
+			assert.Assert(t, err != nil, "CheckChange reported no mistake")
 			assert.Equal(t, err.Error(), strings.TrimSpace(sc.want))
 		})
 	}
 }
 
-func TestSoundDocumentHasNoMistake(t *testing.T) {
-	assert.NilError(t, sound().Check())
-	assert.NilError(t, declaration.CheckChange(&declaration.Document{}, sound()))
-	assert.NilError(t, declaration.CheckChange(sound(), sound()))
+func TestValidDocumentHasNoMistake(t *testing.T) {
+	assert.NilError(t, validDocument().Check())
+	assert.NilError(t, declaration.CheckChange(&declaration.Document{}, validDocument()))
+	assert.NilError(t, declaration.CheckChange(validDocument(), validDocument()))
 }
 
-// An operator sees one mistake, mends it, and meets the next: with ten of them
-// that is ten runs, and the temptation to give up on checking.
+// If a check reported only the first mistake, ten mistakes would take ten runs, and
+// an operator might stop checking.
 func TestAllMistakesAreReportedAtOnce(t *testing.T) {
-	doc := sound()
+	doc := validDocument()
 	doc.Models[0].Stable = "v3"
 	doc.Workspaces[0].Share = 0
 	doc.Workspaces[1].KeyHashes = nil
@@ -84,10 +84,10 @@
 	assert.Equal(t, len(strings.Split(err.Error(), "\n")), 4, err.Error())
 }
 
-// Two teams keep a file each, and both declare a workspace. Whichever entry
-// won, one of the teams would see its change without effect.
-func TestJoinNamesBothFilesOfADoubledThing(t *testing.T) {
-	shared, own := sound(), &declaration.Document{Workspaces: sound().Workspaces[:1]}
+// Two teams maintain a file each, and both declare the same workspace. Whichever
+// entry were used, the other team's changes would have no effect.
+func TestJoinReportsBothFilesOfADuplicate(t *testing.T) {
+	shared, own := validDocument(), &declaration.Document{Workspaces: validDocument().Workspaces[:1]}
 	_, err := declaration.Join([]declaration.Source{{Name: "shared.json", Document: *shared}, {Name: "schools.json", Document: *own}})
 	assert.Error(t, err, "workspace schools: it is declared in shared.json and in schools.json; keep it in one of the two [duplicate-name]")
 
@@ -98,30 +98,31 @@
 	assert.Equal(t, len(doc.Workspaces), 3)
 }
 
-// A risk that is named with a reason passes, and the audit trail can tell it.
+// A risk that the document accepts with a reason passes the check and is returned for
+// the audit record.
 func TestAcceptedRiskPassesAndIsKept(t *testing.T) {
-	to := sound()
+	to := validDocument()
 	to.RollOuts = []declaration.RollOut{{Model: "desk", Version: "v2", Percent: 100}}
 	risk := declaration.AcceptRisk{Rule: string(declaration.RollOutStep), Place: "roll-outs[desk]", Reason: "v1 leaks addresses"}
 	to.AcceptRisks = []declaration.AcceptRisk{risk}
-	assert.NilError(t, declaration.CheckChange(sound(), to))
-	assert.DeepEqual(t, declaration.Accepted(sound(), to), []declaration.AcceptRisk{risk})
-	assert.NilError(t, to.Check(), "a risk of the step cannot be missed where there is no step")
+	assert.NilError(t, declaration.CheckChange(validDocument(), to))
+	assert.DeepEqual(t, declaration.Accepted(validDocument(), to), []declaration.AcceptRisk{risk})
+	assert.NilError(t, to.Check(), "Check must not report an unused accept-risks entry about a change, since it sees no change")
 }
 
-// A plain key was pasted where its digest belongs. The message goes to a
-// terminal, a review and perhaps a log, where the key would be read by others.
+// A plain key is pasted in place of its digest. The message appears on a terminal, in
+// a review and possibly in a log, where it would expose the key.
 func TestPlainKeyIsNeverPrinted(t *testing.T) {
-	doc := sound()
+	doc := validDocument()
 	doc.Workspaces[0].KeyHashes = []string{"schools-secret-key"}
 	err := doc.Check()
 	assert.ErrorContains(t, err, "is it the key itself?")
 	assert.Assert(t, !strings.Contains(err.Error(), "schools-secret-key"))
 }
 
-// A file has slips of form beside slips of content. Both kinds come in one
-// list, and each misspelt field with the name that was meant.
-func TestLoadReportsFormAndContentTogether(t *testing.T) {
+// A file has breaches of the schema as well as mistakes of content. Load reports both
+// in one list, and suggests the correct name for each misspelt field.
+func TestLoadReportsSchemaAndContentTogether(t *testing.T) {
 	_, err := declaration.Load([]byte(`{
 		// comments are fine
 		"withdrawals": [{"model": "desk", "version": "v1", "reason": "leaks"}],
@@ -133,8 +134,8 @@
 	assert.Error(t, err, strings.TrimSpace(`
 models[0].versions[0].quality: is missing; set it [schema]
 models[0].versions[0].qualty: there is no such field; did you mean "quality"? [schema]
-withdrawals: stands twice, and only the last would count; merge the two [schema]
+withdrawals: is given twice, and only the last value would be used; merge the two [schema]
 workspaces[0].limit: 0 is too small; give at least 1 [schema]
 models[desk].stable: version of desk "v2" is not declared; did you mean "v1"? [unknown-name]
-workspaces[schools].key-hashes: no key opens the workspace; add the SHA-256 digest of its key [no-key]`))
+workspaces[schools].key-hashes: no key authenticates the workspace; add the SHA-256 digest of its key [no-key]`))
 }
--- a/core/declaration/check_workspaces.go
+++ b/core/declaration/check_workspaces.go
@@ -16,10 +16,10 @@
 		ch.price(place+".latency-price", ws.LatencyPrice)
 		ch.regions(ws, place)
 		if ws.Share <= 0 {
-			ch.add(ShareRange, place+".share", fmt.Sprintf("a share of %d gets no work when there is too much of it", ws.Share), "give a share of at least 1")
+			ch.add(ShareRange, place+".share", fmt.Sprintf("a share of %d gets no capacity under overload", ws.Share), "give a share of at least 1")
 		}
 		if ws.Limit < 0 {
-			ch.add(LimitRange, place+".limit", fmt.Sprintf("the limit %d would turn every request away", ws.Limit), "give a limit of at least 1, or leave it out for none")
+			ch.add(LimitRange, place+".limit", fmt.Sprintf("the limit %d would reject every request", ws.Limit), "give a limit of at least 1, or leave it out for none")
 		}
 		if len(ws.Allow) == 0 && len(ws.Services) == 0 {
 			ch.add(NothingAllowed, place+".allow", "the workspace may use no model and no service", "allow a version or a service")
@@ -55,38 +55,39 @@
 	}
 	declared := true
 	for _, id := range al.Versions {
-		declared = ch.known(place, core.ModelVersion{Model: al.Model, Version: id}) && declared
+		declared = ch.checkDeclared(place, core.ModelVersion{Model: al.Model, Version: id}) && declared
 	}
 	if !declared {
 		return
 	}
 	mo := ch.sn.Model(al.Model)
 	if !ch.sn.canServe(ws.ID, mo) && ch.sn.anyLeft(mo) {
-		ch.add(NoVersionLeft, place, fmt.Sprintf("every version of %s that the workspace may use is withdrawn, so its requests would be turned away", al.Model),
+		ch.add(NoVersionLeft, place, fmt.Sprintf("every version of %s that the workspace may use is withdrawn, so its requests would be rejected", al.Model),
 			"allow a version that can serve")
 	}
-	ch.rest(place, ws, mo)
+	ch.checkSplit(place, ws, mo)
 }
 
-// rest looks for new sessions that a roll-out leaves without a version. They
-// are a share, so callers would be turned away now and then, and a trial by
-// hand may well miss it.
-func (ch *checker) rest(place string, ws *Workspace, mo *Model) {
+// checkSplit reports a workspace in which a roll-out leaves some new sessions without a
+// version. Only a percentage of sessions is affected, so callers would be rejected
+// intermittently and a manual test could miss it.
+func (ch *checker) checkSplit(place string, ws *Workspace, mo *Model) {
 	ro := ch.sn.RollOut(mo.ID)
 	if ro == nil || ro.Version == mo.Stable || !ch.sn.canServe(ws.ID, mo) {
 		return
 	}
-	left := everything
+	left := allSessions
 	for _, vs := range ch.sn.Split(ws.ID, mo.ID) {
 		left -= vs.Percent
 	}
 	if left > 0 {
-		ch.add(RollOutOnly, place, fmt.Sprintf("only %s can serve here, which is under roll-out, so the other %d%% of new sessions have no version", ro.target(), left),
+		ch.add(RollOutOnly, place, fmt.Sprintf("only %s, which is being rolled out, can serve the workspace, so the other %d%% of new sessions have no version", ro.target(), left),
 			fmt.Sprintf("allow the stable version %s too", mo.Stable))
 	}
 }
 
-// canServe reports whether a workspace's work may run on some version.
+// canServe reports whether a workspace's work may run on at least one version of a
+// model.
 func (sn *Snapshot) canServe(ws core.WorkspaceID, mo *Model) bool {
 	for _, ve := range mo.Versions {
 		if sn.MayRun(ws, core.ModelVersion{Model: mo.ID, Version: ve.ID}) {
@@ -106,6 +107,7 @@
 	return false
 }
 
+// mayCascade validates a cascade in the list of a workspace.
 func (ch *checker) mayCascade(ws *Workspace, id core.CascadeID) {
 	place := fmt.Sprintf("workspaces[%s].cascades[%s]", ws.ID, id)
 	ca := ch.sn.Cascade(id)
@@ -121,7 +123,7 @@
 			continue
 		}
 		if !ws.allows(st) {
-			ch.add(StageNotAllowed, place, fmt.Sprintf("the workspace may use no version of the stage %s", st), fmt.Sprintf("allow a version of %s or take the cascade away", st))
+			ch.add(StageNotAllowed, place, fmt.Sprintf("the workspace may use no version of the stage %s", st), fmt.Sprintf("allow a version of %s or remove the cascade", st))
 			broken = true
 		}
 		for _, ve := range mo.Versions {
@@ -131,7 +133,7 @@
 		}
 	}
 	if !broken && best < ws.Quality {
-		ch.add(QualityOutOfReach, place, fmt.Sprintf("no stage promises the quality %g (the best is %g), so requests would run through every stage and be paid for each", float64(ws.Quality), float64(best)),
+		ch.add(QualityOutOfReach, place, fmt.Sprintf("no stage has the quality %g (the best has %g), so requests would escalate through every stage and be charged for each", float64(ws.Quality), float64(best)),
 			"lower the target or add a better stage")
 	}
 }
@@ -145,16 +147,17 @@
 	return false
 }
 
+// digestLen is the length of a SHA-256 digest in hex characters.
 const digestLen = 64
 
-// keys checks the key hashes. A plain key that was pasted in by mistake is
-// never printed: messages end up in logs and reviews.
+// keys validates the key hashes. The messages never contain the value, which may be
+// a plain key that was pasted by mistake: messages end up in logs and reviews.
 func (ch *checker) keys() {
 	owner := map[string]core.WorkspaceID{}
 	for _, ws := range ch.doc.Workspaces {
 		place := fmt.Sprintf("workspaces[%s].key-hashes", ws.ID)
 		if len(ws.KeyHashes) == 0 {
-			ch.add(NoKey, place, "no key opens the workspace", "add the SHA-256 digest of its key")
+			ch.add(NoKey, place, "no key authenticates the workspace", "add the SHA-256 digest of its key")
 		}
 		for i, kh := range ws.KeyHashes {
 			at := fmt.Sprintf("%s[%d]", place, i)
@@ -162,9 +165,9 @@
 			other, taken := owner[kh]
 			switch {
 			case taken && other == ws.ID:
-				ch.add(DuplicateName, at, "the same digest stands twice", "remove one")
+				ch.add(DuplicateName, at, "the digest is listed twice", "remove one")
 			case taken:
-				ch.add(KeyShared, at, fmt.Sprintf("the same key opens workspace %s too, so requests and bills would go to one of the two", other), "give each workspace a key of its own")
+				ch.add(KeyShared, at, fmt.Sprintf("the key also authenticates workspace %s, so requests and bills would be assigned to only one of the two", other), "give each workspace a key of its own")
 			}
 			owner[kh] = ws.ID
 		}
@@ -175,9 +178,9 @@
 	_, err := hex.DecodeString(kh)
 	switch {
 	case err != nil || len(kh) != digestLen:
-		ch.add(KeyNotDigest, place, fmt.Sprintf("this is no SHA-256 digest (%d characters, not %d of 0-9a-f); is it the key itself?", len(kh), digestLen),
-			"write the output of: printf %s \"$KEY\" | sha256sum; a key that stood in a file must be replaced")
+		ch.add(KeyNotDigest, place, fmt.Sprintf("not a SHA-256 digest (%d characters, not %d of 0-9a-f); is it the key itself?", len(kh), digestLen),
+			"write the output of: printf %s \"$KEY\" | sha256sum; replace a key that was written to a file")
 	case kh != strings.ToLower(kh):
-		ch.add(KeyNotDigest, place, "the digest has capital letters and would match no key", "write it in small letters")
+		ch.add(KeyNotDigest, place, "the digest has upper-case letters and would match no key", "write it in lower case")
 	}
 }
--- a/core/declaration/diff.go
+++ b/core/declaration/diff.go
@@ -9,7 +9,7 @@
 	"skylarkstand/core"
 )
 
-// Mark says what became of a thing.
+// Mark is the kind of a difference, as a diff prints it.
 type Mark string
 
 // The marks of a change.
@@ -23,11 +23,12 @@
 type Change struct {
 	Mark  Mark
 	Scope Scope
-	// Detail says what differs, as people read it.
+	// Detail describes the difference. It is empty for a removed scope.
 	Detail string
 }
 
-// String returns the change as one line.
+// String returns the change as one line, such as
+// "~ workspace schools: share 2 -> 4".
 func (ch Change) String() string {
 	if ch.Detail == "" {
 		return fmt.Sprintf("%s %s", ch.Mark, ch.Scope)
@@ -35,7 +36,7 @@
 	return fmt.Sprintf("%s %s: %s", ch.Mark, ch.Scope, ch.Detail)
 }
 
-// Diff lists what changes from one document to another, a line each.
+// Diff lists the changes from one document to another as lines of text.
 func Diff(from, to *Document) []string {
 	chs := Compare(from, to)
 	out := make([]string, len(chs))
@@ -45,7 +46,7 @@
 	return out
 }
 
-// Compare lists what changes from one document to another.
+// Compare lists the changes from one document to another, ordered by scope.
 func Compare(from, to *Document) []Change {
 	old, now := from.parts(), to.parts()
 	var out []Change
@@ -65,31 +66,34 @@
 	return out
 }
 
+// declared reports whether the scope's own entry exists. A roll-out or a withdrawal
+// of a model that is not declared does not count.
 func (pa *part) declared() bool {
 	return pa.Model != nil || pa.Service != nil || pa.Cascade != nil || pa.Workspace != nil || pa.Zone != nil
 }
 
-// details says how a part differs from an older one.
+// details describes how a part differs from an older one, one line per difference.
 func (pa *part) details(old *part) []string {
 	di := &differ{}
 	switch {
 	case pa.Model != nil:
-		di.model(or(old.Model), pa.Model)
+		di.model(orEmpty(old.Model), pa.Model)
 	case pa.Service != nil:
-		di.service(or(old.Service), pa.Service)
+		di.service(orEmpty(old.Service), pa.Service)
 	case pa.Cascade != nil:
-		di.value("stages", join(or(old.Cascade).Stages, " -> "), join(pa.Cascade.Stages, " -> "))
+		di.value("stages", join(orEmpty(old.Cascade).Stages, " -> "), join(pa.Cascade.Stages, " -> "))
 	case pa.Workspace != nil:
-		di.workspace(or(old.Workspace), pa.Workspace)
+		di.workspace(orEmpty(old.Workspace), pa.Workspace)
 	case pa.Zone != nil:
-		di.zone(or(old.Zone), pa.Zone)
+		di.zone(orEmpty(old.Zone), pa.Zone)
 	}
 	di.rollOuts(old.RollOuts, pa.RollOuts)
 	di.withdrawals(old.Withdrawals, pa.Withdrawals)
 	return di.lines
 }
 
-func or[T any](el *T) *T {
+// orEmpty returns el, or an empty value if el is nil.
+func orEmpty[T any](el *T) *T {
 	if el == nil {
 		return new(T)
 	}
@@ -103,6 +107,7 @@
 	di.lines = append(di.lines, fmt.Sprintf(format, args...))
 }
 
+// value adds a line if a named value differs.
 func (di *differ) value(name string, was, now any) {
 	wt, nt := fmt.Sprint(was), fmt.Sprint(now)
 	switch {
@@ -140,10 +145,10 @@
 	for _, op := range sv.Operations {
 		i := slices.IndexFunc(old.Operations, func(el Operation) bool { return el.ID == op.ID })
 		if i < 0 {
-			di.add("operation %s added (%s, price %d)", op.ID, op.repeats(), op.Price)
+			di.add("operation %s added (%s, price %d)", op.ID, op.semantics(), op.Price)
 			continue
 		}
-		di.value(string(op.ID), old.Operations[i].repeats(), op.repeats())
+		di.value(string(op.ID), old.Operations[i].semantics(), op.semantics())
 		di.value(string(op.ID)+" price", old.Operations[i].Price, op.Price)
 	}
 	for _, op := range old.Operations {
@@ -153,7 +158,7 @@
 	}
 }
 
-func (op Operation) repeats() string {
+func (op Operation) semantics() string {
 	if op.AtMostOnce {
 		return "at most once"
 	}
--- a/core/declaration/doc.go
+++ b/core/declaration/doc.go
@@ -1,25 +1,24 @@
-// Package declaration holds the operators' configuration: what they declare,
-// how it is checked and compared, and which generation of it is in force in a
-// process.
+// Package declaration defines the operators' configuration: the document, its
+// validation and comparison, and the generation that a process runs on.
 //
 // A [Document] is what an operator writes, as JSON with comments. A
 // [Generation] is an accepted document with its audit record, in one value, so
-// that neither can exist without the other. An [InForce] is a process's view:
-// it only ever moves to a higher generation, so a late or doubled message can
-// not bring an older configuration back.
+// that neither can exist without the other. An [InForce] holds the
+// configuration that a process uses. It only moves to a higher generation, so
+// that a late or duplicate message cannot restore an older configuration.
 //
-// Checks report all [Mistakes] at once. A [Rule] that guards against what is
-// dangerous but legal yields to an [AcceptRisk] of the document. A change is cut
-// by [Scope] so that operators who change different parts do not get into each
-// other's way; package publish puts it in force.
+// Checks report all [Mistakes] at once. A breach of a [Rule] about dangerous
+// but legal changes can be accepted by an [AcceptRisk] entry of the document.
+// Changes are tracked by [Scope], so that operators who change different parts
+// do not conflict; package publish writes an accepted change to the store.
 //
 // # Usage
 //
-//	doc, err := declaration.Load(text)                 // form and content, all mistakes at once
-//	err = declaration.CheckChange(&cur.Document, &doc) // and the step from what is in force
-//	doc, err = declaration.Rebase(base, since, &doc)   // over others' changes, or Clashes
+//	doc, err := declaration.Load(text)                 // schema and content, all mistakes at once
+//	err = declaration.CheckChange(&cur.Document, &doc) // and the change from the current document
+//	doc, err = declaration.Rebase(base, since, &doc)   // onto the newest generation, or Clashes
 //	lines := declaration.Diff(&cur.Document, &doc)
 //	inf := declaration.NewInForce()
-//	inf.Adopt(raw)                                     // true if it was newer
-//	snap := inf.Current()                              // nil before the first one
+//	inf.Adopt(raw)                                     // true if raw was newer
+//	snap := inf.Current()                              // nil before the first generation
 package declaration
--- a/core/declaration/effect.go
+++ b/core/declaration/effect.go
@@ -8,12 +8,13 @@
 	"skylarkstand/core"
 )
 
-// Effects says what a change does to callers: which versions stop, who loses
-// or gains what, and which share of new sessions moves.
+// Effects describes what a change does to callers, one line each: which versions
+// stop, which workspaces gain or lose access, and which percentage of new sessions
+// moves to another version.
 func Effects(from, to *Document) []string {
 	ef := &effect{from: NewSnapshot(&Generation{Document: *from}, nil), to: NewSnapshot(&Generation{Document: *to}, nil)}
 	for i := range from.Models {
-		ef.stops(&from.Models[i])
+		ef.versionStops(&from.Models[i])
 	}
 	for i := range to.Zones {
 		ef.zone(&to.Zones[i])
@@ -23,7 +24,7 @@
 	}
 	for _, ws := range from.Workspaces {
 		if ef.to.Workspace(ws.ID) == nil {
-			ef.on(ws.ID, "all callers are turned away")
+			ef.onWorkspace(ws.ID, "all callers are turned away")
 		}
 	}
 	return ef.render()
@@ -35,9 +36,9 @@
 	groups   []group
 }
 
-// group is one effect with the workspaces that it has in common. A roll-out
-// touches most workspaces alike; a line for each would bury the one that
-// differs.
+// group is one effect with the workspaces that it applies to. A roll-out affects
+// most workspaces in the same way; one line for each would hide the workspace
+// that differs.
 type group struct {
 	text       string
 	workspaces []core.WorkspaceID
@@ -47,8 +48,8 @@
 	ef.lines = append(ef.lines, fmt.Sprintf(format, args...))
 }
 
-// on notes an effect on one workspace.
-func (ef *effect) on(ws core.WorkspaceID, format string, args ...any) {
+// onWorkspace records an effect on one workspace.
+func (ef *effect) onWorkspace(ws core.WorkspaceID, format string, args ...any) {
 	text := fmt.Sprintf(format, args...)
 	i := slices.IndexFunc(ef.groups, func(gr group) bool { return gr.text == text })
 	if i < 0 {
@@ -73,7 +74,7 @@
 	return out
 }
 
-func (ef *effect) stops(mo *Model) {
+func (ef *effect) versionStops(mo *Model) {
 	for _, ve := range mo.Versions {
 		mv := core.ModelVersion{Model: mo.ID, Version: ve.ID}
 		was := !ef.from.Withdrawn(mv)
@@ -90,25 +91,25 @@
 func (ef *effect) workspace(ws *Workspace) {
 	old := ef.from.Workspace(ws.ID)
 	if old == nil {
-		ef.on(ws.ID, "new")
+		ef.onWorkspace(ws.ID, "new")
 		return
 	}
 	ef.regions(old, ws)
 	ef.access(ws.ID, "model", ef.from.usable(ws.ID), ef.to.usable(ws.ID))
-	ef.access(ws.ID, "cascade", names(old.Cascades, same), names(ws.Cascades, same))
-	ef.access(ws.ID, "service", names(old.Services, same), names(ws.Services, same))
+	ef.access(ws.ID, "cascade", names(old.Cascades, identity), names(ws.Cascades, identity))
+	ef.access(ws.ID, "service", names(old.Services, identity), names(ws.Services, identity))
 	for _, mo := range ef.to.Doc.Models {
 		was, now := ef.from.Split(ws.ID, mo.ID), ef.to.Split(ws.ID, mo.ID)
 		if len(was) == 0 || len(now) == 0 || slices.Equal(was, now) {
 			continue
 		}
-		ef.on(ws.ID, "%d%% of new sessions of %s move (%s -> %s)", moved(was, now), mo.ID, shares(was), shares(now))
+		ef.onWorkspace(ws.ID, "%d%% of new sessions of %s move (%s -> %s)", movedPercent(was, now), mo.ID, formatShares(was), formatShares(now))
 	}
 }
 
-func same[S any](el S) S { return el }
+func identity[S any](el S) S { return el }
 
-// usable lists the models of which a workspace can use some version.
+// usable lists the models of which a workspace can use at least one version.
 func (sn *Snapshot) usable(ws core.WorkspaceID) []string {
 	var out []string
 	for i := range sn.Doc.Models {
@@ -122,32 +123,33 @@
 func (ef *effect) access(ws core.WorkspaceID, kind string, was, now []string) {
 	for _, name := range now {
 		if !slices.Contains(was, name) {
-			ef.on(ws, "gains %s %s", kind, name)
+			ef.onWorkspace(ws, "gains %s %s", kind, name)
 		}
 	}
 	for _, name := range was {
 		if !slices.Contains(now, name) {
-			ef.on(ws, "loses %s %s", kind, name)
+			ef.onWorkspace(ws, "loses %s %s", kind, name)
 		}
 	}
 }
 
-// VersionShare is the percent of new sessions that a version gets.
+// VersionShare is the percentage of new sessions that a version gets.
 type VersionShare struct {
 	Version core.VersionID
 	Percent int
 }
 
-// Split returns how a workspace's new sessions of a model are shared among
-// versions. It follows the choice of core/routing: the roll-out's share, then
-// the stable version, then the newest one that may run.
+// Split returns how a workspace's new sessions of a model are divided among
+// versions; it is empty if no version can serve. It must agree with core/routing:
+// the roll-out's version gets its percentage, and the rest goes to the stable
+// version or else to the newest version that may run.
 func (sn *Snapshot) Split(ws core.WorkspaceID, id core.ModelID) []VersionShare {
 	mo := sn.Model(id)
 	if mo == nil || !sn.canServe(ws, mo) {
 		return nil
 	}
 	var out []VersionShare
-	rest := everything
+	rest := allSessions
 	ro := sn.RollOut(id)
 	if ro != nil && ro.Halted == "" && sn.MayRun(ws, ro.target()) {
 		out = append(out, VersionShare{ro.Version, ro.Percent})
@@ -159,6 +161,7 @@
 	return out
 }
 
+// fallback returns the version for new sessions outside the roll-out.
 func (sn *Snapshot) fallback(ws core.WorkspaceID, mo *Model, ro *RollOut) (core.VersionID, bool) {
 	may := func(ve core.VersionID) bool { return sn.MayRun(ws, core.ModelVersion{Model: mo.ID, Version: ve}) }
 	if may(mo.Stable) {
@@ -172,8 +175,9 @@
 	return "", false
 }
 
-// moved is the share of new sessions that get another version than before.
-func moved(was, now []VersionShare) int {
+// movedPercent returns the percentage of new sessions that get a different version than
+// before.
+func movedPercent(was, now []VersionShare) int {
 	stay := 0
 	for _, vs := range now {
 		i := slices.IndexFunc(was, func(el VersionShare) bool { return el.Version == vs.Version })
@@ -181,10 +185,10 @@
 			stay += min(vs.Percent, was[i].Percent)
 		}
 	}
-	return everything - stay
+	return allSessions - stay
 }
 
-func shares(list []VersionShare) string {
+func formatShares(list []VersionShare) string {
 	out := make([]string, len(list))
 	for i, vs := range list {
 		out[i] = fmt.Sprintf("%s %d%%", vs.Version, vs.Percent)
@@ -192,5 +196,5 @@
 	return strings.Join(out, ", ")
 }
 
-// Reason returns why a version was withdrawn, or nothing.
+// Reason returns why a version was withdrawn. It is empty if it was not.
 func (sn *Snapshot) Reason(mv core.ModelVersion) string { return sn.withdrawn[mv] }
--- a/core/declaration/halt.go
+++ b/core/declaration/halt.go
@@ -7,13 +7,14 @@
 	"skylarkstand/core"
 )
 
-// GuardName stands in the audit trail for changes that no person made.
+// GuardName is the author in the audit record of changes that the roll-out guard
+// makes.
 const GuardName = "roll-out guard"
 
-// Halt returns the next generation after one, with the roll-out of a version
-// halted. It reports false when there is nothing to halt: the roll-out is over
-// or is halted already. The generation that it is given does not change, since
-// others may hold a snapshot of it.
+// Halt returns the generation that follows gen, with the roll-out of a version
+// halted for the reason why. It reports false if there is nothing to halt: the
+// roll-out has ended or is halted already. Gen is not modified, since snapshots
+// of it may be in use.
 func Halt(gen *Generation, mv core.ModelVersion, why string, when time.Time) (*Generation, bool) {
 	i := slices.IndexFunc(gen.Document.RollOuts, func(ro RollOut) bool {
 		return ro.Model == mv.Model && ro.Version == mv.Version && ro.Halted == ""
--- a/core/declaration/in_force.go
+++ b/core/declaration/in_force.go
@@ -8,29 +8,29 @@
 	"skylarkstand/core"
 )
 
-// InForce is the configuration that a process works by. It is safe for
+// InForce holds the configuration that a process uses. It is safe for
 // concurrent use.
 type InForce struct {
 	cur atomic.Pointer[Snapshot]
-	// heard is when the newest generation was last confirmed, in Unix
-	// nanoseconds.
-	heard atomic.Int64
+	// confirmed is when the current generation was last confirmed to be the
+	// newest, in Unix nanoseconds; 0 if it never was.
+	confirmed atomic.Int64
 
 	mu      sync.Mutex
 	changed chan struct{}
-	// asked is the newest generation whose body was asked for, and askedAt
-	// when.
-	asked   core.Generation
-	askedAt time.Time
+	// requested is the newest generation whose body was requested, at
+	// requestedAt.
+	requested   core.Generation
+	requestedAt time.Time
 }
 
 // NewInForce returns an InForce without a configuration.
 func NewInForce() *InForce { return &InForce{changed: make(chan struct{})} }
 
-// Current returns the snapshot in force, or nil before the first one.
+// Current returns the current snapshot, or nil before the first generation.
 func (inf *InForce) Current() *Snapshot { return inf.cur.Load() }
 
-// Number returns the generation in force, 0 before the first one.
+// Number returns the current generation, or 0 before the first one.
 func (inf *InForce) Number() core.Generation {
 	if sn := inf.cur.Load(); sn != nil {
 		return sn.Number
@@ -38,12 +38,12 @@
 	return 0
 }
 
-// Adopt puts an encoded generation in force if it is newer than the current
-// one and reports whether it did.
+// Adopt makes an encoded generation the current one if it is newer, and reports
+// whether it did. The error is for a generation that cannot be decoded.
 //
-// Links and watches deliver generations late, doubled and out of order. Without
-// the comparison a late message would bring back a configuration that was
-// replaced: a withdrawn version would serve again.
+// Links and watches deliver generations late, duplicated and out of order.
+// Without the comparison a late message would restore a configuration that was
+// replaced, and a withdrawn version would serve again.
 func (inf *InForce) Adopt(raw []byte) (bool, error) {
 	gen, err := Decode(raw)
 	if err != nil {
@@ -60,53 +60,55 @@
 	return true, nil
 }
 
-// AskAgain is when a body that was asked for and did not come is asked for
-// again, of another peer perhaps.
+// AskAgain is the time after which a generation's body that was requested and
+// did not arrive is requested again, possibly from another peer.
 const AskAgain = time.Second
 
-// Asks reports whether the body of a newer generation should be asked for now,
-// and notes that it is.
+// Asks reports whether the body of a generation should be requested now. If so,
+// it records the request.
 //
-// A process hears of a new generation from all its peers within milliseconds.
-// Were each asked, an agent with forty links would get forty copies of a
-// document that may have a megabyte.
+// All peers of a process announce a new generation within milliseconds. If the
+// body were requested from each, an agent with 40 links would receive 40 copies
+// of a document that may have a megabyte.
 func (inf *InForce) Asks(gen core.Generation, now time.Time) bool {
 	inf.mu.Lock()
 	defer inf.mu.Unlock()
-	if gen <= inf.Number() || gen <= inf.asked && now.Sub(inf.askedAt) < AskAgain {
+	if gen <= inf.Number() || gen <= inf.requested && now.Sub(inf.requestedAt) < AskAgain {
 		return false
 	}
-	inf.asked, inf.askedAt = gen, now
+	inf.requested, inf.requestedAt = gen, now
 	return true
 }
 
-// Confirm notes that the generation in force was the newest at a time: the
-// store, or a peer that had just asked the store, said so.
+// Confirm records that the current generation was the newest at a time,
+// according to the store or to a peer that had just queried the store. An
+// earlier time than the last one is ignored.
 func (inf *InForce) Confirm(at time.Time) {
 	for {
-		old := inf.heard.Load()
-		if at.UnixNano() <= old || inf.heard.CompareAndSwap(old, at.UnixNano()) {
+		old := inf.confirmed.Load()
+		if at.UnixNano() <= old || inf.confirmed.CompareAndSwap(old, at.UnixNano()) {
 			return
 		}
 	}
 }
 
-// Heard returns when the generation in force was last confirmed, or the zero
-// time if it never was.
+// Heard returns when the current generation was last confirmed to be the
+// newest, or the zero time if it never was.
 func (inf *InForce) Heard() time.Time {
-	if at := inf.heard.Load(); at != 0 {
+	if at := inf.confirmed.Load(); at != 0 {
 		return time.Unix(0, at)
 	}
 	return time.Time{}
 }
 
-// Fresh reports whether the generation in force was confirmed within a bound.
+// Fresh reports whether the current generation was confirmed to be the newest
+// within a bound before now.
 func (inf *InForce) Fresh(now time.Time, bound time.Duration) bool {
-	heard := inf.Heard()
-	return !heard.IsZero() && now.Sub(heard) <= bound
+	confirmed := inf.Heard()
+	return !confirmed.IsZero() && now.Sub(confirmed) <= bound
 }
 
-// Changed returns a channel that is closed at the next adoption.
+// Changed returns a channel that is closed when the next generation is adopted.
 func (inf *InForce) Changed() <-chan struct{} {
 	inf.mu.Lock()
 	defer inf.mu.Unlock()
--- a/core/declaration/in_force_test.go
+++ b/core/declaration/in_force_test.go
@@ -18,9 +18,8 @@
 	return raw
 }
 
-// Links deliver generations late and doubled. Were a late one adopted, a
-// version that an operator has just withdrawn would serve again, and the
-// operator would see the withdrawal come undone.
+// Links deliver generations late and duplicated. If a late one were adopted, a
+// version that an operator has just withdrawn would serve again.
 func TestAdoptNeverGoesBack(t *testing.T) {
 	inf := declaration.NewInForce()
 	for _, step := range []struct {
@@ -35,9 +34,9 @@
 	}
 }
 
-// Forty links tell of a new generation at once. The process must ask one of
-// them for the body, and another one when the first does not answer.
-func TestBodyIsAskedForOnce(t *testing.T) {
+// Forty links announce a new generation at once. The process must request the body
+// from one of them, and from another if the first does not respond in time.
+func TestBodyIsRequestedOnce(t *testing.T) {
 	inf, now := declaration.NewInForce(), time.Unix(0, 0)
 	assert.Assert(t, inf.Asks(3, now))
 	assert.Assert(t, !inf.Asks(3, now.Add(time.Millisecond)))
--- a/core/declaration/join.go
+++ b/core/declaration/join.go
@@ -2,15 +2,15 @@
 
 import "fmt"
 
-// Source is a document with the name of the file that it came from.
+// Source is a document with the name of its file.
 type Source struct {
 	Name     string
 	Document Document
 }
 
-// Join puts documents together that were written in several files, such as one
-// a team. A thing that two of them declare is a mistake that names both files:
-// of two entries only one would count, and neither team would know which.
+// Join combines documents from several files, such as one per team. A scope that
+// is declared in two files is a [DuplicateName] mistake that names both: only one
+// of the two entries would take effect, and neither team would know which.
 func Join(sources []Source) (Document, error) {
 	var out Document
 	fi := &findings{}
--- a/core/declaration/mistake.go
+++ b/core/declaration/mistake.go
@@ -7,8 +7,8 @@
 	"skylarkstand/core/spelling"
 )
 
-// Mistake is one fault of a document or of a change: the rule that it breaks,
-// where it is, what is wrong, and what to do about it.
+// Mistake is one fault in a document or a change: the rule that it breaks, the
+// path to the value, what is wrong, and how to correct it.
 type Mistake struct {
 	Rule   Rule
 	Place  string
@@ -16,13 +16,13 @@
 	Remedy string
 }
 
-// String returns the mistake as one line for people.
+// String returns the mistake as one line of text.
 func (mi Mistake) String() string {
 	return fmt.Sprintf("%s: %s; %s [%s]", mi.Place, mi.Reason, mi.Remedy, mi.Rule)
 }
 
-// Mistakes is the error that checks return: all faults at once, so that an
-// operator mends them in one go instead of one a run.
+// Mistakes is the error that checks return. It holds all mistakes at once, so
+// that an operator can correct them without running the check once for each.
 type Mistakes []Mistake
 
 // Error implements error.
@@ -41,7 +41,8 @@
 	return mis
 }
 
-// findings collects what the rules find.
+// findings collects the breaches of rules; risks holds those of the rules that
+// accept-risks may name.
 type findings struct {
 	mistakes Mistakes
 	risks    Mistakes
@@ -56,7 +57,8 @@
 	fi.mistakes = append(fi.mistakes, mi)
 }
 
-// unknown reports a name that is not declared, with the nearest one that is.
+// unknown reports a name that is not declared, and suggests the most similar
+// declared name.
 func (fi *findings) unknown(place, kind, name string, known []string) {
 	remedy := "declare it or correct its name"
 	if near, ok := spelling.Nearest(name, known); ok {
--- a/core/declaration/publish/matrix_test.go
+++ b/core/declaration/publish/matrix_test.go
@@ -14,29 +14,29 @@
 	"skylarkstand/core/declaration/publish"
 )
 
-// storeFault is what goes wrong with one call.
+// storeFault is a fault of one store call.
 type storeFault string
 
 const (
-	refusedCall  storeFault = "refused"
-	lostDone     storeFault = "reply lost, write done"
-	lostNot      storeFault = "reply lost, write not done"
-	lostLate     storeFault = "reply lost, write done later"
-	otherIsFirst storeFault = "another operator is first"
+	refusedCall          storeFault = "refused"
+	replyLostWritten     storeFault = "reply lost, write done"
+	replyLostUnwritten   storeFault = "reply lost, write not done"
+	replyLostWrittenLate storeFault = "reply lost, write done later"
+	otherIsFirst         storeFault = "another operator is first"
 )
 
-// faultyStore has a fault at one call, or from that call on.
+// faultyStore injects a fault at one call, or from that call on.
 type faultyStore struct {
 	*fakeStore
-	fault  storeFault
-	at     int
-	goesOn bool
-	calls  int
+	fault    storeFault
+	at       int
+	persists bool
+	calls    int
 }
 
 func (fs *faultyStore) hit() bool {
 	fs.calls++
-	return fs.calls == fs.at || fs.goesOn && fs.calls > fs.at
+	return fs.calls == fs.at || fs.persists && fs.calls > fs.at
 }
 
 func (fs *faultyStore) Get(ctx context.Context, key string) (core.Item, error) {
@@ -53,9 +53,9 @@
 	switch fs.fault {
 	case refusedCall:
 		return 0, core.ErrUnavailable
-	case lostDone:
+	case replyLostWritten:
 		_, _ = fs.fakeStore.Create(ctx, key, val, lease)
-	case lostLate:
+	case replyLostWrittenLate:
 		time.AfterFunc(2*time.Second, func() { _, _ = fs.fakeStore.Create(ctx, key, val, lease) })
 	case otherIsFirst:
 		_, _ = publish.New(fs.fakeStore).Apply(ctx, proposal("jun", 1, 1, 5))
@@ -64,28 +64,28 @@
 	return 0, core.ErrUncertain
 }
 
-// Each call that an apply makes may fail in each way, once or from then on,
-// and the operator may lose patience. What the command says must agree with
-// the audit trail: a change that was called accepted is in it once, and one
-// that was called refused is never in it, however late a write lands.
-func TestApplySaysTheTruthWhateverFailsAtWhateverStep(t *testing.T) {
+// Each store call of an apply fails in each way, once or from then on, and the
+// operator's context may end. The outcome that Apply reports must agree with the
+// audit trail: a change reported as accepted is in it once, and one reported as
+// rejected is never in it, however late a write takes effect.
+func TestApplyReportsTheOutcomeOfEveryFaultAtEveryCall(t *testing.T) {
 	const calls = 14
 	seen := map[string]int{}
-	for _, fault := range []storeFault{refusedCall, lostDone, lostNot, lostLate, otherIsFirst} {
+	for _, fault := range []storeFault{refusedCall, replyLostWritten, replyLostUnwritten, replyLostWrittenLate, otherIsFirst} {
 		for at := 1; at <= calls; at++ {
-			for _, goesOn := range []bool{false, true} {
-				name := fmt.Sprintf("%s at call %d, goes on %v", fault, at, goesOn)
+			for _, persists := range []bool{false, true} {
+				name := fmt.Sprintf("%s at call %d, persists %v", fault, at, persists)
 				synctest.Test(t, func(t *testing.T) {
-					st := &faultyStore{fakeStore: newStore(), fault: fault, at: at, goesOn: goesOn}
+					st := &faultyStore{fakeStore: newStore(), fault: fault, at: at, persists: persists}
 					_, err := publish.New(st.fakeStore).Apply(t.Context(), proposal("ana", 0, 1, 1))
 					assert.NilError(t, err)
 					ctx, stop := context.WithTimeout(t.Context(), 5*time.Second)
 					defer stop()
 					_, err = publish.New(st).Apply(ctx, proposal("mei", 1, 3, 1))
 					time.Sleep(time.Minute)
-					said, times := verdict(err), appearances(t, st.fakeStore, "mei")
-					seen[said]++
-					switch said {
+					outcome, times := outcomeOf(err), countGenerations(t, st.fakeStore, "mei")
+					seen[outcome]++
+					switch outcome {
 					case "accepted":
 						assert.Equal(t, times, 1, name)
 					case "nothing was changed":
@@ -100,7 +100,8 @@
 	assert.Assert(t, seen["accepted"] > 0 && seen["nothing was changed"] > 0 && seen["not known"] > 0, "%v", seen)
 }
 
-func verdict(err error) string {
+// outcomeOf returns the outcome that an error of Apply reports.
+func outcomeOf(err error) string {
 	var un *publish.Uncertain
 	switch {
 	case err == nil:
@@ -111,8 +112,8 @@
 	return "nothing was changed"
 }
 
-// appearances counts an operator's generations in the audit trail.
-func appearances(t *testing.T, st core.Store, who string) int {
+// countGenerations counts an operator's generations in the audit trail.
+func countGenerations(t *testing.T, st core.Store, who string) int {
 	t.Helper()
 	pub, found := publish.New(st), 0
 	for n := core.Generation(1); ; n++ {
--- a/core/declaration/publish/publish.go
+++ b/core/declaration/publish/publish.go
@@ -1,17 +1,17 @@
-// Package publish puts a reviewed document in force as the next generation of
-// the configuration, while other operators may do the same.
+// Package publish writes a reviewed document to the store as the next generation of
+// the configuration. Several operators may do so concurrently.
 //
-// The configuration is one chain of whole generations. A [Publisher] carries
-// the document over to the newest generation, checks the step, and creates the
-// next entry. When another operator was first, it begins again from theirs, so
-// changes to different workspaces both land; a change of the same scope ends
-// with [declaration.Clashes].
+// The configuration is one chain of complete generations. A [Publisher] rebases the
+// document onto the newest generation, checks the change, and creates the next
+// entry. If another operator created that entry first, the publisher starts again
+// from it, so that concurrent changes of different scopes are both accepted; a
+// conflicting change of the same scope fails with [declaration.Clashes].
 //
 // # Usage
 //
 //	pub := publish.New(store)
 //	res, err := pub.Apply(ctx, publish.Proposal{Document: doc, Base: 7, Who: "mei", Why: "desk v2 to 10%"})
-//	var lost *publish.Uncertain   // errors.As: accepted or not is unknown
+//	var lost *publish.Uncertain   // errors.As: it is unknown whether the change was accepted
 package publish
 
 import (
@@ -27,27 +27,29 @@
 	"skylarkstand/core/declaration"
 )
 
-// Chain is the name of the configuration's chain in the store.
+// Chain is the name of the configuration's chain of entries in the store.
 const Chain = "configuration"
 
-// Errors of a publisher, besides [declaration.Mistakes] and
+// Errors of a publisher, in addition to [declaration.Mistakes] and
 // [declaration.Clashes].
 var (
-	// ErrAway: the store cannot be reached; nothing was changed.
+	// ErrAway reports that the store cannot be reached.
 	ErrAway = errors.New("publish: the store cannot be reached; nothing was changed")
-	// ErrInterrupted: the context ended before anything was written.
+	// ErrInterrupted reports that the context ended before anything was written.
 	ErrInterrupted = errors.New("publish: interrupted before the change was written; nothing was changed")
-	// ErrNoGeneration: there is no such generation.
+	// ErrNoGeneration reports that a generation does not exist.
 	ErrNoGeneration = errors.New("publish: no such generation")
-	// ErrBusy: others were first too often; nothing was changed.
-	ErrBusy = errors.New("publish: other operators were first each time; nothing was changed")
-	// ErrSame: the document changes nothing.
-	ErrSame = errors.New("publish: the document is in force already; nothing was changed")
+	// ErrBusy reports that other operators' changes were accepted first on every
+	// attempt.
+	ErrBusy = errors.New("publish: other operators' changes were accepted first on every attempt; nothing was changed")
+	// ErrSame reports that the document equals the current configuration.
+	ErrSame = errors.New("publish: the document equals the current configuration; nothing was changed")
 )
 
-// Uncertain is the error of a write whose outcome is not known: it may be in
-// force, now or a little later.
+// Uncertain is the error of a write whose outcome is unknown. The change may be
+// accepted already, or may still be accepted later.
 type Uncertain struct {
+	// Generation is the number that the change would have.
 	Generation core.Generation
 }
 
@@ -57,28 +59,29 @@
 }
 
 const (
-	// attempts bounds how often a change that lost a race begins again. Each
-	// lost race is another operator's accepted change; a dozen people do not
-	// press the key within the same milliseconds, a script gone wild does.
-	attempts = 16
-	// settleLimit bounds the read-back after an interrupted write. An operator
-	// who pressed Ctrl-C waits this long for a truthful answer at most.
-	settleLimit = 3 * time.Second
+	// maxAttempts is the maximum number of attempts of a change that loses races. Each
+	// lost race is another operator's accepted change. A dozen operators do not
+	// apply within the same milliseconds; a runaway script does.
+	maxAttempts = 16
+	// readBackTimeout bounds the read-back after an interrupted write, and so how long
+	// an operator waits for the outcome after pressing Ctrl-C.
+	readBackTimeout = 3 * time.Second
 )
 
-// Publisher writes the configuration's chain.
+// Publisher reads and extends the configuration's chain. It is safe for concurrent
+// use.
 type Publisher struct {
 	chain *chain.Chain
 	now   func() time.Time
 }
 
-// Option alters a publisher.
+// Option configures a publisher.
 type Option func(*Publisher)
 
-// WithClock sets the clock of the audit trail.
+// WithClock sets the clock for audit records; the default is time.Now.
 func WithClock(now func() time.Time) Option { return func(pub *Publisher) { pub.now = now } }
 
-// New returns a publisher on a store.
+// New returns a publisher for the configuration in a store.
 func New(st core.Store, opts ...Option) *Publisher {
 	pub := &Publisher{chain: chain.New(st, Chain), now: time.Now}
 	for _, opt := range opts {
@@ -87,39 +90,44 @@
 	return pub
 }
 
-// Proposal is a document that an operator wants in force.
+// Proposal is a document that an operator wants to apply.
 type Proposal struct {
 	Document declaration.Document
-	// Base is the generation that it was reviewed against.
+	// Base is the generation that the document was reviewed against.
 	Base core.Generation
-	Who  string
-	Why  string
+	// Who and Why are the author and the reason in the audit record.
+	Who string
+	Why string
 }
 
-// Result tells what was accepted, against what.
+// Result is an accepted or prepared change.
 type Result struct {
+	// Before is the newest generation so far, and After the one that follows it.
 	Before, After *declaration.Generation
-	// Rebased counts the generations of others that it was carried over.
+	// Rebased counts the generations accepted since the base, onto which the
+	// document was rebased.
 	Rebased int
 }
 
-// Newest returns the newest generation; generation 0 is an empty one.
+// Newest returns the newest generation, or an empty generation 0 if there is none.
+// Errors: ErrAway.
 func (pub *Publisher) Newest(ctx context.Context) (*declaration.Generation, error) {
 	last, err := pub.chain.Last(ctx)
 	if err != nil {
-		return nil, away(err)
+		return nil, mapError(err)
 	}
 	return decode(last)
 }
 
-// Read returns a generation. Errors: ErrNoGeneration, ErrAway.
+// Read returns a generation; generation 0 is empty. Errors: ErrNoGeneration,
+// ErrAway.
 func (pub *Publisher) Read(ctx context.Context, number core.Generation) (*declaration.Generation, error) {
 	if number == 0 {
 		return &declaration.Generation{}, nil
 	}
 	en, err := pub.chain.Read(ctx, uint64(number))
 	if err != nil {
-		return nil, away(err)
+		return nil, mapError(err)
 	}
 	return decode(en)
 }
@@ -131,7 +139,8 @@
 	return declaration.Decode(en.Payload)
 }
 
-func away(err error) error {
+// mapError translates the errors of package chain.
+func mapError(err error) error {
 	switch {
 	case errors.Is(err, chain.ErrAway):
 		return ErrAway
@@ -141,11 +150,13 @@
 	return err
 }
 
-// Prepare works out what a proposal would put in force now, without writing.
+// Prepare returns the generation that Apply would write now, without writing it.
+// Errors: [declaration.Mistakes], [declaration.Clashes], ErrAway, ErrNoGeneration,
+// ErrSame.
 func (pub *Publisher) Prepare(ctx context.Context, pr Proposal) (Result, error) {
 	base, err := pub.Read(ctx, pr.Base)
 	if errors.Is(err, ErrNoGeneration) {
-		return Result{}, eris.Wrapf(err, "there is no generation %d to have reviewed", pr.Base)
+		return Result{}, eris.Wrapf(err, "the base generation %d does not exist", pr.Base)
 	}
 	if err != nil {
 		return Result{}, err
@@ -172,8 +183,8 @@
 		return res, err
 	}
 	old := &newest.Document
-	// Before the check: an operator who repeats an apply whose reply was lost
-	// would otherwise be told that the risks it accepts are not there.
+	// This precedes the check: if an operator retries an apply whose reply was lost,
+	// the check would report that the risks it accepts do not exist.
 	if len(declaration.Touched(old, &doc)) == 0 {
 		return res, ErrSame
 	}
@@ -190,11 +201,12 @@
 	return res, nil
 }
 
-// Apply puts a proposal in force and returns what was accepted. Errors:
-// [declaration.Mistakes], [declaration.Clashes], ErrAway, ErrInterrupted,
-// ErrBusy, ErrSame, *[Uncertain].
+// Apply writes a proposal as the next generation and returns what was accepted.
+// Errors: [declaration.Mistakes], [declaration.Clashes], ErrAway, ErrNoGeneration,
+// ErrInterrupted, ErrBusy, ErrSame, *[Uncertain]. Except with Uncertain, nothing was
+// changed.
 func (pub *Publisher) Apply(ctx context.Context, pr Proposal) (Result, error) {
-	for range attempts {
+	for range maxAttempts {
 		res, err := pub.Prepare(ctx, pr)
 		if ctx.Err() != nil {
 			return res, ErrInterrupted
@@ -209,24 +221,25 @@
 		nonce := core.NewID()
 		err = pub.chain.CreateAs(ctx, uint64(res.After.Number), nonce, raw)
 		if errors.Is(err, chain.ErrUnsettled) {
-			err = pub.settle(ctx, res.After.Number, nonce)
+			err = pub.readBack(ctx, res.After.Number, nonce)
 		}
 		if !errors.Is(err, chain.ErrTaken) {
-			return res, away(err)
+			return res, mapError(err)
 		}
 	}
 	return Result{}, ErrBusy
 }
 
-// settle reads back a write that was interrupted.
+// readBack reads back the entry of a write whose reply is missing, since the command
+// was interrupted or timed out.
 //
-// The operator's command was stopped, or ran out of time, while the store's
-// reply was missing. A bare "failed" would make them apply again, or believe
-// that a withdrawal is not in force when it is. An entry that is ours is
-// accepted for good and one of another writer is refused for good; an absent
-// one may still land, so only that case stays uncertain.
-func (pub *Publisher) settle(ctx context.Context, number core.Generation, nonce string) error {
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), settleLimit)
+// A plain failure would lead the operator to apply again, or to assume that a
+// withdrawal is not in force when it is. An entry with the write's nonce is accepted
+// permanently; an entry of another writer means that the write was rejected
+// permanently. An absent entry may still be created by the pending write, so only
+// that outcome stays uncertain. So does a failed read.
+func (pub *Publisher) readBack(ctx context.Context, number core.Generation, nonce string) error {
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), readBackTimeout)
 	defer cancel()
 	en, err := pub.chain.Read(ctx, uint64(number))
 	switch {
--- a/core/declaration/publish/publish_test.go
+++ b/core/declaration/publish/publish_test.go
@@ -16,15 +16,14 @@
 	"skylarkstand/core/declaration/publish"
 )
 
-// fakeStore keeps keys in memory. Its write hook may take the reply away.
+// fakeStore is an in-memory store whose creates can fail or lose their reply.
 type fakeStore struct {
 	core.Store
 	mu   sync.Mutex
 	keys map[string]core.Item
-	// before runs ahead of a create, without the lock.
+	// before runs before a create, without holding the lock.
 	before func(key string)
-	// fault says what becomes of a create: whether it takes effect, and the
-	// error that its writer sees.
+	// fault returns whether a create takes effect, and the error that it returns.
 	fault func(key string) (effect bool, err error)
 	down  bool
 }
@@ -92,14 +91,14 @@
 	return publish.Proposal{Document: workspaces(shares...), Base: base, Who: who, Why: "Advent"}
 }
 
-// Two operators apply at the same moment, each from the generation before.
-// Both were told that their file is fine; both expect to find it in force.
-func TestRacingChangesOfDifferentWorkspacesBothLand(t *testing.T) {
+// Two operators apply concurrently from the same generation. Both changes passed
+// the check and affect different workspaces, so both must be accepted.
+func TestConcurrentChangesOfDifferentWorkspacesAreBothAccepted(t *testing.T) {
 	st := newStore()
 	pub := publish.New(st)
 	_, err := pub.Apply(t.Context(), proposal("ana", 0, 1, 1))
 	assert.NilError(t, err)
-	// Jun's write comes between Mei's reading and Mei's writing.
+	// Jun's write happens between Mei's read and Mei's write.
 	once := sync.OnceFunc(func() {
 		_, err := publish.New(st).Apply(t.Context(), proposal("jun", 1, 1, 5))
 		assert.NilError(t, err)
@@ -119,38 +118,38 @@
 	assert.DeepEqual(t, res.After.Audit.Changed, []string{"~ workspace parish-0: share 1 -> 3"})
 }
 
-// A dozen operators apply at once, each another workspace. The audit trail
-// must hold each of them, and the last generation all changes.
-func TestManyRacersAllLand(t *testing.T) {
-	const racers = 12
+// A dozen operators apply concurrently, each a change of a different workspace. The
+// audit trail must have an entry for each, and the last generation all changes.
+func TestManyConcurrentChangesAreAllAccepted(t *testing.T) {
+	const writers = 12
 	st := newStore()
-	shares := make([]int, racers)
+	shares := make([]int, writers)
 	for i := range shares {
 		shares[i] = 1
 	}
 	_, err := publish.New(st).Apply(t.Context(), proposal("ana", 0, shares...))
 	assert.NilError(t, err)
 	var wg sync.WaitGroup
-	for i := range racers {
+	for i := range writers {
 		wg.Go(func() {
 			own := append([]int(nil), shares...)
 			own[i] = 2 + i
-			_, err := publish.New(st).Apply(t.Context(), proposal(fmt.Sprint("racer ", i), 1, own...))
+			_, err := publish.New(st).Apply(t.Context(), proposal(fmt.Sprint("writer ", i), 1, own...))
 			assert.Check(t, err)
 		})
 	}
 	wg.Wait()
 	last, err := publish.New(st).Newest(t.Context())
 	assert.NilError(t, err)
-	assert.Equal(t, last.Number, core.Generation(1+racers))
-	for i := range racers {
+	assert.Equal(t, last.Number, core.Generation(1+writers))
+	for i := range writers {
 		assert.Equal(t, last.Document.Workspaces[i].Share, 2+i)
 	}
 }
 
-// Two operators change one workspace. The second one's file would take the
-// first one's change back without a word.
-func TestClashNamesTheOtherChange(t *testing.T) {
+// Two operators change the same workspace. The second operator's file would silently
+// revert the first operator's change.
+func TestClashReportsTheOtherChange(t *testing.T) {
 	st := newStore()
 	at := time.Date(2026, 12, 1, 8, 0, 0, 0, time.UTC)
 	pub := publish.New(st, publish.WithClock(func() time.Time { return at }))
@@ -165,9 +164,9 @@
 	assert.Equal(t, last.Number, core.Generation(2))
 }
 
-// The store's reply is lost and the operator stops the command. Whatever the
-// command then says of the change, a look at the chain must agree with it.
-func TestInterruptedApplySaysTheTruth(t *testing.T) {
+// The store's reply is lost and the operator interrupts the command. The outcome that
+// the command reports must agree with the chain.
+func TestInterruptedApplyReportsTheOutcome(t *testing.T) {
 	lost := func(effect bool) func(string) (bool, error) {
 		return func(string) (bool, error) { return effect, core.ErrUncertain }
 	}
@@ -179,8 +178,8 @@
 		uncertain bool
 	}{
 		{"the write took effect", true, false, true, false},
-		{"the write may still land", false, false, false, true},
-		{"the store went away after the write", true, true, false, true},
+		{"the write may still take effect", false, false, false, true},
+		{"the store became unreachable after the write", true, true, false, true},
 	} {
 		t.Run(sc.testName, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -200,8 +199,8 @@
 	}
 }
 
-// The store is down when the command starts. Nothing was written, so the
-// operator may safely apply again later.
+// The store is unreachable when the command starts. Nothing was written, so the
+// operator can safely retry later.
 func TestApplyWithoutStoreChangesNothing(t *testing.T) {
 	st := newStore()
 	st.down = true
@@ -209,8 +208,8 @@
 	assert.ErrorIs(t, err, publish.ErrAway)
 }
 
-// An operator who was told "not known" applies the same file again. It must
-// neither make a second generation nor pass for a clash with their own change.
+// After an uncertain outcome an operator applies the same file again. This must
+// neither create a second generation nor conflict with the operator's own change.
 func TestApplyAgainChangesNothing(t *testing.T) {
 	st := newStore()
 	pub := publish.New(st)
--- a/core/declaration/rebase.go
+++ b/core/declaration/rebase.go
@@ -9,20 +9,21 @@
 	"skylarkstand/core"
 )
 
-// Clash is one scope that two operators changed.
+// Clash is a conflict: one scope that two operators changed in different ways.
 type Clash struct {
 	Scope Scope
-	// By is the audit record of the other change, accepted as Generation.
+	// By is the audit record of the other change, which was accepted as
+	// Generation.
 	By         Audit
 	Generation core.Generation
 }
 
-// String names the other operator's change.
+// String describes the other operator's change.
 func (cl Clash) String() string {
 	return fmt.Sprintf("%s was changed by %s at %s in generation %d (%s)", cl.Scope, cl.By.Who, cl.By.When.Format(time.RFC3339), cl.Generation, cl.By.Why)
 }
 
-// Clashes is the error that Rebase returns.
+// Clashes is the error that Rebase returns, one for each conflicting scope.
 type Clashes []Clash
 
 // Error implements error.
@@ -34,15 +35,15 @@
 	return strings.Join(lines, "\n")
 }
 
-// Rebase carries a document that was written against one generation over to
-// the newest one. Since lists the generations accepted after the base, in
-// order. Changes to other scopes are kept from both sides; a scope that both
-// sides changed, and not in the same way, is a [Clashes] error.
+// Rebase applies the changes of a document that was written against the base
+// generation to the newest generation. Since lists the generations accepted after
+// the base, in order. The result has the changes of both sides; a scope that both
+// sides changed in different ways is a [Clashes] error.
 //
-// Without it, the second of two operators who began from one generation would
-// put the whole of their file in force and silently take the first one's
-// change back: a withdrawn version would serve again, and the first operator
-// would learn it from callers.
+// Without a rebase, the second of two operators who started from the same
+// generation would replace the whole document and silently revert the first
+// operator's change: a withdrawn version would serve again, and the first operator
+// would learn it only from callers.
 func Rebase(base *Generation, since []*Generation, doc *Document) (Document, error) {
 	if len(since) == 0 {
 		return *doc, nil
@@ -54,7 +55,7 @@
 	var cls Clashes
 	for _, sc := range mine {
 		if slices.Contains(theirs, sc) && !own.get(sc).equal(cur.get(sc)) {
-			by := lastTouch(base, since, sc)
+			by := lastChange(base, since, sc)
 			cls = append(cls, Clash{sc, by.Audit, by.Number})
 		}
 	}
@@ -64,8 +65,8 @@
 	return merge(&newest.Document, doc, mine), nil
 }
 
-// lastTouch returns the last generation that changed a scope.
-func lastTouch(base *Generation, since []*Generation, sc Scope) *Generation {
+// lastChange returns the last generation that changed a scope.
+func lastChange(base *Generation, since []*Generation, sc Scope) *Generation {
 	last, before := since[len(since)-1], base
 	for _, gen := range since {
 		if slices.Contains(Touched(&before.Document, &gen.Document), sc) {
@@ -76,7 +77,7 @@
 	return last
 }
 
-// merge takes the scopes that were changed from doc, and all others from cur.
+// merge takes the changed scopes, mine, from doc and all others from cur.
 func merge(cur, doc *Document, mine []Scope) Document {
 	own, theirs := doc.parts(), cur.parts()
 	order := slices.Clone(theirs.order)
@@ -91,13 +92,14 @@
 		if slices.Contains(mine, sc) {
 			from = own
 		}
-		out.take(from.get(sc))
+		out.appendPart(from.get(sc))
 	}
-	out.AcceptRisks = acceptRisks(cur, doc, &out)
+	out.AcceptRisks = mergeAcceptRisks(cur, doc, &out)
 	return out
 }
 
-func (doc *Document) take(pa *part) {
+// appendPart appends the entries of a part to the document.
+func (doc *Document) appendPart(pa *part) {
 	if pa.Model != nil {
 		doc.Models = append(doc.Models, *pa.Model)
 	}
@@ -117,12 +119,12 @@
 	doc.Withdrawals = append(doc.Withdrawals, pa.Withdrawals...)
 }
 
-// acceptRisks keeps what the operator accepts, and what the other operators
-// accepted about the document as it stands. What they accepted about their
-// own step is spent.
-func acceptRisks(cur, doc, merged *Document) []AcceptRisk {
+// mergeAcceptRisks returns the risks that doc accepts, and those that cur accepts and
+// that are still found in the merged document. Risks that cur accepts about its own
+// change are dropped, since that change is complete.
+func mergeAcceptRisks(cur, doc, merged *Document) []AcceptRisk {
 	out := slices.Clone(doc.AcceptRisks)
-	found := merged.find().risks
+	found := merged.inspect().risks
 	for _, ar := range cur.AcceptRisks {
 		same := func(el AcceptRisk) bool { return el.Rule == ar.Rule && el.Place == ar.Place }
 		if slices.ContainsFunc(found, ar.covers) && !slices.ContainsFunc(out, same) {
@@ -132,11 +134,11 @@
 	return out
 }
 
-// Again returns the content of an old generation as a document for a new one.
-// What was accepted about the step to the old one is spent; what is accepted
-// about the step back is given.
+// Again returns the content of an old generation as a document for a new one, to
+// roll the configuration back. The risks that the old generation accepts about its
+// own change are dropped; accept lists the risks to accept about the change back.
 func Again(old *Generation, accept []AcceptRisk) Document {
 	doc := old.Document
-	doc.AcceptRisks = acceptRisks(&old.Document, &Document{AcceptRisks: accept}, &doc)
+	doc.AcceptRisks = mergeAcceptRisks(&old.Document, &Document{AcceptRisks: accept}, &doc)
 	return doc
 }
--- a/core/declaration/rebase_test.go
+++ b/core/declaration/rebase_test.go
@@ -18,11 +18,11 @@
 	}}
 }
 
-// Two operators begin from one generation. One raises a share, the other rolls
-// a version out. Were the second file put in force as it stands, the share
-// would fall back, and the first operator would learn it from callers.
+// Two operators start from the same generation. One raises a share, the other rolls
+// out a version. If the second file were applied unchanged, it would revert the
+// share, and the first operator would learn it only from callers.
 func TestRebaseKeepsChangesOfOtherScopes(t *testing.T) {
-	base, theirs, mine := sound(), sound(), sound()
+	base, theirs, mine := validDocument(), validDocument(), validDocument()
 	theirs.Workspaces[1].Share = 4
 	theirs.Withdrawals = []declaration.Withdrawal{withdraw("drafter", "v1")}
 	mine.RollOuts = []declaration.RollOut{{Model: "desk", Version: "v2", Percent: 10}}
@@ -33,10 +33,10 @@
 	assert.DeepEqual(t, declaration.Diff(&want, &got), []string{})
 }
 
-// Two operators change one workspace. The second must learn whose change it
-// was, when and why, in order to talk to them instead of overwriting it.
-func TestRebaseRefusesAClashAndNamesTheOther(t *testing.T) {
-	base, theirs, later, mine := sound(), sound(), sound(), sound()
+// Two operators change the same workspace. The error must tell the second who made the
+// other change, when and why, so that they can agree instead of overwriting it.
+func TestRebaseReportsAClashWithTheOtherChange(t *testing.T) {
+	base, theirs, later, mine := validDocument(), validDocument(), validDocument(), validDocument()
 	theirs.Workspaces[1].Share = 4
 	later.Workspaces[1].Share = 4
 	later.Workspaces[0].Share = 9
@@ -46,10 +46,10 @@
 	assert.Error(t, err, "workspace districts was changed by mei at 2026-11-27T09:30:00Z in generation 8 (Advent)")
 }
 
-// A guard halts a roll-out while an operator edits the same model in a file
-// that does not know of it. The file would let the bad version go on.
-func TestRebaseRefusesToLoseAHalt(t *testing.T) {
-	base := sound()
+// The roll-out guard halts a roll-out while an operator edits the same model in an
+// older file. Applying the file would resume the roll-out of the bad version.
+func TestRebaseDoesNotLiftAHalt(t *testing.T) {
+	base := validDocument()
 	base.RollOuts = []declaration.RollOut{{Model: "desk", Version: "v2", Percent: 10}}
 	halted, mine := *base, *base
 	halted.RollOuts = []declaration.RollOut{{Model: "desk", Version: "v2", Percent: 10, Halted: "20 of 40 rated bad"}}
@@ -58,11 +58,11 @@
 	assert.ErrorContains(t, err, "model desk was changed by guard")
 }
 
-// Whatever two operators change: either both changes are in the outcome and
-// nothing else is, or the clash names a scope that both of them touched.
+// For any two changes, either the result contains both of them and nothing else, or
+// the error lists scopes that both operators changed.
 func TestRebaseLosesNoChange(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		base := sound()
+		base := validDocument()
 		theirs, mine := edited(rt, "theirs"), edited(rt, "mine")
 		got, err := declaration.Rebase(generation(1, "ana", base), []*declaration.Generation{generation(2, "mei", theirs)}, mine)
 		own, other := declaration.Touched(base, mine), declaration.Touched(base, theirs)
@@ -91,7 +91,7 @@
 }
 
 func edited(rt *rapid.T, who string) *declaration.Document {
-	doc := sound()
+	doc := validDocument()
 	edits := []func(){
 		func() { doc.Workspaces[0].Share = 7 },
 		func() { doc.Workspaces[1].Limit = 70 },
@@ -114,10 +114,10 @@
 	return doc
 }
 
-// A reviewer decides by what the change does to callers, not by which lines of
-// the file differ.
-func TestEffectsSayWhoLosesWhatAndHowManySessionsMove(t *testing.T) {
-	from, to := sound(), sound()
+// A reviewer judges a change by its effects on callers, not by the lines of the file
+// that differ.
+func TestEffectsReportLostAccessAndMovedSessions(t *testing.T) {
+	from, to := validDocument(), validDocument()
 	to.RollOuts = []declaration.RollOut{{Model: "desk", Version: "v2", Percent: 10}}
 	to.Withdrawals = []declaration.Withdrawal{withdraw("drafter", "v1")}
 	to.Workspaces[0].Services = nil
--- a/core/declaration/rule.go
+++ b/core/declaration/rule.go
@@ -4,10 +4,11 @@
 	"slices"
 )
 
-// Rule names what a document or a change must keep to.
+// Rule is the name of a rule that a document or a change must satisfy, as check
+// prints it.
 type Rule string
 
-// Rules whose breach is always refused.
+// Rules whose breach is always rejected.
 const (
 	SchemaRule      Rule = "schema"
 	EmptyDocument   Rule = "empty-document"
@@ -39,8 +40,8 @@
 	IdleRisk        Rule = "idle-accept-risk"
 )
 
-// Rules about what is legal and dangerous. A breach is refused unless the
-// document names it in accept-risks.
+// Rules about what is legal but dangerous. A breach is rejected unless the
+// document lists it in accept-risks.
 const (
 	OnlyVersionWithdrawn Rule = "only-version-withdrawn"
 	NoVersionLeft        Rule = "no-version-left"
@@ -61,23 +62,24 @@
 	RepeatAllowed        Rule = "at-most-once-dropped"
 )
 
-// scopeOfRule tells what a rule looks at.
-type scopeOfRule int
+// ruleSubject is what a rule examines: a document alone, or a change from one
+// document to another.
+type ruleSubject int
 
 const (
-	ofDocument scopeOfRule = iota + 1
+	ofDocument ruleSubject = iota + 1
 	ofChange
 )
 
 // risks are the rules that accept-risks may name.
-var risks = map[Rule]scopeOfRule{
+var risks = map[Rule]ruleSubject{
 	OnlyVersionWithdrawn: ofDocument, NoVersionLeft: ofDocument, QualityOutOfReach: ofDocument, NoZoneLeft: ofDocument,
 	RollOutStep: ofChange, StableStep: ofChange, WithdrawalLifted: ofChange, HaltLifted: ofChange, EvacuationLifted: ofChange, RegionsWidened: ofChange,
 	WorkspaceRemoved: ofChange, KeysReplaced: ofChange, KeyMoved: ofChange, LimitCut: ofChange,
 	PriceJump: ofChange, VersionDropped: ofChange, RepeatAllowed: ofChange,
 }
 
-// Risks lists the rules that accept-risks may name, in order.
+// Risks lists the rules that accept-risks may name, in alphabetical order.
 func Risks() []Rule {
 	out := make([]Rule, 0, len(risks))
 	for ru := range risks {
--- a/core/declaration/scope.go
+++ b/core/declaration/scope.go
@@ -6,16 +6,16 @@
 	"slices"
 )
 
-// Scope is the part of a document that one operator changes without regard to
-// the others: a workspace, a cascade, a service, a zone, or a model with its versions,
-// roll-out and withdrawals. Two changes of one scope must be reviewed
-// together; a roll-out and a withdrawal of one model are such a pair.
+// Scope is a part of a document that can be changed independently of the others:
+// a workspace, a cascade, a service, a zone, or a model with its versions,
+// roll-out and withdrawals. Two changes of one scope, such as a roll-out and a
+// withdrawal of one model, must be reviewed together.
 type Scope struct {
 	Kind Kind
 	Name string
 }
 
-// Kind is what a scope is about.
+// Kind is the kind of entry that a scope covers.
 type Kind string
 
 // The kinds of scopes.
@@ -27,10 +27,10 @@
 	ZoneScope      Kind = "zone"
 )
 
-// String returns the form "workspace schools".
+// String returns the kind and the name, such as "workspace schools".
 func (sc Scope) String() string { return string(sc.Kind) + " " + sc.Name }
 
-// part is what a document holds in one scope, in a form that can be compared.
+// part is the content of a document in one scope, in a form that can be compared.
 type part struct {
 	Model       *Model            `json:"model,omitempty"`
 	Service     *Service          `json:"service,omitempty"`
@@ -41,9 +41,9 @@
 	Withdrawals []Withdrawal      `json:"withdrawals,omitempty"`
 }
 
-func (pa *part) equal(other *part) bool { return text(pa) == text(other) }
+func (pa *part) equal(other *part) bool { return encoded(pa) == encoded(other) }
 
-func text(el any) string {
+func encoded(el any) string {
 	raw, err := json.Marshal(el)
 	if err != nil {
 		return err.Error()
@@ -51,59 +51,61 @@
 	return string(raw)
 }
 
-// parts is a document cut by scope. Order keeps the scopes as they stand.
+// parts is a document split by scope. Order lists the scopes in document order.
 type parts struct {
-	order []Scope
-	by    map[Scope]*part
+	order   []Scope
+	byScope map[Scope]*part
 }
 
-func (ps *parts) at(sc Scope) *part {
-	if pa := ps.by[sc]; pa != nil {
+// getOrAdd returns the part of a scope and adds an empty one if there is none.
+func (ps *parts) getOrAdd(sc Scope) *part {
+	if pa := ps.byScope[sc]; pa != nil {
 		return pa
 	}
 	pa := new(part)
-	ps.by[sc] = pa
+	ps.byScope[sc] = pa
 	ps.order = append(ps.order, sc)
 	return pa
 }
 
-// get returns the part of a scope, empty if the document has none.
+// get returns the part of a scope, or an empty one if the document has none.
 func (ps *parts) get(sc Scope) *part {
-	if pa := ps.by[sc]; pa != nil {
+	if pa := ps.byScope[sc]; pa != nil {
 		return pa
 	}
 	return new(part)
 }
 
 func (doc *Document) parts() *parts {
-	ps := &parts{by: map[Scope]*part{}}
+	ps := &parts{byScope: map[Scope]*part{}}
 	for i := range doc.Models {
-		ps.at(Scope{ModelScope, string(doc.Models[i].ID)}).Model = &doc.Models[i]
+		ps.getOrAdd(Scope{ModelScope, string(doc.Models[i].ID)}).Model = &doc.Models[i]
 	}
 	for i := range doc.Services {
-		ps.at(Scope{ServiceScope, string(doc.Services[i].ID)}).Service = &doc.Services[i]
+		ps.getOrAdd(Scope{ServiceScope, string(doc.Services[i].ID)}).Service = &doc.Services[i]
 	}
 	for i := range doc.Cascades {
-		ps.at(Scope{CascadeScope, string(doc.Cascades[i].ID)}).Cascade = &doc.Cascades[i]
+		ps.getOrAdd(Scope{CascadeScope, string(doc.Cascades[i].ID)}).Cascade = &doc.Cascades[i]
 	}
 	for i := range doc.Workspaces {
-		ps.at(Scope{WorkspaceScope, string(doc.Workspaces[i].ID)}).Workspace = &doc.Workspaces[i]
+		ps.getOrAdd(Scope{WorkspaceScope, string(doc.Workspaces[i].ID)}).Workspace = &doc.Workspaces[i]
 	}
 	for i := range doc.Zones {
-		ps.at(Scope{ZoneScope, string(doc.Zones[i].ID)}).Zone = &doc.Zones[i]
+		ps.getOrAdd(Scope{ZoneScope, string(doc.Zones[i].ID)}).Zone = &doc.Zones[i]
 	}
 	for _, ro := range doc.RollOuts {
-		pa := ps.at(Scope{ModelScope, string(ro.Model)})
+		pa := ps.getOrAdd(Scope{ModelScope, string(ro.Model)})
 		pa.RollOuts = append(pa.RollOuts, ro)
 	}
 	for _, wd := range doc.Withdrawals {
-		pa := ps.at(Scope{ModelScope, string(wd.Model)})
+		pa := ps.getOrAdd(Scope{ModelScope, string(wd.Model)})
 		pa.Withdrawals = append(pa.Withdrawals, wd)
 	}
 	return ps
 }
 
-// Touched lists the scopes in which two documents differ, in order of name.
+// Touched lists the scopes in which two documents differ, ordered by kind and
+// name.
 func Touched(from, to *Document) []Scope {
 	old, now := from.parts(), to.parts()
 	var out []Scope
@@ -113,7 +115,7 @@
 		}
 	}
 	for _, sc := range old.order {
-		if now.by[sc] == nil {
+		if now.byScope[sc] == nil {
 			out = append(out, sc)
 		}
 	}
--- a/core/declaration/snapshot.go
+++ b/core/declaration/snapshot.go
@@ -8,12 +8,13 @@
 	"skylarkstand/core"
 )
 
-// Snapshot is a generation with the indexes that decisions need. It is
+// Snapshot is a generation with indexes for lookups on the request path. It is
 // immutable and may be shared by all goroutines of a process.
 type Snapshot struct {
 	Number core.Generation
 	Doc    *Document
-	// Raw is the encoded generation, as it is handed on to peers.
+	// Raw is the encoded generation, as it is sent to peers. It is nil for a
+	// snapshot that is made only to check a document.
 	Raw []byte
 
 	byKey      map[string]*Workspace
@@ -45,7 +46,8 @@
 	}
 )
 
-// NewSnapshot indexes a generation. The generation must not change afterwards.
+// NewSnapshot indexes a generation, which must not be modified afterwards. Raw
+// is its encoded form, or nil.
 func NewSnapshot(gen *Generation, raw []byte) *Snapshot {
 	doc := &gen.Document
 	sn := &Snapshot{
@@ -110,13 +112,14 @@
 	}
 }
 
-// HashKey returns the digest of a workspace key as it stands in a document.
+// HashKey returns the SHA-256 digest of a workspace key in lower-case hex, the
+// form that a document contains.
 func HashKey(key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return hex.EncodeToString(sum[:])
 }
 
-// ByKey returns the workspace that a caller's key opens, or nil.
+// ByKey returns the workspace that a caller's key authenticates, or nil.
 func (sn *Snapshot) ByKey(key string) *Workspace { return sn.byKey[HashKey(key)] }
 
 // Workspace returns a workspace, or nil.
@@ -136,17 +139,17 @@
 	return sn.operations[operationKey{sv, op}]
 }
 
-// RollOut returns the roll-out of a model that is under way, or nil.
+// RollOut returns the declared roll-out of a model, halted or not, or nil.
 func (sn *Snapshot) RollOut(id core.ModelID) *RollOut { return sn.rollouts[id] }
 
-// Withdrawn reports whether a version was withdrawn.
+// Withdrawn reports whether a version is withdrawn.
 func (sn *Snapshot) Withdrawn(mv core.ModelVersion) bool {
 	_, gone := sn.withdrawn[mv]
 	return gone
 }
 
-// MayRun reports whether a workspace's work may start on a version now: it is
-// declared, allowed to the workspace and not withdrawn.
+// MayRun reports whether new work of a workspace may run on a version: the
+// version is declared, allowed for the workspace and not withdrawn.
 func (sn *Snapshot) MayRun(ws core.WorkspaceID, mv core.ModelVersion) bool {
 	return sn.allowed[allowKey{ws, mv}] && sn.versions[mv] != nil && !sn.Withdrawn(mv)
 }
--- a/core/declaration/split_test.go
+++ b/core/declaration/split_test.go
@@ -13,12 +13,12 @@
 	"skylarkstand/test/property"
 )
 
-// The verdict of a change must not depend on the day: one seed for all runs,
-// unless -rapid.seed names another.
+// The result must not depend on the run: all runs use the same seed, unless
+// -rapid.seed gives another.
 func TestMain(m *testing.M) { property.Main(m, "20261202") }
 
-// arbitrary draws a document out of few names, so that clashes, gaps and slips
-// are frequent.
+// arbitrary draws a document from few names, so that conflicts, missing entries and
+// mistakes are frequent.
 func arbitrary(rt *rapid.T, label string) *declaration.Document {
 	name := rapid.SampledFrom([]string{"v1", "v2", "v3", ""})
 	models := rapid.SampledFrom([]core.ModelID{"desk", "drafter", "gone"})
@@ -26,7 +26,7 @@
 	mv := func(what string) core.ModelVersion {
 		return core.ModelVersion{Model: models.Draw(rt, label+what), Version: core.VersionID(name.Draw(rt, label+what))}
 	}
-	doc := sound()
+	doc := validDocument()
 	doc.Models[0].Stable = core.VersionID(name.Draw(rt, label+"stable"))
 	doc.Models[0].Versions = append(doc.Models[0].Versions, declaration.Version{ID: core.VersionID(name.Draw(rt, label+"version")), Quality: 0.8, PromptPrice: 10, TokenPrice: 40})
 	for i := range num("withdrawals", 0, 2) {
@@ -48,10 +48,10 @@
 	return doc
 }
 
-// plausible draws a document that most often passes the check.
+// plausible draws a document that usually passes the check.
 func plausible(rt *rapid.T) *declaration.Document {
 	version := rapid.SampledFrom([]core.VersionID{"v1", "v2", "v3"})
-	doc := sound()
+	doc := validDocument()
 	doc.Cascades, doc.Workspaces[0].Cascades = nil, nil
 	doc.Models[0].Versions = append(doc.Models[0].Versions, declaration.Version{ID: "v3", Quality: 0.8, PromptPrice: 10, TokenPrice: 40})
 	doc.Models[0].Stable = version.Draw(rt, "stable")
@@ -67,11 +67,10 @@
 	return doc
 }
 
-// A configuration passes the check, and yet a part of some workspace's new
-// sessions has no version: its callers are turned away, now and then, and
-// nobody finds the reason. What diff says of the shares must also be what the
-// router does.
-func TestCheckedConfigurationServesEverySessionAsDiffSays(t *testing.T) {
+// If a configuration passed the check although some of a workspace's new sessions have
+// no version, callers would be rejected intermittently for no visible reason. The
+// percentages that diff prints must also be those of the router.
+func TestCheckedConfigurationServesEverySessionAsSplitReports(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		doc := plausible(rt)
 		if doc.Check() != nil {
@@ -98,9 +97,9 @@
 	})
 }
 
-// A file is broken in any way at all. The commands must name the mistakes, not
-// crash with a trace that tells an operator nothing.
-func TestNoDocumentCrashesTheCommands(t *testing.T) {
+// Whatever is wrong with a file, the functions behind the commands must report
+// mistakes instead of panicking.
+func TestNoDocumentCausesAPanic(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		from, to, third := arbitrary(rt, "from"), arbitrary(rt, "to"), arbitrary(rt, "third")
 		_ = declaration.CheckChange(from, to)
--- a/core/declaration/zone.go
+++ b/core/declaration/zone.go
@@ -7,19 +7,20 @@
 	"skylarkstand/core"
 )
 
-// AvailabilityZone is one with its region.
+// AvailabilityZone is an availability zone with its region.
 type AvailabilityZone struct {
-	// ID is the zone's name, as hosts have it.
+	// ID is the zone's name, as hosts announce it.
 	ID core.Zone `json:"id"`
-	// Region holds the zone.
+	// Region is the region that contains the zone.
 	Region core.Region `json:"region"`
-	// Evacuated is why the zone gets no new work. Left out, it does.
+	// Evacuated is the reason why the zone gets no new work. If omitted, the zone
+	// is not evacuated.
 	Evacuated string `json:"evacuated,omitempty"`
 }
 
-// Evacuate returns a document in which a zone gets no new work for a reason, or
-// takes it again where the reason is empty. It reports false for a zone that is
-// not declared.
+// Evacuate returns a copy of the document in which a zone is evacuated for a
+// reason, or in which its evacuation ends if the reason is empty. It reports
+// false if the zone is not declared.
 func (doc *Document) Evacuate(id core.Zone, reason string) (Document, bool) {
 	i := slices.IndexFunc(doc.Zones, func(zo AvailabilityZone) bool { return zo.ID == id })
 	if i < 0 {
@@ -31,26 +32,27 @@
 	return out, true
 }
 
-// AcceptEnd accepts the risk that a zone's evacuation ends, for a reason.
+// AcceptEnd returns the entry of accept-risks that allows a zone's evacuation to
+// end.
 func AcceptEnd(id core.Zone, reason string) AcceptRisk {
 	return AcceptRisk{Rule: string(EvacuationLifted), Place: evacuationPlace(id), Reason: reason}
 }
 
 func evacuationPlace(id core.Zone) string { return fmt.Sprintf("zones[%s].evacuated", id) }
 
-// MayPlace reports whether new work of a workspace may go to a host: the workspace
-// allows its region, and its zone is not evacuated.
+// MayPlace reports whether new work of a workspace may be sent to a host: the
+// workspace allows the host's region, and the host's zone is not evacuated.
 func (sn *Snapshot) MayPlace(ws core.WorkspaceID, ho core.Host) bool {
 	return !sn.evacuated[ho.Zone] && sn.regions[ws].Allows(ho.Region)
 }
 
-// Evacuated reports whether a zone gets no new work.
+// Evacuated reports whether a zone is evacuated, so that it gets no new work.
 func (sn *Snapshot) Evacuated(id core.Zone) bool { return sn.evacuated[id] }
 
 func (ch *checker) zones() {
 	for _, zo := range ch.doc.Zones {
-		if reason := unusable(string(zo.Region)); reason != "" {
-			ch.add(BadName, fmt.Sprintf("zones[%s].region", zo.ID), reason, "name the region that holds the zone")
+		if reason := nameProblem(string(zo.Region)); reason != "" {
+			ch.add(BadName, fmt.Sprintf("zones[%s].region", zo.ID), reason, "name the region that contains the zone")
 		}
 	}
 }
@@ -67,13 +69,13 @@
 	allowed := core.OnlyRegions(ws.Regions...)
 	open := func(zo AvailabilityZone) bool { return zo.Evacuated == "" && allowed.Allows(zo.Region) }
 	if len(ch.doc.Zones) > 0 && !slices.ContainsFunc(ch.doc.Zones, open) {
-		ch.add(NoZoneLeft, place+".regions", fmt.Sprintf("all zones in the regions of the workspace (%s) are evacuated, so its requests would be turned away", allowed), "end one of the evacuations")
+		ch.add(NoZoneLeft, place+".regions", fmt.Sprintf("all zones in the regions of the workspace (%s) are evacuated, so its requests would be rejected", allowed), "end one of the evacuations")
 	}
 }
 
-// evacuations looks for zones that would get work again. A file written before the
-// evacuation, or an old generation that comes back, does it without its author's
-// knowledge.
+// evacuations reports evacuations that the change would end. A file written before
+// the evacuation, or an old generation that is restored, ends it without its
+// author's knowledge.
 func (ch *change) evacuations() {
 	for _, old := range ch.from.Doc.Zones {
 		if old.Evacuated != "" && !ch.to.Evacuated(old.ID) {
@@ -83,12 +85,12 @@
 	}
 }
 
-// regions looks for workspaces whose requests may leave the regions that they were
-// bound to.
+// regions reports a workspace whose requests could leave the regions to which they
+// were restricted.
 func (ch *change) regions(old, ws *Workspace, place string) {
 	was, now := core.OnlyRegions(old.Regions...), core.OnlyRegions(ws.Regions...)
 	if was.Restricted() && was.Intersect(now) != now {
-		ch.add(RegionsWidened, place+".regions", fmt.Sprintf("requests were bound to %s and may be served in %s", was, now), "keep the regions")
+		ch.add(RegionsWidened, place+".regions", fmt.Sprintf("requests were restricted to %s and could be served in %s", was, now), "keep the regions")
 	}
 }
 
@@ -116,6 +118,6 @@
 func (ef *effect) regions(old, ws *Workspace) {
 	was, now := core.OnlyRegions(old.Regions...), core.OnlyRegions(ws.Regions...)
 	if was != now {
-		ef.on(ws.ID, "requests may be served in %s (before: %s)", now, was)
+		ef.onWorkspace(ws.ID, "requests may be served in %s (before: %s)", now, was)
 	}
 }
--- a/core/schema/duplicate.go
+++ b/core/schema/duplicate.go
@@ -8,23 +8,24 @@
 	"strconv"
 )
 
-// duplicates finds fields that stand twice in one object.
+// duplicates reports fields that occur twice in one object.
 //
-// Two people add the same section to one file, and a merge keeps both. JSON
-// readers take the last without a word: the first one's workspaces or
-// withdrawals would be gone, and the file still looks right.
+// If two people add the same section to a file, a merge can keep both. JSON
+// decoders silently use the last one, so the workspaces or withdrawals of the first
+// would be lost although the file looks right.
 func duplicates(text []byte) []Fault {
 	wk := &walker{dec: json.NewDecoder(bytes.NewReader(text))}
 	wk.value(nil)
 	return wk.faults
 }
 
+// walker reads JSON tokens and records duplicate fields.
 type walker struct {
 	dec    *json.Decoder
 	faults []Fault
 }
 
-// value reads one value. The text is known to be JSON.
+// value reads one value. The text has already been parsed as valid JSON.
 func (wk *walker) value(path []string) {
 	tok, err := wk.dec.Token()
 	if err != nil {
@@ -51,7 +52,7 @@
 		name := fmt.Sprint(tok)
 		at := append(slices.Clip(path), name)
 		if slices.Contains(seen, name) {
-			wk.faults = append(wk.faults, Fault{Place: place(at), Reason: "stands twice, and only the last would count", Remedy: "merge the two"})
+			wk.faults = append(wk.faults, Fault{Place: place(at), Reason: "is given twice, and only the last value would be used", Remedy: "merge the two"})
 		}
 		seen = append(seen, name)
 		wk.value(at)
--- a/core/schema/page.go
+++ b/core/schema/page.go
@@ -8,12 +8,13 @@
 	"strings"
 )
 
+// field is a property of an object with its name.
 type field struct {
 	name string
 	object
 }
 
-// fields decodes the properties in their order, which a Go map would lose.
+// fields decodes the properties in schema order, which a Go map would not preserve.
 func (ob object) fields() []field {
 	dec := json.NewDecoder(bytes.NewReader(ob.Properties))
 	if _, err := dec.Token(); err != nil {
@@ -45,7 +46,8 @@
 ` + "`skylarkstand apply`" + `, see [OPERATING.md](OPERATING.md).
 `
 
-// Page renders docs/CONFIG.md.
+// Page renders docs/CONFIG.md, the reference of all settings and of the
+// configuration. The error is for an invalid embedded schema.
 func Page() (string, error) {
 	var sb strings.Builder
 	sb.WriteString(intro)
@@ -64,7 +66,7 @@
 	return sb.String(), nil
 }
 
-// order lists the definitions as they are first used.
+// order lists the names of the definitions in the order of their first use.
 func (ck *checker) order() []string {
 	var out []string
 	var walk func(ob object)
@@ -82,6 +84,8 @@
 	return out
 }
 
+// definition returns the name of the definition that an object or its items refer
+// to, if any.
 func (ob object) definition() string {
 	if ob.Items != nil {
 		return ob.Items.definition()
--- a/core/schema/validate.go
+++ b/core/schema/validate.go
@@ -1,10 +1,11 @@
-// Package schema holds JSON with comments against the generated schemas and
-// explains all faults at once, each with its place, reason and remedy.
+// Package schema validates settings and configuration files against the generated
+// JSON schemas and reports all faults at once, each with its place, reason and
+// remedy.
 //
 // # Usage
 //
-//	faults, err := schema.Validate(schema.Entry, raw)   // raw without comments
-//	page, err := schema.Page()                          // docs/CONFIG.md
+//	faults, err := schema.Validate(schema.Entry, raw)   // raw is standard JSON, without comments
+//	page, err := schema.Page()                          // the text of docs/CONFIG.md
 package schema
 
 import (
@@ -24,7 +25,7 @@
 	files "skylarkstand/docs/schema"
 )
 
-// Kind names one of the schemas.
+// Kind is the name of a schema.
 type Kind string
 
 // The kinds of files that have a schema.
@@ -37,22 +38,23 @@
 
 // Fault is one breach of a schema.
 type Fault struct {
-	// Place is the path to the value, such as "workspaces[0].share".
+	// Place is the path to the value, such as "workspaces[0].share", Reason is
+	// what is wrong with it, and Remedy how to correct it.
 	Place, Reason, Remedy string
-	// Shape tells that the value is of another type than declared, so that
-	// what was read of it means nothing.
+	// Shape reports that the value has a different type than the schema requires,
+	// so that its decoded form is meaningless.
 	Shape bool
 }
 
-// String returns the fault as one line.
+// String returns the fault as one line of text.
 func (fa Fault) String() string { return fa.Place + ": " + fa.Reason + "; " + fa.Remedy }
 
-// Validate returns the faults of a text in standard JSON, in order of place.
-// The error is for a text that is no JSON, or a schema that is broken.
+// Validate returns the faults of a text in standard JSON, ordered by place. The
+// error is for a text that is not JSON or for an invalid embedded schema.
 func Validate(kd Kind, text []byte) ([]Fault, error) {
 	val, err := jsonschema.UnmarshalJSON(bytes.NewReader(text))
 	if err != nil {
-		return nil, eris.Wrap(err, "no JSON")
+		return nil, eris.Wrap(err, "parse the text as JSON")
 	}
 	ck, err := compile(kd)
 	if err != nil {
@@ -65,18 +67,20 @@
 	case errors.As(err, &ve):
 		out = ck.explain(out, ve)
 	case err != nil:
-		return nil, eris.Wrap(err, "validate")
+		return nil, eris.Wrapf(err, "validate against the schema %q", kd)
 	}
 	slices.SortFunc(out, func(a, b Fault) int { return strings.Compare(a.Place, b.Place) })
 	return out, nil
 }
 
+// checker validates against one schema. Raw is the schema's source, used to explain
+// faults.
 type checker struct {
 	schema *jsonschema.Schema
 	raw    object
 }
 
-// object is a schema as far as the explanations need it.
+// object is the part of a schema that explanations and the reference need.
 type object struct {
 	Title       string            `json:"title"`
 	Description string            `json:"description"`
@@ -93,25 +97,25 @@
 func compile(kd Kind) (*checker, error) {
 	raw, err := files.Files.ReadFile(string(kd) + ".json")
 	if err != nil {
-		return nil, eris.Wrap(err, "schema")
+		return nil, eris.Wrapf(err, "load the schema %q", kd)
 	}
 	val, err := jsonschema.UnmarshalJSON(bytes.NewReader(raw))
 	if err != nil {
-		return nil, eris.Wrap(err, "schema")
+		return nil, eris.Wrapf(err, "load the schema %q", kd)
 	}
 	ck := new(checker)
 	if err := json.Unmarshal(raw, &ck.raw); err != nil {
-		return nil, eris.Wrap(err, "schema")
+		return nil, eris.Wrapf(err, "load the schema %q", kd)
 	}
 	cp := jsonschema.NewCompiler()
 	if err := cp.AddResource(string(kd), val); err != nil {
-		return nil, eris.Wrap(err, "schema")
+		return nil, eris.Wrapf(err, "load the schema %q", kd)
 	}
 	ck.schema, err = cp.Compile(string(kd))
-	return ck, eris.Wrap(err, "schema")
+	return ck, eris.Wrapf(err, "load the schema %q", kd)
 }
 
-// explain turns the leaves of an error's tree into faults.
+// explain appends a fault for each leaf of an error tree.
 func (ck *checker) explain(out []Fault, ve *jsonschema.ValidationError) []Fault {
 	for _, ca := range ve.Causes {
 		out = ck.explain(out, ca)
@@ -127,7 +131,7 @@
 			out = append(out, Fault{Place: place(append(ve.InstanceLocation, name)), Reason: "is missing", Remedy: "set it"})
 		}
 	case *kind.Type:
-		out = append(out, Fault{at, fmt.Sprintf("is %s, not %s", ki.Got, strings.Join(ki.Want, " or ")), "write " + sample(ki.Want), true})
+		out = append(out, Fault{at, fmt.Sprintf("is %s, not %s", ki.Got, strings.Join(ki.Want, " or ")), "write " + typeHint(ki.Want), true})
 	case *kind.Minimum:
 		out = append(out, Fault{at, ki.Got.RatString() + " is too small", "give at least " + ki.Want.RatString(), false})
 	case *kind.ExclusiveMinimum:
@@ -149,6 +153,7 @@
 	return out
 }
 
+// place formats a path such as "workspaces[0].share".
 func place(path []string) string {
 	var sb strings.Builder
 	for _, el := range path {
@@ -167,7 +172,8 @@
 	return sb.String()
 }
 
-func sample(want []string) string {
+// typeHint describes how to write a value of the wanted type.
+func typeHint(want []string) string {
 	if len(want) == 0 {
 		return "another value"
 	}
@@ -186,7 +192,8 @@
 	return "an object in { }"
 }
 
-// remedy names the nearest known field of the object that a schema describes.
+// remedy suggests the known field that is most similar to name, or lists all known
+// fields of the object.
 func (ck *checker) remedy(url, name string) string {
 	ob := ck.raw
 	if _, def, ok := strings.Cut(url, "#/$defs/"); ok {
@@ -199,7 +206,7 @@
 	return "known fields: " + strings.Join(known, ", ")
 }
 
-// names lists the fields of an object as they stand in the schema.
+// names lists the fields of an object in schema order.
 func (ob object) names() []string {
 	var out []string
 	for _, fi := range ob.fields() {
--- a/declare/declare_test.go
+++ b/declare/declare_test.go
@@ -10,9 +10,9 @@
 	"skylarkstand/declare"
 )
 
-// An operator makes a slip in the program. The compiler names the line, before
-// there is a file that could be applied by mistake.
-func TestSlipsDoNotCompile(t *testing.T) {
+// Common mistakes in an operator's program must be compile errors, so that no file
+// exists that could be applied by mistake.
+func TestMistakesDoNotCompile(t *testing.T) {
 	for _, sc := range []struct{ testName, want string }{
 		{"undeclared_version", "undefined: v2"},
 		{"version_as_text", "as declare.Release value"},
@@ -24,15 +24,15 @@
 	} {
 		t.Run(sc.testName, func(t *testing.T) {
 			out, err := exec.Command("go", "vet", "./testdata/"+sc.testName).CombinedOutput()
-			assert.Assert(t, err != nil, "it compiles")
+			assert.Assert(t, err != nil, "the program compiles")
 			assert.Assert(t, strings.Contains(string(out), sc.want), string(out))
 		})
 	}
 }
 
-// What the compiler cannot see is found when the program prints. Were the file
-// printed all the same, a script would go on and apply it.
-func TestNothingIsPrintedWhenThereIsAMistake(t *testing.T) {
+// Mistakes that the compiler cannot find are found when the program prints. If the
+// file were printed nevertheless, a script would continue and apply it.
+func TestConfigurationWithMistakesIsNotPrinted(t *testing.T) {
 	cf := declare.New()
 	_, v1 := cf.Model("desk", "v1", declare.Version{Quality: 70})
 	cf.Workspace("schools", declare.Terms{Share: 1}, declare.DigestOf("schools-key")).Allow(v1)
@@ -40,7 +40,7 @@
 	err := cf.Print(&sb)
 	assert.Equal(t, sb.String(), "")
 	assert.ErrorContains(t, err, "models[desk].versions[v1].quality: 70 is not a quality")
-	assert.ErrorContains(t, err, "workspaces[schools].key-hashes[0]: this is no SHA-256 digest")
+	assert.ErrorContains(t, err, "workspaces[schools].key-hashes[0]: not a SHA-256 digest")
 }
 
 func TestRollOutsAndWithdrawalsBelongToTheirVersion(t *testing.T) {
