--- a/declare/configuration.go
+++ b/declare/configuration.go
@@ -1,13 +1,17 @@
-// Package declare is the library with which operators write their
-// configuration as a program. The program prints the configuration as JSON, in
-// the form of docs/CONFIG.md, so that a change can be read and reviewed before
-// it is applied; programs in other languages may print the same form.
+// Package declare is a library for writing the operators' configuration as a Go
+// program. The program prints the configuration as JSON, in the format of
+// docs/CONFIG.md, so that a change can be reviewed before it is applied. Programs in
+// other languages may print the same format.
 //
-// Things are named by handles rather than by text. A version that was never
-// declared, a cascade over something that is no model, a call of a service
-// that does not say whether it may be repeated, or a key in place of its
-// digest do not compile. What the compiler cannot see is found when the
-// program prints: it then lists all mistakes and prints nothing.
+// Entries refer to each other by handles rather than by name. A reference to an
+// undeclared version, a cascade over something other than a model, an operation that
+// is neither at-most-once nor repeatable, or a key in place of its digest does not
+// compile. All other mistakes are found when the program prints: it then lists all of
+// them and prints no configuration.
+//
+// Methods that declare something return no error. A value that is out of range, a
+// duplicate ID or an unknown zone is reported by [Configuration.Print], as an error of
+// type [declaration.Mistakes].
 //
 // # Usage
 //
@@ -31,8 +35,8 @@
 	"skylarkstand/core/declaration"
 )
 
-// Configuration collects what a program declares, in the order in which it
-// does. It is made by New and used from one goroutine.
+// Configuration collects the declarations of a program, in the order in which they
+// are made. It is created by [New] and must be used from a single goroutine.
 type Configuration struct {
 	models      []*Model
 	services    []*Service
@@ -47,7 +51,9 @@
 // New returns an empty configuration.
 func New() *Configuration { return &Configuration{} }
 
-// Document returns what was declared so far.
+// Document returns the declarations made so far as a document, without checking
+// them. Lists are nil where nothing was declared. The document shares memory with the
+// configuration and must not be modified.
 func (cf *Configuration) Document() declaration.Document {
 	doc := declaration.Document{
 		Cascades: cf.cascades, RollOuts: cf.rollOuts, Withdrawals: cf.withdrawals, AcceptRisks: cf.risks,
@@ -67,9 +73,10 @@
 	return doc
 }
 
-// Print writes the configuration as JSON. A configuration with mistakes is not
-// written at all: half a file that looks whole would be applied. The error is
-// then a [declaration.Mistakes].
+// Print checks the configuration and writes it as indented JSON, followed by a
+// newline. If it has mistakes, nothing is written, since a partial file that looks
+// complete could be applied; the error is then of type [declaration.Mistakes] and
+// lists all of them. Other errors are those of writing.
 func (cf *Configuration) Print(wr io.Writer) error {
 	doc := cf.Document()
 	if err := doc.Check(); err != nil {
@@ -83,8 +90,9 @@
 	return eris.Wrap(err, "print configuration")
 }
 
-// Main prints the configuration to the standard output, or its mistakes to the
-// standard error, and ends the program with exit code 1 then.
+// Main prints the configuration to standard output. On an error, it prints the error
+// or the mistakes, one line each, to standard error and exits the program with
+// code 1.
 func Main(cf *Configuration) {
 	if err := cf.Print(os.Stdout); err != nil {
 		fmt.Fprintln(os.Stderr, err)
@@ -92,15 +100,20 @@
 	}
 }
 
-// AcceptRisk names a dangerous but legal change that is meant. Rule and place
-// are what `skylarkstand check` or `diff` names; the audit trail keeps the
-// reason.
+// AcceptRisk accepts a dangerous but legal change. Rule and place are those that
+// `skylarkstand check` or `skylarkstand diff` prints: the place, such as
+// "roll-outs[desk]", at the beginning of the line and the rule in brackets at its end.
+// The reason must not be empty; it is recorded in the audit trail. An entry for a risk
+// that does not exist is rejected.
 func (cf *Configuration) AcceptRisk(rule declaration.Rule, place, reason string) {
 	cf.risks = append(cf.risks, declaration.AcceptRisk{Rule: string(rule), Place: place, Reason: reason})
 }
 
-// Cascade declares a row of models, from cheap to costly. It has two stages at
-// least: with one it would be the model itself.
+// Cascade declares a list of models ordered from cheap to costly. A request whose
+// answer is rated below the workspace's target quality escalates to the next model.
+// There are at least two stages, since a cascade of one would be the model itself.
+// Callers request the cascade by its ID, which must differ from the IDs of models.
+// A stage that is cheaper or worse than the one before is a mistake.
 func (cf *Configuration) Cascade(id core.CascadeID, cheap, costly *Model, more ...*Model) Cascade {
 	ca := declaration.Cascade{ID: id, Stages: []core.ModelID{cheap.mo.ID, costly.mo.ID}}
 	for _, mo := range more {
@@ -110,14 +123,15 @@
 	return Cascade{id}
 }
 
-// Cascade is a declared cascade.
+// Cascade is a handle to a declared cascade.
 type Cascade struct{ id core.CascadeID }
 
-// Names of what a program declares, so that it needs no import but this one.
+// Types of values in declarations, so that a program needs no other import.
 type (
-	// WorkspaceID names a workspace.
+	// WorkspaceID is the ID of a workspace: letters, digits, dots, dashes and
+	// underscores.
 	WorkspaceID = core.WorkspaceID
-	// Millicents is an amount of money, a thousandth of a cent.
+	// Millicents is an amount of money in thousandths of a cent.
 	Millicents = core.Millicents
 	// Quality is a share of good answers, from 0 to 1.
 	Quality = core.Quality
--- a/declare/zone.go
+++ b/declare/zone.go
@@ -5,13 +5,14 @@
 	"skylarkstand/core/declaration"
 )
 
-// Region is a declared region.
+// Region is a handle to a declared region.
 type Region struct {
 	cf *Configuration
 	id core.Region
 }
 
-// Region declares a region with its availability zones.
+// Region declares a region with its availability zones. A region without zones cannot
+// be used by [Workspace.Regions].
 func (cf *Configuration) Region(id core.Region, zones ...core.Zone) Region {
 	for _, zo := range zones {
 		cf.zones = append(cf.zones, &declaration.AvailabilityZone{ID: zo, Region: id})
@@ -19,7 +20,9 @@
 	return Region{cf, id}
 }
 
-// Evacuate keeps new work from one of the region's zones.
+// Evacuate stops new work in one of the region's zones. An empty reason means that the
+// zone is not evacuated. A zone that the region does not have is reported by
+// [Configuration.Print].
 func (re Region) Evacuate(zone core.Zone, reason string) {
 	for _, zo := range re.cf.zones {
 		if zo.ID == zone && zo.Region == re.id {
@@ -27,11 +30,12 @@
 			return
 		}
 	}
-	// A zone of no region is a mistake that the check of the document names.
+	// Print reports a zone without a region as a mistake.
 	re.cf.zones = append(re.cf.zones, &declaration.AvailabilityZone{ID: zone, Evacuated: reason})
 }
 
-// Regions binds the workspace's requests to regions.
+// Regions restricts the workspace's requests to regions. Without it, all regions are
+// allowed. It returns the workspace.
 func (ws *Workspace) Regions(res ...Region) *Workspace {
 	for _, re := range res {
 		ws.ws.Regions = append(ws.ws.Regions, re.id)
