--- a/io/agent/answer.go
+++ b/io/agent/answer.go
@@ -14,7 +14,7 @@
 	protocol "skylarkstand/io/link"
 )
 
-// answer reads the frames of one attempt.
+// answer reads the response frames of one attempt.
 type answer struct {
 	ln    *link
 	st    *yamux.Stream
@@ -34,15 +34,14 @@
 func newAnswer(ctx context.Context, ln *link, st *yamux.Stream, id core.AttemptID) *answer {
 	return &answer{
 		ln: ln, st: st, rd: frame.NewReader(st), id: id, ctx: ctx, status: 200,
-		// A caller that is gone closes the stream, which tells the agent to
-		// cancel.
+		// When the caller disconnects, closing the stream makes the agent cancel the attempt.
 		stop: context.AfterFunc(ctx, func() { st.Close() }),
 	}
 }
 
-// begin waits for the first frame. A failure there is Dispatch's error, so
+// awaitFirst waits for the first frame. A failure at this point becomes the error of Dispatch, so
 // that another upstream can be tried.
-func (an *answer) begin() error {
+func (an *answer) awaitFirst() error {
 	fr, err := an.read()
 	if err != nil {
 		return err
@@ -60,10 +59,9 @@
 
 // read returns the next frame of this attempt.
 //
-// A frame of another attempt on this stream would put a stranger's answer
-// before the caller. It cannot happen while both sides keep to the protocol;
-// it is dropped and counted all the same, because nothing after this point
-// could notice it.
+// A frame of another attempt on this stream would deliver another caller's answer. It cannot happen
+// while both sides follow the protocol; it is dropped and counted nevertheless, because nothing
+// after this point could detect it.
 func (an *answer) read() (*frame.Frame, error) {
 	for {
 		fr, err := an.rd.Read()
@@ -124,8 +122,8 @@
 // Usage implements [core.Answer].
 func (an *answer) Usage() core.Usage { return an.usage }
 
-// ReplayOf names, once Next has returned io.EOF, the earlier attempt whose
-// stored answer this is, if it is one.
+// ReplayOf returns, once Next has returned io.EOF, the earlier attempt whose stored answer this is,
+// or an empty id.
 func (an *answer) ReplayOf() core.AttemptID { return an.replayOf }
 
 // Status implements [core.Answer].
--- a/io/agent/bills.go
+++ b/io/agent/bills.go
@@ -8,19 +8,19 @@
 	"skylarkstand/io/frame"
 )
 
-// Offered takes the bills that an agent holds of a process, and what tells the
-// agent that bills are durable. It does not block.
+// Offered receives the bills that an agent holds for an entry process, and a function that reports
+// to that agent which of them are durable. It must not block.
 type Offered func(process core.ProcessID, bills [][]byte, durable func([]core.AttemptID))
 
-// OnOffered sets what takes bills that agents hand over. Until then they are
-// dropped; agents offer them again.
+// OnOffered sets the handler of the bills that agents hand over. Until it is set they are dropped;
+// agents offer them again.
 func (po *Pool) OnOffered(fn Offered) { po.offered.Store(&fn) }
 
-// Listed returns the number of entries on the platform's host list.
+// Listed returns the number of entries in the platform's host list.
 func (po *Pool) Listed() int { return int(po.entries.Load()) }
 
-// holders knows which agent has the copy of a bill. Telling every agent of
-// every bill would take frames in the number of agents times segments.
+// holders maps each attempt to the agent that holds the copy of its bill. Reporting every durable
+// bill to every agent would take as many frames as agents times segments.
 type holders struct {
 	mu sync.Mutex
 	by map[core.AttemptID]core.UpstreamID
@@ -35,7 +35,7 @@
 	ho.by[at] = id
 }
 
-// remove returns the attempts by their holders and forgets them.
+// remove returns the attempts grouped by their holders, and deletes them.
 func (ho *holders) remove(ats []core.AttemptID) map[core.UpstreamID][]core.AttemptID {
 	ho.mu.Lock()
 	defer ho.mu.Unlock()
@@ -61,8 +61,8 @@
 	}}})
 }
 
-// Durable tells the agents that bills stand in the store. An agent whose link
-// is away is not told; it asks by itself after a while.
+// Durable reports to the agents which bills are in the store. An agent whose link is down gets no
+// report; it requests one itself after a while.
 func (po *Pool) Durable(ats []core.AttemptID) {
 	for id, ats := range po.holders.remove(ats) {
 		if ln := po.index.Load().byID[id]; ln != nil {
@@ -71,8 +71,8 @@
 	}
 }
 
-// told takes the bills that an agent hands over.
-func (po *Pool) told(ln *link, to *frame.Told) {
+// receiveBills passes the bills that an agent hands over to the handler.
+func (po *Pool) receiveBills(ln *link, to *frame.Told) {
 	fn := po.offered.Load()
 	if fn == nil {
 		return
@@ -83,13 +83,13 @@
 	})
 }
 
-// durableAttempts bounds one frame: an attempt's id takes about 40 bytes.
-const durableAttempts = 10_000
+// maxDurableAttempts bounds the size of one frame: an attempt's id takes about 40 bytes.
+const maxDurableAttempts = 10_000
 
 func (ln *link) durable(ats []core.AttemptID) {
-	for some := range slices.Chunk(ats, durableAttempts) {
+	for chunk := range slices.Chunk(ats, maxDurableAttempts) {
 		du := &frame.Durable{}
-		for _, at := range some {
+		for _, at := range chunk {
 			du.Attempts = append(du.Attempts, string(at))
 		}
 		ln.send(&frame.Frame{Body: &frame.Frame_Durable{Durable: du}})
--- a/io/agent/doc.go
+++ b/io/agent/doc.go
@@ -1,5 +1,5 @@
-// Package agent is an entry's side of the links to the agents: it keeps a
-// link to each listed agent, hands attempts over and reads their answers.
+// Package agent implements an entry's side of the links to agents: it keeps a link to each agent of
+// the entry's subset, dispatches attempts over it and reads their answers.
 //
 // # Usage
 //
--- a/io/agent/link.go
+++ b/io/agent/link.go
@@ -15,31 +15,31 @@
 	protocol "skylarkstand/io/link"
 )
 
-// link is the way to one agent. It dials again for as long as it lives.
+// link is the connection to one agent. It redials until its context ends.
 type link struct {
 	deps   core.Deps
 	inf    *declaration.InForce
 	host   core.Host
 	hash   uint64
 	cancel context.CancelFunc
-	// unwanted is since when the link is not in the entry's subset, or zero.
-	// It belongs to the pool, under its lock.
+	// unwanted is the time at which the link left the entry's subset, or zero. It is guarded by the
+	// pool's lock.
 	unwanted time.Time
-	// told takes the bills that the agent hands over.
-	told func(*link, *frame.Told)
+	// onTold handles the bills that the agent hands over.
+	onTold func(*link, *frame.Told)
 
-	up            atomic.Bool
-	listedLeaving atomic.Bool
-	toldLeaving   atomic.Bool
-	down          atomic.Bool
-	own           atomic.Int64
-	load          atomic.Pointer[report]
-	ses           atomic.Pointer[yamux.Session]
-	control       atomic.Pointer[protocol.Control]
+	up               atomic.Bool
+	listedLeaving    atomic.Bool
+	announcedLeaving atomic.Bool
+	down             atomic.Bool
+	own              atomic.Int64
+	load             atomic.Pointer[report]
+	ses              atomic.Pointer[yamux.Session]
+	control          atomic.Pointer[protocol.Control]
 }
 
-// report is an agent's last word on its load, with when it came and how many
-// attempts of this entry were there then: it lags, and counts them too.
+// report is the last load that an agent reported, with its time of arrival and the number of this
+// entry's attempts in flight then: a report lags, and its load includes those attempts.
 type report struct {
 	core.Load
 	at  time.Time
@@ -53,7 +53,7 @@
 func (ln *link) snapshot() core.Upstream {
 	up := core.Upstream{
 		Host: ln.host, Hash: ln.hash, Up: ln.up.Load() && !ln.down.Load(), Own: int(ln.own.Load()),
-		Leaving: ln.listedLeaving.Load() || ln.toldLeaving.Load(),
+		Leaving: ln.listedLeaving.Load() || ln.announcedLeaving.Load(),
 	}
 	if re := ln.load.Load(); re != nil {
 		up.Load, up.Reported, up.OwnThen = re.Load, re.at, re.own
@@ -63,21 +63,21 @@
 
 func (ln *link) serve(ctx context.Context) { protocol.Redial(ctx, ln.connect) }
 
-// connect holds one connection until it ends.
+// connect opens one connection and serves it until it ends.
 func (ln *link) connect(ctx context.Context) {
 	ses, st, err := protocol.Dial(ctx, ln.host.Addr)
 	if err != nil {
 		return
 	}
 	defer ses.Close()
-	co := protocol.NewControl(ln.deps, ln.inf, st, protocol.Handlers{State: ln.state, Told: ln.handOver, Hello: func(he *frame.Hello) {
+	co := protocol.NewControl(ln.deps, ln.inf, st, protocol.Handlers{State: ln.state, Told: ln.handleTold, Hello: func(he *frame.Hello) {
 		if he.Upstream != string(ln.host.ID) {
-			// The address was given to another upstream and the list lags.
+			// The address was reassigned to another upstream and the host list lags.
 			ses.Close()
 			return
 		}
 		ln.ses.Store(ses)
-		ln.toldLeaving.Store(false)
+		ln.announcedLeaving.Store(false)
 		ln.up.Store(true)
 		event.Log(ln.deps.Log, event.LinkUp, "upstream", ln.host.ID)
 	}})
@@ -101,14 +101,14 @@
 		at:   time.Now(), own: int(ln.own.Load()),
 	})
 	ln.down.Store(st.Down)
-	if st.Leaving && !ln.toldLeaving.Swap(true) {
+	if st.Leaving && !ln.announcedLeaving.Swap(true) {
 		event.Log(ln.deps.Log, event.UpstreamLeaving, "upstream", ln.host.ID)
 	}
 }
 
-func (ln *link) handOver(to *frame.Told) {
-	if ln.told != nil && to.Process != "" {
-		ln.told(ln, to)
+func (ln *link) handleTold(to *frame.Told) {
+	if ln.onTold != nil && to.Process != "" {
+		ln.onTold(ln, to)
 	}
 }
 
@@ -118,8 +118,8 @@
 	}
 }
 
-// dispatch opens a stream for the attempt, hands it over and waits for the
-// first frame back.
+// dispatch opens a stream for the attempt, sends the attempt and waits for the first frame of the
+// answer.
 func (ln *link) dispatch(ctx context.Context, at *core.Attempt) (core.Answer, error) {
 	ses := ln.ses.Load()
 	if ses == nil || !ln.up.Load() {
@@ -133,10 +133,10 @@
 	an := newAnswer(ctx, ln, st, at.ID)
 	if err := frame.NewWriter(st).Write(protocol.DispatchFrame(at)); err != nil {
 		an.Close()
-		// The agent may have got the whole frame before the link failed.
+		// The agent may have received the whole frame before the link failed.
 		return nil, core.Lost("the link to upstream %s was lost in the hand-over", ln.host.ID)
 	}
-	if err := an.begin(); err != nil {
+	if err := an.awaitFirst(); err != nil {
 		an.Close()
 		return nil, err
 	}
--- a/io/agent/pool.go
+++ b/io/agent/pool.go
@@ -15,7 +15,7 @@
 	"skylarkstand/core/placement"
 )
 
-// Pool is the entry's links to all agents. It implements [core.Upstreams].
+// Pool holds the entry's links to agents. It implements [core.Upstreams].
 type Pool struct {
 	deps  core.Deps
 	inf   *declaration.InForce
@@ -26,47 +26,47 @@
 	index   atomic.Pointer[index]
 	holders holders
 	offered atomic.Pointer[Offered]
-	// entries counts the entries that are listed, and near those of the region
-	// that are not leaving.
-	entries, near atomic.Int64
-	// onHosts is called with each reading of the host list.
+	// entries counts all listed entries, regionEntries those of the local region that are not
+	// leaving.
+	entries, regionEntries atomic.Int64
+	// onHosts is called with the host list each time it has been read.
 	onHosts func([]core.Host)
 }
 
-// index is what dispatching reads; it is replaced as a whole.
+// index is the immutable view that dispatching reads; an update replaces it as a whole.
 type index struct {
 	byID     map[core.UpstreamID]*link
 	versions map[core.ModelVersion][]*link
 	services map[core.ServiceID][]*link
 }
 
-// New returns a pool without links; Serve makes them.
+// New returns a pool without links; Serve opens them.
 func New(deps core.Deps, inf *declaration.InForce, ho core.Hosts) *Pool {
 	po := &Pool{deps: deps, inf: inf, hosts: ho, links: map[core.UpstreamID]*link{}, onHosts: func([]core.Host) {}}
 	po.index.Store(newIndex(nil))
 	return po
 }
 
-// OnHosts sets what hears of each reading of the host list. It is called
-// before Serve.
+// OnHosts sets the function that receives the host list each time it has been read. It must be
+// called before Serve.
 func (po *Pool) OnHosts(fn func([]core.Host)) { po.onHosts = fn }
 
 const (
-	// refresh is how often a small host list is read. The list lags by itself;
-	// agents that leave say so on their links at once.
-	refresh = time.Second
-	// linesPerSecond is how many lines of the list an entry reads a second at
-	// most. A list of 12,000 hosts read each second took 5% of a core and 1.7
-	// MB/s of every entry; at this pace a new agent is found within 6 s.
-	linesPerSecond = 2000
+	// minRefresh is the interval at which a small host list is read. The list itself lags; agents
+	// that leave announce it on their links immediately.
+	minRefresh = time.Second
+	// maxLinesPerSecond bounds the rate at which an entry reads lines of the host list. Reading a
+	// list of 12,000 hosts every second takes 5% of a core and 1.7 MB/s on every entry; at this rate
+	// a new agent in such a list is found within 6 s.
+	maxLinesPerSecond = 2000
 )
 
-// refreshAfter returns the pause after a reading of the host list.
+// refreshAfter returns the pause after reading a host list of that many lines.
 func refreshAfter(lines int) time.Duration {
-	return max(refresh, time.Duration(lines)*time.Second/linesPerSecond)
+	return max(minRefresh, time.Duration(lines)*time.Second/maxLinesPerSecond)
 }
 
-// Serve keeps the links in step with the host list until the context ends.
+// Serve synchronizes the links with the host list until the context ends.
 func (po *Pool) Serve(ctx context.Context) error {
 	defer po.closeAll()
 	for {
@@ -83,8 +83,8 @@
 func (po *Pool) update(ctx context.Context) int {
 	list, err := po.hosts.List(ctx)
 	if err != nil {
-		// The last list stays in use: agents that went are noticed by their
-		// links, and a list that is away must not empty the pool.
+		// The last list stays in use: the links detect agents that disappear, and an unavailable
+		// list must not empty the pool.
 		if ctx.Err() == nil {
 			event.Log(po.deps.Log, event.HostsAway, "error", err)
 		}
@@ -93,13 +93,13 @@
 	po.onHosts(list)
 	po.mu.Lock()
 	defer po.mu.Unlock()
-	entries, near := 0, 0
+	entries, regional := 0, 0
 	for _, ho := range list {
 		if ho.Role == core.RoleEntry {
 			entries++
 		}
 		if ho.Role == core.RoleEntry && ho.Region == po.deps.Region && !ho.Leaving {
-			near++
+			regional++
 		}
 	}
 	wanted := map[core.UpstreamID]bool{}
@@ -109,23 +109,23 @@
 	}
 	po.drop(wanted, list, time.Now())
 	po.entries.Store(int64(entries))
-	po.near.Store(int64(near))
+	po.regionEntries.Store(int64(regional))
 	po.index.Store(newIndex(po.links))
 	return len(list)
 }
 
-// candidates returns the agents that this entry links with: of each version and
-// service its subset. A link to each of 12,000 agents would take half a core
-// and 800 MB for keep-alives and reports alone.
+// candidates returns the agents that this entry links to: its subset of the agents of each version
+// and service. Links to all of 12,000 agents would take half a core and 800 MB for keep-alives and
+// reports alone.
 func (po *Pool) candidates(list []core.Host) []core.Host {
-	type serves struct {
+	type poolKey struct {
 		mv core.ModelVersion
 		sv core.ServiceID
 	}
-	pools := map[serves][]core.Host{}
+	pools := map[poolKey][]core.Host{}
 	for _, ho := range list {
 		if ho.Role == core.RoleAgent {
-			ke := serves{ho.Serves(), ho.Service}
+			ke := poolKey{ho.Serves(), ho.Service}
 			pools[ke] = append(pools[ke], ho)
 		}
 	}
@@ -136,7 +136,7 @@
 	return out
 }
 
-// ensure keeps a link to a listed host. It is called with the lock held.
+// ensure opens a link to a listed host unless there is one. It is called with the lock held.
 func (po *Pool) ensure(ctx context.Context, ho core.Host) {
 	old := po.links[ho.ID]
 	if old != nil && old.host.Addr == ho.Addr && old.host.Serves() == ho.Serves() && old.host.Service == ho.Service {
@@ -148,7 +148,7 @@
 		old.cancel()
 	}
 	ln := newLink(po.deps, po.inf, ho)
-	ln.told = po.told
+	ln.onTold = po.receiveBills
 	ln.listedLeaving.Store(ho.Leaving)
 	po.links[ho.ID] = ln
 	lctx, cancel := context.WithCancel(context.WithoutCancel(ctx))
@@ -156,15 +156,14 @@
 	go ln.serve(lctx)
 }
 
-// linger is how long a link stays that nothing is sent over any more. The agent
-// at its end may hold bills of this entry until they are durable; an entry that
-// hung up would be taken for gone, and its ledger sealed.
+// linger is how long an unwanted link stays open. The agent may hold bills of this entry until they
+// are durable; if the entry closed the link, the agent would consider it gone, and its ledger would
+// be sealed.
 const linger = time.Minute
 
-// drop ends the links that are not wanted: at once when they are down, else
-// when they have lingered and nothing runs over them. An agent that is not
-// listed and whose link stands goes on getting work: the list lags, and one
-// that came empty must not empty the pool. It is called with the lock held.
+// drop closes the links that are not wanted: immediately if they are down, otherwise once they have
+// lingered and carry no attempt. An agent that is not listed but whose link is up keeps getting
+// work: the list lags, and an empty list must not empty the pool. It is called with the lock held.
 func (po *Pool) drop(wanted map[core.UpstreamID]bool, list []core.Host, now time.Time) {
 	listed := map[core.UpstreamID]bool{}
 	for _, ho := range list {
@@ -184,7 +183,7 @@
 	}
 }
 
-// newIndex sorts the links that are wanted by what they serve.
+// newIndex groups the wanted links by the version or service that they serve.
 func newIndex(links map[core.UpstreamID]*link) *index {
 	ix := &index{byID: map[core.UpstreamID]*link{}, versions: map[core.ModelVersion][]*link{}, services: map[core.ServiceID][]*link{}}
 	for id, ln := range links {
@@ -200,9 +199,9 @@
 	return ix
 }
 
-// Entries returns how many entries of the region share its upstreams, this one
-// included.
-func (po *Pool) Entries() int { return max(int(po.near.Load()), 1) }
+// Entries returns the number of entries that share the upstreams of the local region, including this
+// one.
+func (po *Pool) Entries() int { return max(int(po.regionEntries.Load()), 1) }
 
 func (po *Pool) closeAll() {
 	po.mu.Lock()
@@ -212,7 +211,7 @@
 	}
 }
 
-// All lists every upstream that the entry knows, by id.
+// All returns every upstream that the entry has a link for, sorted by id.
 func (po *Pool) All() []core.Upstream {
 	ups := appendTo(nil, slices.Collect(maps.Values(po.index.Load().byID)))
 	slices.SortFunc(ups, func(a, b core.Upstream) int { return strings.Compare(string(a.Host.ID), string(b.Host.ID)) })
@@ -225,13 +224,13 @@
 // Offering implements [core.Upstreams].
 func (po *Pool) Offering(sv core.ServiceID) []core.Upstream { return po.AppendOffering(nil, sv) }
 
-// AppendServing is Serving into a buffer that is used again, for the decision
-// that each attempt needs.
+// AppendServing appends the result of Serving to a reusable buffer, since every attempt needs a
+// routing decision.
 func (po *Pool) AppendServing(buf []core.Upstream, mv core.ModelVersion) []core.Upstream {
 	return appendTo(buf, po.index.Load().versions[mv])
 }
 
-// AppendOffering is Offering into a buffer that is used again.
+// AppendOffering appends the result of Offering to a reusable buffer.
 func (po *Pool) AppendOffering(buf []core.Upstream, sv core.ServiceID) []core.Upstream {
 	return appendTo(buf, po.index.Load().services[sv])
 }
--- a/io/agent/pool_test.go
+++ b/io/agent/pool_test.go
@@ -13,7 +13,7 @@
 	"skylarkstand/core/placement"
 )
 
-// list is a fake host list. Its hosts refuse connections.
+// list is a fake host list whose hosts refuse connections.
 type list struct{ hosts []core.Host }
 
 func (li *list) List(context.Context) ([]core.Host, error) { return li.hosts, nil }
@@ -29,10 +29,9 @@
 	return out
 }
 
-// A fleet grows to hundreds of upstreams of one version. Were each entry to
-// link with all of them, keep-alives alone would take half a core, and what is
-// known of each would be old.
-func TestLinksAreThoseOfTheSubset(t *testing.T) {
+// With hundreds of upstreams of one version, links from each entry to all of them would take half a
+// core for keep-alives alone, and the load reports of each would be stale.
+func TestLinksOnlyToSubset(t *testing.T) {
 	li := &list{hosts: agents(300)}
 	po := New(core.NewDeps(), declaration.NewInForce(), li)
 	defer po.closeAll()
@@ -42,12 +41,12 @@
 	li.hosts = agents(301)
 	po.update(t.Context())
 	assert.Assert(t, len(po.links) <= placement.MaxSubset+1)
-	assert.Equal(t, po.links["desk-0"], before, "a host that came must not move the others")
+	assert.Equal(t, po.links["desk-0"], before, "an added host must not replace the links to the others")
 }
 
-// The host list comes back empty while all links stand. An entry that believed
-// it would refuse every caller.
-func TestEmptyListKeepsStandingLinks(t *testing.T) {
+// The host list is empty while all links are up. An entry that dropped its links then would refuse
+// every caller.
+func TestEmptyHostListKeepsLinksThatAreUp(t *testing.T) {
 	li := &list{hosts: agents(3)}
 	po := New(core.NewDeps(), declaration.NewInForce(), li)
 	defer po.closeAll()
@@ -60,9 +59,9 @@
 	assert.Equal(t, len(po.Serving(core.ModelVersion{Model: "desk", Version: "v1"})), 3)
 }
 
-// An upstream leaves the subset while its agent may still hold bills. Hung up
-// at once, the entry would be taken for gone and its ledger sealed.
-func TestLinkLingers(t *testing.T) {
+// An upstream leaves the subset while its agent may still hold bills. If the entry closed the link
+// immediately, the agent would consider the entry gone, and its ledger would be sealed.
+func TestUnwantedLinkLingers(t *testing.T) {
 	po := New(core.NewDeps(), declaration.NewInForce(), &list{hosts: agents(2)})
 	defer po.closeAll()
 	po.update(t.Context())
