--- a/io/peer/evidence.go
+++ b/io/peer/evidence.go
@@ -10,11 +10,11 @@
 	"skylarkstand/io/frame"
 )
 
-// ErrNoHome tells that an entry does not pool the evidence that it was sent.
-var ErrNoHome = errors.New("peer: that entry does not pool this roll-out")
+// ErrNoHome reports that the receiving entry does not pool the evidence that it was sent.
+var ErrNoHome = errors.New("peer: the receiving entry does not pool evidence of this roll-out")
 
-// SendEvidence sends a batch to the home of its roll-out and returns nil once
-// the home has taken it. A batch that fails is lost to the pool.
+// SendEvidence sends a batch to the home entry of its roll-out, which pools it, and returns nil once
+// the home has accepted it. A batch that fails is missing from the pooled evidence.
 func (me *Mesh) SendEvidence(ctx context.Context, home core.Host, ba rollout.Batch) error {
 	fr, err := me.exchange(ctx, home.Addr, &frame.Frame{Body: &frame.Frame_Evidence{Evidence: evidenceFrame(ba)}})
 	if err != nil {
@@ -26,16 +26,16 @@
 	return nil
 }
 
-// pool takes another entry's batch and returns the answer to it.
-func (me *Mesh) pool(ev *frame.Evidence) *frame.Frame {
+// poolEvidence adds another entry's batch to the pooled evidence and returns the response to it.
+func (me *Mesh) poolEvidence(ev *frame.Evidence) *frame.Frame {
 	taken := &frame.Evidence{}
-	if me.guard.Pool(batch(ev, time.Now())) {
+	if me.guard.Pool(readEvidence(ev, time.Now())) {
 		taken.Model = ev.Model
 	}
 	return &frame.Frame{Body: &frame.Frame_Evidence{Evidence: taken}}
 }
 
-// TellHalt tells all linked entries of a halt that was decided by a generation.
+// TellHalt broadcasts a halt that was decided under a generation to all linked entries.
 func (me *Mesh) TellHalt(ha rollout.Halt, decided core.Generation) {
 	me.broadcast(&frame.Frame{Body: &frame.Frame_Halt{Halt: &frame.Halt{
 		Model: string(ha.Version.Model), Version: string(ha.Version.Version), Why: ha.Why,
@@ -43,8 +43,8 @@
 	}}})
 }
 
-// heed takes another entry's halt and passes news on, as learn does.
-func (me *Mesh) heed(fr *frame.Halt) {
+// receiveHalt applies another entry's halt and forwards it if it is new, as receiveSuspect does.
+func (me *Mesh) receiveHalt(fr *frame.Halt) {
 	ha := rollout.Halt{
 		Version: core.ModelVersion{Model: core.ModelID(fr.Model), Version: core.VersionID(fr.Version)},
 		Why:     fr.Why, Reached: int(fr.Reached),
@@ -54,8 +54,8 @@
 	}
 }
 
-// evidenceFrame groups a batch by version and kind, each in its order: one
-// byte an outcome, since with roll-outs to many callers every answer is one.
+// evidenceFrame groups a batch by version and kind and keeps the order within each group. An outcome
+// takes one byte, since in a roll-out to many callers every answer is an outcome.
 func evidenceFrame(ba rollout.Batch) *frame.Evidence {
 	type group struct {
 		version core.VersionID
@@ -83,9 +83,8 @@
 	return ev
 }
 
-// batch reads what evidenceFrame wrote. Kinds that this side does not know are
-// passed over.
-func batch(ev *frame.Evidence, now time.Time) rollout.Batch {
+// readEvidence decodes what evidenceFrame encoded. Unknown kinds are skipped.
+func readEvidence(ev *frame.Evidence, now time.Time) rollout.Batch {
 	ba := rollout.Batch{Model: core.ModelID(ev.Model), Reached: int(ev.Reached)}
 	for _, obs := range ev.Observations {
 		kind := rollout.Kind(obs.Kind)
--- a/io/peer/evidence_test.go
+++ b/io/peer/evidence_test.go
@@ -11,10 +11,10 @@
 	"skylarkstand/core/rollout"
 )
 
-// A batch reaches the home with every outcome, in the order of its version and
-// kind. Were the bad ones moved to the front, the guard would look at the
-// evidence when it is worst by its order alone.
-func TestEvidenceOnTheWire(t *testing.T) {
+// A batch reaches the home with every outcome, in the order of its version and kind. If encoding
+// moved the bad outcomes to the front, the guard would evaluate the evidence at a point where it
+// looks worst only because of the order.
+func TestEvidenceFrameKeepsOrder(t *testing.T) {
 	now := time.Unix(1000, 0)
 	rapid.Check(t, func(rt *rapid.T) {
 		kind := rapid.SampledFrom([]rollout.Kind{rollout.Rating, rollout.Error, rollout.Crash}).Draw(rt, "kind")
@@ -26,6 +26,6 @@
 			}
 			sent.Outcomes = append(sent.Outcomes, ou)
 		}
-		assert.DeepEqual(rt, batch(evidenceFrame(sent), now), sent)
+		assert.DeepEqual(rt, readEvidence(evidenceFrame(sent), now), sent)
 	})
 }
--- a/io/peer/halt_test.go
+++ b/io/peer/halt_test.go
@@ -16,7 +16,7 @@
 	"skylarkstand/io/peer"
 )
 
-// entry is an entry's mesh with its guard.
+// entry is the mesh of one entry and its roll-out guard.
 type entry struct {
 	host core.Host
 	gu   *rollout.Guard
@@ -43,11 +43,11 @@
 	return en
 }
 
-// The store is away, and callers come to two entries. Neither has seen enough
-// of a bad version to halt it, both together have. The one that pools halts it
-// and the other hears of that by the link alone, so that no caller of either
-// is given the version any more.
-func TestPooledHaltWithoutAStore(t *testing.T) {
+// The store is unavailable, and two entries serve callers. Neither has enough evidence against a bad
+// version to halt it, but both together have. The entry that pools the evidence halts the version,
+// and the other receives the halt over the link alone, so that neither gives the version to callers
+// any more.
+func TestPooledHaltWithoutStore(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	one, two := startEntry(ctx, t, "muc-a"), startEntry(ctx, t, "muc-b")
@@ -80,7 +80,7 @@
 	one.mesh.TellHalt(one.gu.Halts()[0], 1)
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		if !two.gu.Halted(bad) {
-			return poll.Continue("the halt has not come")
+			return poll.Continue("the halt has not arrived yet")
 		}
 		return poll.Success()
 	}, poll.WithTimeout(10*time.Second))
--- a/io/peer/main_test.go
+++ b/io/peer/main_test.go
@@ -6,5 +6,5 @@
 	"skylarkstand/test/property"
 )
 
-// TestMain fixes the seed of the properties unless one is given.
+// TestMain fixes the seed of the property tests unless one is given.
 func TestMain(m *testing.M) { property.Main(m, "4") }
--- a/io/peer/peer.go
+++ b/io/peer/peer.go
@@ -1,13 +1,13 @@
-// Package peer is the links between entries, over which a configuration goes
-// on to entries that do not wait on the platform's store, and to any entry
-// while the store is away.
+// Package peer implements the links between entries. They propagate a configuration to entries that
+// do not watch the platform's store, and to all entries while the store is unavailable. They also
+// carry suspects, pinned sessions, and the evidence and halts of roll-outs.
 //
 // # Usage
 //
 //	mesh := peer.New(deps, inForce, suspects, self)
 //	go mesh.Serve(ctx, listener)
-//	mesh.Update(hosts)             // after each reading of the host list
-//	mesh.Tell(record)              // of a request that crashed an upstream
+//	mesh.Update(hosts)             // after each read of the host list
+//	mesh.Tell(record)              // a request that crashed an upstream
 package peer
 
 import (
@@ -30,11 +30,11 @@
 	"skylarkstand/io/link"
 )
 
-// NoticeEvery is the pace of notices between entries: twice within the time
-// after which a silent reader is doubted.
+// NoticeEvery is the interval of notices between entries. Two of them fit into the time after which
+// other entries stop relying on a silent reader of the store.
 const NoticeEvery = 2 * time.Second
 
-// Mesh is one entry's links to other entries. It is safe for concurrent use.
+// Mesh holds one entry's links to other entries. It is safe for concurrent use.
 type Mesh struct {
 	deps core.Deps
 	inf  *declaration.InForce
@@ -42,7 +42,7 @@
 
 	suspects *suspect.Registry
 	holder   *session.Holder
-	asks     sessions
+	outbound outboundSessions
 	guard    *rollout.Guard
 
 	mu       sync.Mutex
@@ -55,7 +55,7 @@
 // Option changes a Mesh at construction.
 type Option func(*Mesh)
 
-// Guard sets the guard of roll-outs that gets the other entries' evidence.
+// Guard sets the roll-out guard that receives the other entries' evidence.
 func Guard(gu *rollout.Guard) Option { return func(me *Mesh) { me.guard = gu } }
 
 // New returns a mesh for the entry at self.
@@ -95,35 +95,35 @@
 		return
 	}
 	defer cleanup()
-	go me.answer(ses)
+	go me.serveStreams(ses)
 	_ = me.serve(ctx, st)
 }
 
 // serve runs the control stream of one link until it ends.
 func (me *Mesh) serve(ctx context.Context, st io.ReadWriteCloser) error {
-	hd := link.Handlers{Suspect: me.learn, Halt: me.heed}
+	hd := link.Handlers{Suspect: me.receiveSuspect, Halt: me.receiveHalt}
 	co := link.NewControl(me.deps, me.inf, st, hd, link.Every(NoticeEvery))
-	me.hold(co, true)
-	defer me.hold(co, false)
+	me.track(co, true)
+	defer me.track(co, false)
 	if err := co.Hello(""); err != nil {
 		return err
 	}
 	return co.Serve(ctx)
 }
 
-func (me *Mesh) hold(co *link.Control, held bool) {
+func (me *Mesh) track(co *link.Control, open bool) {
 	me.mu.Lock()
 	defer me.mu.Unlock()
-	if held {
+	if open {
 		me.controls[co] = true
 	} else {
 		delete(me.controls, co)
 	}
 }
 
-// learn takes another entry's word of a suspect and passes news on. What was
-// known already goes no further, so that a word does not circle.
-func (me *Mesh) learn(su *frame.Suspect) {
+// receiveSuspect merges another entry's record of a suspect and forwards it if it is new. A record
+// that is already present is not forwarded, so that records do not circulate.
+func (me *Mesh) receiveSuspect(su *frame.Suspect) {
 	now := time.Now()
 	re := suspect.Record{
 		Fingerprint: suspect.Fingerprint(su.Fingerprint), State: suspect.State(su.State),
@@ -134,7 +134,7 @@
 	}
 }
 
-// Tell sends a suspect's record to all linked entries.
+// Tell broadcasts a suspect's record to all linked entries.
 func (me *Mesh) Tell(re suspect.Record) {
 	me.broadcast(&frame.Frame{Body: &frame.Frame_Suspect{Suspect: &frame.Suspect{
 		Fingerprint: uint64(re.Fingerprint), State: int32(re.State), LeftMicros: time.Until(re.Until).Microseconds(),
@@ -151,7 +151,7 @@
 	}
 }
 
-// Update keeps links to the peers that the host list calls for.
+// Update opens links to the peers that the host list implies and closes all others.
 func (me *Mesh) Update(hosts []core.Host) {
 	me.mu.Lock()
 	defer me.mu.Unlock()
@@ -189,8 +189,8 @@
 	}
 }
 
-// Await asks the process at an address, an entry's or an agent's, until it has
-// a generation in force, and returns that generation.
+// Await waits until the process at an address, an entry or an agent, has the generation gen or a
+// newer one in force, and returns the generation that it has.
 func Await(ctx context.Context, deps core.Deps, addr string, gen core.Generation) (core.Generation, error) {
 	ses, st, err := link.Dial(ctx, addr)
 	if err != nil {
@@ -200,15 +200,15 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	var got core.Generation
-	note := func(theirs uint64) {
+	record := func(theirs uint64) {
 		got = max(got, core.Generation(theirs))
 		if got >= gen {
 			cancel()
 		}
 	}
 	co := link.NewControl(deps, declaration.NewInForce(), st, link.Handlers{
-		Hello:  func(he *frame.Hello) { note(he.Generation) },
-		Notice: func(no *frame.Notice) { note(no.Generation) },
+		Hello:  func(he *frame.Hello) { record(he.Generation) },
+		Notice: func(no *frame.Notice) { record(no.Generation) },
 	}, link.WithoutBody())
 	if err := co.Hello(""); err != nil {
 		return 0, err
--- a/io/peer/peer_test.go
+++ b/io/peer/peer_test.go
@@ -24,7 +24,7 @@
 	stop context.CancelFunc
 }
 
-// newMembers starts entries of one zone, all listed.
+// newMembers starts n entries of one availability zone.
 func newMembers(t *testing.T, n int) []*member {
 	t.Helper()
 	var all []*member
@@ -43,12 +43,12 @@
 	return all
 }
 
-// eventually waits for what other goroutines will do; the limit only ends a
+// eventually waits until a condition that other goroutines establish holds; the limit only ends a
 // test that would hang.
 func eventually(t *testing.T, fn func() bool) {
 	t.Helper()
 	for limit := time.Now().Add(30 * time.Second); !fn(); time.Sleep(5 * time.Millisecond) {
-		assert.Assert(t, time.Now().Before(limit), "never came")
+		assert.Assert(t, time.Now().Before(limit), "the condition did not hold within 30 s")
 	}
 }
 
@@ -71,10 +71,9 @@
 	assert.NilError(t, err)
 }
 
-// The store is away and one entry knows a configuration; the others have just
-// started. Without the hand-on they would refuse every caller until the store
-// is back.
-func TestConfigurationSpreadsWithoutTheStore(t *testing.T) {
+// The store is unavailable, one entry has a configuration and the others have just started. If the
+// entry did not forward it, the others would refuse every caller until the store is available again.
+func TestConfigurationPropagatesWithoutStore(t *testing.T) {
 	all := newMembers(t, 5)
 	adopt(t, all[3], 7)
 	eventually(t, func() bool {
@@ -88,9 +87,9 @@
 	})
 }
 
-// A request crashes an engine seen from one entry, and its caller comes back
-// through another. Unless the other one has heard, it costs one engine more.
-func TestSuspectsSpread(t *testing.T) {
+// A request sent through one entry crashes an engine, and its caller retries through another. Unless
+// that entry has received the record of the suspect, the retry crashes one more engine.
+func TestSuspectsPropagate(t *testing.T) {
 	all := newMembers(t, 4)
 	adopt(t, all[0], 1)
 	eventually(t, func() bool {
@@ -104,10 +103,10 @@
 	}
 }
 
-// A caller sends the id of its session and no token, each time through another
-// entry, and one entry is restarted in between. Its session must stay on its
-// version; otherwise the answers of one conversation come from two versions.
-func TestSessionIsHeldForCallersWithoutToken(t *testing.T) {
+// A caller sends its session id and no token, each time through another entry, and one entry is
+// restarted in between. The session must stay on its version; otherwise one conversation would get
+// answers of two versions.
+func TestSessionStaysPinnedWithoutToken(t *testing.T) {
 	all := newMembers(t, 5)
 	update(all)
 	key := session.Key{Workspace: "schools", Session: "s1"}
--- a/io/peer/pins.go
+++ b/io/peer/pins.go
@@ -15,49 +15,47 @@
 )
 
 const (
-	// holdersPerSession is how many entries of the region hold a session: its
-	// preferred one and the runner-up, so that one restart loses nothing.
+	// holdersPerSession is the number of entries of the region that hold a session: its preferred
+	// holder and the second choice, so that the restart of one loses nothing.
 	holdersPerSession = 2
-	// askLimit bounds the wait for a holder. It comes before the first token
-	// of a session's first request through an entry; a holder that does not
-	// answer within it costs the pin, not the request.
-	askLimit = 50 * time.Millisecond
-	// keepLimit bounds telling a holder, in the background.
-	keepLimit = 2 * time.Second
-	// keeping bounds the notes to holders that are under way at once. Beyond
-	// it notes are dropped: the token still keeps the session, and the next
-	// request through this entry finds it here.
-	keeping = 256
+	// findTimeout bounds the wait for the holders. It delays the first token of a session's first
+	// request through an entry; if no holder answers in time, the pin is lost, not the request.
+	findTimeout = 50 * time.Millisecond
+	// keepTimeout bounds a background message to a holder.
+	keepTimeout = 2 * time.Second
+	// maxPendingKeeps bounds the number of concurrent messages to holders. Further ones are dropped:
+	// the token still pins the session, and the next request through this entry finds it here.
+	maxPendingKeeps = 256
 )
 
-// holders returns the preferred holders of a session in this region.
+// holders returns the preferred holders of a session in the local region.
 func (me *Mesh) holders(key session.Key) []core.Host {
 	me.mu.Lock()
 	hosts := me.hosts
 	me.mu.Unlock()
-	var near []core.Host
+	var candidates []core.Host
 	for _, ho := range hosts {
 		if ho.Role == core.RoleEntry && ho.Region == me.self.Region && !ho.Leaving && ho.Addr != "" {
-			near = append(near, ho)
+			candidates = append(candidates, ho)
 		}
 	}
 	name := string(key.Workspace) + "\x00" + string(key.Session)
-	return rendezvous.Top(name, near, holdersPerSession, func(ho core.Host) string { return ho.Addr })
+	return rendezvous.Top(name, candidates, holdersPerSession, func(ho core.Host) string { return ho.Addr })
 }
 
-// Find returns the versions that a session runs on: as held here, or as its
-// holders say. Nil when nobody knows within askLimit.
+// Find returns the versions that a session is pinned to, as held here or else as its holders report
+// them. It returns nil if no holder has them or answers within findTimeout.
 func (me *Mesh) Find(ctx context.Context, key session.Key) session.Versions {
 	if vs := me.holder.Find(key, time.Now()); vs != nil {
 		return vs
 	}
-	ctx, cancel := context.WithTimeout(ctx, askLimit)
+	ctx, cancel := context.WithTimeout(ctx, findTimeout)
 	defer cancel()
 	for _, ho := range me.holders(key) {
 		if ho.Addr == me.self.Addr {
 			continue
 		}
-		if vs := me.ask(ctx, ho.Addr, key); vs != nil {
+		if vs := me.fetch(ctx, ho.Addr, key); vs != nil {
 			me.holder.Keep(key, vs, time.Now())
 			return vs
 		}
@@ -65,7 +63,7 @@
 	return nil
 }
 
-func (me *Mesh) ask(ctx context.Context, addr string, key session.Key) session.Versions {
+func (me *Mesh) fetch(ctx context.Context, addr string, key session.Key) session.Versions {
 	fr, err := me.exchange(ctx, addr, &frame.Frame{Body: &frame.Frame_PinAsk{PinAsk: &frame.PinAsk{
 		Workspace: string(key.Workspace), Session: string(key.Session),
 	}}})
@@ -91,35 +89,35 @@
 	return &frame.Frame{Body: &frame.Frame_Pins{Pins: pi}}
 }
 
-// Keep notes what a session runs on, here at once and at its holders in the
+// Keep records the versions that a session is pinned to: here immediately, and at its holders in the
 // background.
 func (me *Mesh) Keep(key session.Key, vs session.Versions) {
 	me.holder.Keep(key, vs, time.Now())
 	for _, ho := range me.holders(key) {
-		if ho.Addr == me.self.Addr || !me.asks.begin() {
+		if ho.Addr == me.self.Addr || !me.outbound.acquire() {
 			continue
 		}
 		go func() {
-			defer me.asks.end()
-			ctx, cancel := context.WithTimeout(context.Background(), keepLimit)
+			defer me.outbound.release()
+			ctx, cancel := context.WithTimeout(context.Background(), keepTimeout)
 			defer cancel()
 			_, _ = me.exchange(ctx, ho.Addr, pinsFrame(key, vs))
 		}()
 	}
 }
 
-// answer serves the streams that a peer opens after its control stream.
-func (me *Mesh) answer(ses *yamux.Session) {
+// serveStreams serves the streams that a peer opens after its control stream.
+func (me *Mesh) serveStreams(ses *yamux.Session) {
 	for {
 		st, err := ses.AcceptStream()
 		if err != nil {
 			return
 		}
-		go me.answerOne(st)
+		go me.serveStream(st)
 	}
 }
 
-func (me *Mesh) answerOne(st *yamux.Stream) {
+func (me *Mesh) serveStream(st *yamux.Stream) {
 	defer st.Close()
 	fr, err := frame.NewReader(st).Read()
 	if err != nil {
@@ -135,35 +133,35 @@
 		me.holder.Keep(key, versionsOf(body.Pins), now)
 		_ = wr.Write(pinsFrame(key, nil))
 	case *frame.Frame_Evidence:
-		_ = wr.Write(me.pool(body.Evidence))
+		_ = wr.Write(me.poolEvidence(body.Evidence))
 	}
 }
 
-// sessions are the links over which this entry asks others. They are opened
-// when first needed and kept.
-type sessions struct {
-	mu     sync.Mutex
-	open   map[string]*yamux.Session
-	flying int
+// outboundSessions holds the links over which this entry sends requests to others. A link is opened
+// when it is first needed and stays open.
+type outboundSessions struct {
+	mu       sync.Mutex
+	open     map[string]*yamux.Session
+	inFlight int
 }
 
-func (se *sessions) begin() bool {
+func (se *outboundSessions) acquire() bool {
 	se.mu.Lock()
 	defer se.mu.Unlock()
-	if se.flying >= keeping {
+	if se.inFlight >= maxPendingKeeps {
 		return false
 	}
-	se.flying++
+	se.inFlight++
 	return true
 }
 
-func (se *sessions) end() {
+func (se *outboundSessions) release() {
 	se.mu.Lock()
 	defer se.mu.Unlock()
-	se.flying--
+	se.inFlight--
 }
 
-// exchange sends a frame to an entry and returns its answer.
+// exchange sends a frame to an entry and returns the response.
 func (me *Mesh) exchange(ctx context.Context, addr string, fr *frame.Frame) (*frame.Frame, error) {
 	ses, err := me.sessionTo(ctx, addr)
 	if err != nil {
@@ -183,9 +181,9 @@
 }
 
 func (me *Mesh) sessionTo(ctx context.Context, addr string) (*yamux.Session, error) {
-	me.asks.mu.Lock()
-	ses := me.asks.open[addr]
-	me.asks.mu.Unlock()
+	me.outbound.mu.Lock()
+	ses := me.outbound.open[addr]
+	me.outbound.mu.Unlock()
 	if ses != nil && !ses.IsClosed() {
 		return ses, nil
 	}
@@ -197,20 +195,20 @@
 		_ = me.serve(me.lifetime(), st)
 		ses.Close()
 	}()
-	me.asks.mu.Lock()
-	defer me.asks.mu.Unlock()
-	if other := me.asks.open[addr]; other != nil && !other.IsClosed() {
+	me.outbound.mu.Lock()
+	defer me.outbound.mu.Unlock()
+	if other := me.outbound.open[addr]; other != nil && !other.IsClosed() {
 		ses.Close()
 		return other, nil
 	}
-	if me.asks.open == nil {
-		me.asks.open = map[string]*yamux.Session{}
+	if me.outbound.open == nil {
+		me.outbound.open = map[string]*yamux.Session{}
 	}
-	me.asks.open[addr] = ses
+	me.outbound.open[addr] = ses
 	return ses, nil
 }
 
-// lifetime is the context of the mesh; before Serve there is nobody to ask.
+// lifetime returns the context of Serve, or the background context before Serve is called.
 func (me *Mesh) lifetime() context.Context {
 	me.mu.Lock()
 	defer me.mu.Unlock()
