--- a/io/link/control.go
+++ b/io/link/control.go
@@ -13,8 +13,8 @@
 	"skylarkstand/io/frame"
 )
 
-// Handlers are called from the goroutine that reads the control stream. They
-// must not block. A nil handler drops its message.
+// Handlers are called from the goroutine that reads the control stream. They must not block. Messages
+// with a nil handler are dropped.
 type Handlers struct {
 	Hello   func(*frame.Hello)
 	Notice  func(*frame.Notice)
@@ -34,9 +34,9 @@
 	st   io.ReadWriteCloser
 	hd   Handlers
 
-	// every is the pace of notices without a change; zero is none.
-	every       time.Duration
-	withoutBody bool
+	// noticeInterval is the interval at which an unchanged notice is repeated; zero disables repetition.
+	noticeInterval time.Duration
+	withoutBody    bool
 
 	ended atomic.Bool
 
@@ -44,18 +44,18 @@
 	wr *frame.Writer
 }
 
-// WithoutBody makes the control ask for no configuration, for a peer that only
-// wants to know which one the other side has.
+// WithoutBody makes the control request no configuration, for a process that only needs to know which
+// generation the other side has.
 func WithoutBody() Option { return func(co *Control) { co.withoutBody = true } }
 
 // Option changes a Control at construction.
 type Option func(*Control)
 
-// Every makes the control repeat its notice, so that a peer which does not
-// read the store knows how old its configuration is.
-func Every(d time.Duration) Option { return func(co *Control) { co.every = d } }
+// Every makes the control repeat its notice at an interval, so that a peer that does not read the
+// store can tell how old its configuration is.
+func Every(d time.Duration) Option { return func(co *Control) { co.noticeInterval = d } }
 
-// NewControl returns the control of an opened stream.
+// NewControl returns a Control on an open stream.
 func NewControl(deps core.Deps, inf *declaration.InForce, st io.ReadWriteCloser, hd Handlers, opts ...Option) *Control {
 	co := &Control{deps: deps, inf: inf, st: st, hd: hd, wr: frame.NewWriter(st)}
 	for _, opt := range opts {
@@ -79,8 +79,8 @@
 	}}})
 }
 
-// Serve reads the stream until it or the context ends, and tells the peer of
-// each newer generation.
+// Serve reads the stream until the stream or the context ends, and announces each newer generation to
+// the peer.
 func (co *Control) Serve(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -100,18 +100,18 @@
 	}
 }
 
-// announce sends a notice now, at each change of the configuration and at the
-// control's pace.
+// announce sends a notice immediately, at each change of the configuration, and every
+// noticeInterval.
 func (co *Control) announce(ctx context.Context) {
 	var tick <-chan time.Time
-	if co.every > 0 {
-		tk := time.NewTicker(co.every)
+	if co.noticeInterval > 0 {
+		tk := time.NewTicker(co.noticeInterval)
 		defer tk.Stop()
 		tick = tk.C
 	}
 	for {
 		changed := co.inf.Changed()
-		if co.notice() != nil {
+		if co.sendNotice() != nil {
 			return
 		}
 		select {
@@ -123,40 +123,40 @@
 	}
 }
 
-func (co *Control) notice() error {
+func (co *Control) sendNotice() error {
 	no := &frame.Notice{Generation: uint64(co.inf.Number())}
-	if heard := co.inf.Heard(); !heard.IsZero() {
-		no.Fresh, no.AgeMicros = true, time.Since(heard).Microseconds()
+	if confirmed := co.inf.Heard(); !confirmed.IsZero() {
+		no.Fresh, no.AgeMicros = true, time.Since(confirmed).Microseconds()
 	}
 	return co.Send(&frame.Frame{Body: &frame.Frame_Notice{Notice: no}})
 }
 
-// noticed takes a peer's word. What the peer knew to be the newest was the
-// newest that long ago; if this process has it in force, the same holds here.
-// A notice that travelled slowly makes the word look younger than it is by the
-// time of its travel, which the keep-alive of the link bounds.
-func (co *Control) noticed(no *frame.Notice) error {
+// handleNotice processes a peer's notice. The peer confirmed its generation as the newest AgeMicros
+// ago; if this process has that generation or a newer one in force, the confirmation holds here too.
+// The transit time of a notice makes the confirmation look more recent than it is, by at most the
+// time that the link's keep-alive allows.
+func (co *Control) handleNotice(no *frame.Notice) error {
 	if no.Fresh && no.Generation <= uint64(co.inf.Number()) {
 		co.inf.Confirm(time.Now().Add(-time.Duration(no.AgeMicros) * time.Microsecond))
 	}
 	call(co.hd.Notice, no)
-	return co.behind(no.Generation)
+	return co.requestIfNewer(no.Generation)
 }
 
 func (co *Control) handle(fr *frame.Frame) error {
 	switch body := fr.Body.(type) {
 	case *frame.Frame_Hello:
 		call(co.hd.Hello, body.Hello)
-		return co.behind(body.Hello.Generation)
+		return co.requestIfNewer(body.Hello.Generation)
 	case *frame.Frame_Notice:
-		return co.noticed(body.Notice)
+		return co.handleNotice(body.Notice)
 	case *frame.Frame_Want:
-		return co.body()
+		return co.sendConfig()
 	case *frame.Frame_Config:
 		co.adopt(body.Config.Generation)
 	case *frame.Frame_State:
 		call(co.hd.State, body.State)
-		return co.behind(body.State.Generation)
+		return co.requestIfNewer(body.State.Generation)
 	case *frame.Frame_Settled:
 		call(co.hd.Settled, body.Settled)
 	case *frame.Frame_Durable:
@@ -179,18 +179,17 @@
 	}
 }
 
-// behind asks for the peer's generation when it is newer than ours. When the
-// body was asked for over another link, this one waits whether it comes: the
-// peer that was asked may go before it answers, and no other would tell of the
-// generation again.
-func (co *Control) behind(theirs uint64) error {
+// requestIfNewer requests the peer's generation if it is newer than the local one. If it has been
+// requested over another link already, this link checks again after [declaration.AskAgain]: the other
+// peer may disappear before it responds, and no peer would announce the generation again.
+func (co *Control) requestIfNewer(theirs uint64) error {
 	if co.withoutBody || theirs <= uint64(co.inf.Number()) {
 		return nil
 	}
 	if !co.inf.Asks(core.Generation(theirs), time.Now()) {
 		time.AfterFunc(declaration.AskAgain, func() {
 			if !co.ended.Load() {
-				_ = co.behind(theirs)
+				_ = co.requestIfNewer(theirs)
 			}
 		})
 		return nil
@@ -198,7 +197,7 @@
 	return co.Send(&frame.Frame{Body: &frame.Frame_Want{Want: &frame.Want{Generation: theirs}}})
 }
 
-func (co *Control) body() error {
+func (co *Control) sendConfig() error {
 	sn := co.inf.Current()
 	if sn == nil {
 		return nil
--- a/io/link/control_test.go
+++ b/io/link/control_test.go
@@ -15,51 +15,50 @@
 	"skylarkstand/io/link"
 )
 
-// peer is the far end of a link that tells of a generation, and counts how
-// often it is asked for it.
+// peer is the remote end of a link. It announces a generation and counts the requests for it.
 type peer struct {
-	conn  net.Conn
-	asked atomic.Int64
+	conn      net.Conn
+	requested atomic.Int64
 }
 
 func newPeer(t *testing.T, inf *declaration.InForce, gen uint64) *peer {
-	near, far := net.Pipe()
-	pe := &peer{conn: far}
-	go func() { _ = link.NewControl(core.NewDeps(), inf, near, link.Handlers{}).Serve(t.Context()) }()
+	local, remote := net.Pipe()
+	pe := &peer{conn: remote}
+	go func() { _ = link.NewControl(core.NewDeps(), inf, local, link.Handlers{}).Serve(t.Context()) }()
 	go func() {
-		rd := frame.NewReader(far)
+		rd := frame.NewReader(remote)
 		for {
 			fr, err := rd.Read()
 			if err != nil {
 				return
 			}
 			if fr.GetWant() != nil {
-				pe.asked.Add(1)
+				pe.requested.Add(1)
 			}
 		}
 	}()
-	err := frame.NewWriter(far).Write(&frame.Frame{Body: &frame.Frame_Notice{Notice: &frame.Notice{Generation: gen}}})
+	err := frame.NewWriter(remote).Write(&frame.Frame{Body: &frame.Frame_Notice{Notice: &frame.Notice{Generation: gen}}})
 	assert.NilError(t, err)
 	return pe
 }
 
-// A process hears of a new configuration from two peers and asks the first one
-// for it. That one goes without an answer. Were the second one not asked then,
-// the process would work by the old configuration until the next change, and an
-// operator would see a withdrawn version serve on.
-func TestSecondPeerIsAskedWhenTheFirstGoes(t *testing.T) {
+// Two peers announce a new configuration to a process, which requests it from the first. That peer
+// disconnects without responding. If the process did not request it from the second peer then, it
+// would keep the old configuration until the next change, and a withdrawn version would stay in
+// service.
+func TestSecondPeerIsRequestedWhenFirstDisconnects(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		inf := declaration.NewInForce()
 		first := newPeer(t, inf, 5)
 		synctest.Wait()
 		second := newPeer(t, inf, 5)
 		synctest.Wait()
-		assert.Equal(t, first.asked.Load(), int64(1))
-		assert.Equal(t, second.asked.Load(), int64(0))
+		assert.Equal(t, first.requested.Load(), int64(1))
+		assert.Equal(t, second.requested.Load(), int64(0))
 		first.conn.Close()
 		time.Sleep(2 * declaration.AskAgain)
 		synctest.Wait()
-		assert.Assert(t, second.asked.Load() >= 1)
+		assert.Assert(t, second.requested.Load() >= 1)
 		second.conn.Close()
 		synctest.Wait()
 	})
--- a/io/link/convert.go
+++ b/io/link/convert.go
@@ -7,7 +7,7 @@
 	"skylarkstand/io/frame"
 )
 
-// DispatchFrame returns the frame that hands an attempt over.
+// DispatchFrame returns the frame that sends an attempt to an agent.
 func DispatchFrame(at *core.Attempt) *frame.Frame {
 	return &frame.Frame{Body: &frame.Frame_Dispatch{Dispatch: &frame.Dispatch{
 		Attempt: string(at.ID), Request: string(at.Request), Workspace: string(at.Workspace),
@@ -17,7 +17,7 @@
 	}}}
 }
 
-// Attempt reads what DispatchFrame wrote.
+// Attempt decodes what DispatchFrame encoded.
 func Attempt(di *frame.Dispatch) *core.Attempt {
 	return &core.Attempt{
 		ID: core.AttemptID(di.Attempt), Request: core.RequestID(di.Request), Workspace: core.WorkspaceID(di.Workspace),
@@ -36,8 +36,8 @@
 	}}}
 }
 
-// Failure reads what FailureFrame wrote. An ending that this side does not
-// know is taken for an unknown outcome, the one that promises nothing.
+// Failure decodes what FailureFrame encoded. An unrecognized value of Ran becomes core.RanUnknown, the
+// outcome that makes no promise about whether the attempt ran.
 func Failure(fa *frame.Failure) *core.Failure {
 	ran := core.Ran(fa.Ran)
 	if ran != core.NotRun && ran != core.RanFailed {
--- a/io/link/link.go
+++ b/io/link/link.go
@@ -1,10 +1,9 @@
-// Package link is the protocol between two processes of the system: a yamux
-// session over TCP with one control stream and a stream for each attempt.
+// Package link implements the protocol between two processes of the system: a yamux session over TCP
+// with one control stream and one stream for each attempt.
 //
-// The control stream is symmetric in what concerns the configuration: each
-// side tells the generation that it has in force, and the side that is behind
-// asks for the body. A configuration so reaches every process that any newer
-// one is linked with, also while the store is away.
+// The control stream is symmetric with regard to the configuration: each side announces the generation
+// that it has in force, and the side with the older one requests the newer. A configuration thus
+// reaches every process linked with one that has it, even while the store is unavailable.
 //
 // # Usage
 //
@@ -26,38 +25,38 @@
 )
 
 const (
-	// keepAlive is how often an idle link is probed. A peer that froze or
-	// whose host went without closing its connections is noticed after
-	// keepAlive plus writeLimit, and its upstream gets no more work.
-	keepAlive  = 2 * time.Second
-	writeLimit = 3 * time.Second
-	// backlog bounds the streams that a peer opened and we did not accept
-	// yet; a burst of new attempts must not wait for the accept loop.
-	backlog = 4096
-	// window bounds what one stream may have in flight unread, in bytes: a
-	// caller that reads slowly holds that much memory at most.
-	window = 1 << 20
-	// dialLimit bounds one try to connect; the pauses between two grow up to
-	// maxRedial, so that a peer that came back gets work within seconds.
-	dialLimit   = 2 * time.Second
-	firstRedial = 50 * time.Millisecond
-	maxRedial   = 3 * time.Second
+	// keepAlive is the interval at which an idle link is probed. A peer that hangs, or whose host
+	// fails without closing its connections, is detected within keepAlive plus writeTimeout, and its
+	// upstream gets no more work.
+	keepAlive    = 2 * time.Second
+	writeTimeout = 3 * time.Second
+	// acceptBacklog bounds the streams that a peer has opened and this side has not accepted yet; a
+	// burst of new attempts must not wait for the accept loop.
+	acceptBacklog = 4096
+	// maxStreamWindow bounds the unread data of one stream, in bytes: a slow caller occupies at most
+	// that much memory.
+	maxStreamWindow = 1 << 20
+	// dialTimeout bounds one connection attempt; the pauses between attempts grow up to
+	// maxRedialPause, so that a restarted peer gets work within seconds.
+	dialTimeout    = 2 * time.Second
+	minRedialPause = 50 * time.Millisecond
+	maxRedialPause = 3 * time.Second
 )
 
 // Config returns the session settings for both sides.
 func Config() *yamux.Config {
 	cfg := yamux.DefaultConfig()
-	cfg.AcceptBacklog = backlog
+	cfg.AcceptBacklog = acceptBacklog
 	cfg.KeepAliveInterval = keepAlive
-	cfg.ConnectionWriteTimeout = writeLimit
-	cfg.MaxStreamWindowSize = window
+	cfg.ConnectionWriteTimeout = writeTimeout
+	cfg.MaxStreamWindowSize = maxStreamWindow
 	cfg.LogOutput = io.Discard
 	return cfg
 }
 
-// Dial opens a session to a peer with its control stream.
+// Dial connects to a peer and opens a session with its control stream.
 func Dial(ctx context.Context, addr string) (*yamux.Session, *yamux.Stream, error) {
-	dl := net.Dialer{Timeout: dialLimit}
+	dl := net.Dialer{Timeout: dialTimeout}
 	conn, err := dl.DialContext(ctx, "tcp", addr)
 	if err != nil {
 		return nil, nil, eris.Wrap(err, "link")
@@ -75,8 +74,8 @@
 	return ses, st, nil
 }
 
-// Accept takes a session from an accepted connection, with its control
-// stream. The session ends with the context.
+// Accept opens the server side of a session on an accepted connection and accepts its control stream.
+// The session ends with the context or when the returned function is called.
 func Accept(ctx context.Context, conn net.Conn) (*yamux.Session, *yamux.Stream, func(), error) {
 	ses, err := yamux.Server(conn, Config())
 	if err != nil {
@@ -96,15 +95,15 @@
 	return ses, st, cleanup, nil
 }
 
-// Redial calls connect for as long as the context lives, with a growing pause
-// after connections that did not last.
+// Redial calls connect repeatedly until the context ends, with a growing pause after connections that
+// lasted for maxRedialPause or less.
 func Redial(ctx context.Context, connect func(context.Context)) {
 	bo := backoff.NewExponentialBackOff()
-	bo.InitialInterval, bo.MaxInterval = firstRedial, maxRedial
+	bo.InitialInterval, bo.MaxInterval = minRedialPause, maxRedialPause
 	for ctx.Err() == nil {
-		began := time.Now()
+		started := time.Now()
 		connect(ctx)
-		if time.Since(began) > maxRedial {
+		if time.Since(started) > maxRedialPause {
 			bo.Reset()
 		}
 		select {
