--- a/io/frame/frame.go
+++ b/io/frame/frame.go
@@ -1,5 +1,5 @@
-// Package frame is the wire form between an entry and an agent: protobuf
-// messages with a length in front, on the streams of a yamux session.
+// Package frame implements the wire format between two processes, such as an entry and an agent:
+// length-prefixed protobuf messages on the streams of a yamux session.
 //
 // # Usage
 //
@@ -8,7 +8,7 @@
 //	err := wr.Write(&frame.Frame{Body: &frame.Frame_Notice{…}})
 //	fr, err := rd.Read()
 //
-// The generated code is committed; `make generate` renews it from frame.proto.
+// The generated code is committed; `make generate` regenerates it from frame.proto.
 package frame
 
 import (
@@ -23,30 +23,29 @@
 
 //go:generate protoc --go_out=. --go_opt=paths=source_relative frame.proto
 
-// MaxFrame bounds a frame in bytes. A configuration of the store's largest
-// value must fit with its envelope. A peer that announces more is broken, and
-// believing it would let one frame take the process's memory.
+// MaxFrame is the maximum size of a frame in bytes. It fits a configuration of the store's maximum
+// value size plus its envelope. A peer that announces a larger frame is faulty, and accepting the
+// length would let one frame exhaust the process's memory.
 const MaxFrame = 1<<20 + 1<<16
 
-// ErrTooLarge tells that a frame is above MaxFrame.
+// ErrTooLarge reports that a frame is larger than MaxFrame.
 var ErrTooLarge = errors.New("frame: too large")
 
 // Reader reads frames from a stream. It is not safe for concurrent use.
 type Reader struct{ br *bufio.Reader }
 
-// readBuffer holds a usual chunk of tokens; streams are many, so it is small.
-const readBuffer = 2 << 10
+// readBufferSize fits a typical chunk of tokens, in bytes. It is small because there are many streams.
+const readBufferSize = 2 << 10
 
 // NewReader returns a Reader of st.
-func NewReader(st io.Reader) *Reader { return &Reader{br: bufio.NewReaderSize(st, readBuffer)} }
+func NewReader(st io.Reader) *Reader { return &Reader{br: bufio.NewReaderSize(st, readBufferSize)} }
 
-// Read returns the next frame, io.EOF at a clean end between two frames, or
-// the error of the stream.
+// Read returns the next frame, io.EOF if the stream ends between two frames, or the stream's error.
 func (rd *Reader) Read() (*Frame, error) {
 	fr := new(Frame)
 	err := protodelim.UnmarshalOptions{MaxSize: MaxFrame}.UnmarshalFrom(rd.br, fr)
-	var big *protodelim.SizeTooLargeError
-	if errors.As(err, &big) {
+	var tooLarge *protodelim.SizeTooLargeError
+	if errors.As(err, &tooLarge) {
 		return nil, ErrTooLarge
 	}
 	if err != nil {
@@ -55,11 +54,10 @@
 	return fr, nil
 }
 
-// Buffered reports whether another frame has begun to arrive already.
+// Buffered reports whether part of another frame has already been received.
 func (rd *Reader) Buffered() bool { return rd.br.Buffered() > 0 }
 
-// Writer writes frames to a stream, each with one call. It is not safe for
-// concurrent use.
+// Writer writes frames to a stream, each with one call of Write. It is not safe for concurrent use.
 type Writer struct {
 	wr  io.Writer
 	buf []byte
@@ -68,8 +66,8 @@
 // NewWriter returns a Writer to st.
 func NewWriter(st io.Writer) *Writer { return &Writer{wr: st} }
 
-// Write sends a frame. Length and body go out in one write, because each write
-// becomes a frame of the session below.
+// Write sends a frame. Length and body are written with one call, because each call becomes a frame of
+// the underlying yamux session.
 func (wr *Writer) Write(fr *Frame) error {
 	size := proto.Size(fr)
 	if size > MaxFrame {
