--- a/io/agent/pool.go
+++ b/io/agent/pool.go
@@ -56,8 +56,8 @@
 	// that leave announce it on their links immediately.
 	minRefresh = time.Second
 	// maxLinesPerSecond bounds the rate at which an entry reads lines of the host list. Reading a
-	// list of 12,000 hosts every second takes 5% of a core and 1.7 MB/s on every entry; at this rate
-	// a new agent in such a list is found within 6 s.
+	// list of 12,000 hosts every second takes 5% of a core and 1.7 MB/s on every entry; at this
+	// rate a new agent in such a list is found within 6 s.
 	maxLinesPerSecond = 2000
 )
 
@@ -136,7 +136,8 @@
 	return out
 }
 
-// ensure opens a link to a listed host unless there is one. It is called with the lock held.
+// ensure opens a link to a listed host, or replaces a link whose address, version or service has
+// changed. It is called with the lock held.
 func (po *Pool) ensure(ctx context.Context, ho core.Host) {
 	old := po.links[ho.ID]
 	if old != nil && old.host.Addr == ho.Addr && old.host.Serves() == ho.Serves() && old.host.Service == ho.Service {
@@ -199,8 +200,8 @@
 	return ix
 }
 
-// Entries returns the number of entries that share the upstreams of the local region, including this
-// one.
+// Entries returns the number of entries that share the upstreams of the local region, including
+// this one.
 func (po *Pool) Entries() int { return max(int(po.regionEntries.Load()), 1) }
 
 func (po *Pool) closeAll() {
--- a/io/frame/frame.go
+++ b/io/frame/frame.go
@@ -34,7 +34,8 @@
 // Reader reads frames from a stream. It is not safe for concurrent use.
 type Reader struct{ br *bufio.Reader }
 
-// readBufferSize fits a typical chunk of tokens, in bytes. It is small because there are many streams.
+// readBufferSize fits a typical chunk of tokens, in bytes. It is small because there are many
+// streams.
 const readBufferSize = 2 << 10
 
 // NewReader returns a Reader of st.
@@ -66,8 +67,8 @@
 // NewWriter returns a Writer to st.
 func NewWriter(st io.Writer) *Writer { return &Writer{wr: st} }
 
-// Write sends a frame. Length and body are written with one call, because each call becomes a frame of
-// the underlying yamux session.
+// Write sends a frame. Length and body are written with one call, because each call becomes a frame
+// of the underlying yamux session.
 func (wr *Writer) Write(fr *Frame) error {
 	size := proto.Size(fr)
 	if size > MaxFrame {
--- a/io/link/control.go
+++ b/io/link/control.go
@@ -13,8 +13,8 @@
 	"skylarkstand/io/frame"
 )
 
-// Handlers are called from the goroutine that reads the control stream. They must not block. Messages
-// with a nil handler are dropped.
+// Handlers are called from the goroutine that reads the control stream. They must not block.
+// Messages with a nil handler are dropped.
 type Handlers struct {
 	Hello   func(*frame.Hello)
 	Notice  func(*frame.Notice)
@@ -34,7 +34,8 @@
 	st   io.ReadWriteCloser
 	hd   Handlers
 
-	// noticeInterval is the interval at which an unchanged notice is repeated; zero disables repetition.
+	// noticeInterval is the interval at which an unchanged notice is repeated; zero disables
+	// repetition.
 	noticeInterval time.Duration
 	withoutBody    bool
 
@@ -44,8 +45,8 @@
 	wr *frame.Writer
 }
 
-// WithoutBody makes the control request no configuration, for a process that only needs to know which
-// generation the other side has.
+// WithoutBody makes the control request no configuration, for a process that only needs to know
+// which generation the other side has.
 func WithoutBody() Option { return func(co *Control) { co.withoutBody = true } }
 
 // Option changes a Control at construction.
@@ -79,8 +80,8 @@
 	}}})
 }
 
-// Serve reads the stream until the stream or the context ends, and announces each newer generation to
-// the peer.
+// Serve reads the stream until the stream or the context ends, and announces each newer generation
+// to the peer.
 func (co *Control) Serve(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -132,9 +133,9 @@
 }
 
 // handleNotice processes a peer's notice. The peer confirmed its generation as the newest AgeMicros
-// ago; if this process has that generation or a newer one in force, the confirmation holds here too.
-// The transit time of a notice makes the confirmation look more recent than it is, by at most the
-// time that the link's keep-alive allows.
+// ago; if this process has that generation or a newer one in force, the confirmation holds here
+// too. The transit time of a notice makes the confirmation look more recent than it is, by at most
+// the time that the link's keep-alive allows.
 func (co *Control) handleNotice(no *frame.Notice) error {
 	if no.Fresh && no.Generation <= uint64(co.inf.Number()) {
 		co.inf.Confirm(time.Now().Add(-time.Duration(no.AgeMicros) * time.Microsecond))
@@ -180,8 +181,8 @@
 }
 
 // requestIfNewer requests the peer's generation if it is newer than the local one. If it has been
-// requested over another link already, this link checks again after [declaration.AskAgain]: the other
-// peer may disappear before it responds, and no peer would announce the generation again.
+// requested over another link already, this link checks again after [declaration.AskAgain]: the
+// other peer may disappear before it responds, and no peer would announce the generation again.
 func (co *Control) requestIfNewer(theirs uint64) error {
 	if co.withoutBody || theirs <= uint64(co.inf.Number()) {
 		return nil
--- a/io/link/convert.go
+++ b/io/link/convert.go
@@ -36,8 +36,8 @@
 	}}}
 }
 
-// Failure decodes what FailureFrame encoded. An unrecognized value of Ran becomes core.RanUnknown, the
-// outcome that makes no promise about whether the attempt ran.
+// Failure decodes what FailureFrame encoded. An unrecognized value of Ran becomes core.RanUnknown,
+// the outcome that makes no promise about whether the attempt ran.
 func Failure(fa *frame.Failure) *core.Failure {
 	ran := core.Ran(fa.Ran)
 	if ran != core.NotRun && ran != core.RanFailed {
--- a/io/link/link.go
+++ b/io/link/link.go
@@ -1,9 +1,10 @@
-// Package link implements the protocol between two processes of the system: a yamux session over TCP
-// with one control stream and one stream for each attempt.
+// Package link implements the protocol between two processes of the system: a yamux session over
+// TCP with one control stream and one stream for each attempt.
 //
-// The control stream is symmetric with regard to the configuration: each side announces the generation
-// that it has in force, and the side with the older one requests the newer. A configuration thus
-// reaches every process linked with one that has it, even while the store is unavailable.
+// The control stream is symmetric with regard to the configuration: each side announces the
+// generation that it has in force, and the side with the older one requests the newer. A
+// configuration thus reaches every process linked with one that has it, even while the store is
+// unavailable.
 //
 // # Usage
 //
@@ -26,15 +27,15 @@
 
 const (
 	// keepAlive is the interval at which an idle link is probed. A peer that hangs, or whose host
-	// fails without closing its connections, is detected within keepAlive plus writeTimeout, and its
-	// upstream gets no more work.
+	// fails without closing its connections, is detected within keepAlive plus writeTimeout, and
+	// its upstream gets no more work.
 	keepAlive    = 2 * time.Second
 	writeTimeout = 3 * time.Second
 	// acceptBacklog bounds the streams that a peer has opened and this side has not accepted yet; a
 	// burst of new attempts must not wait for the accept loop.
 	acceptBacklog = 4096
-	// maxStreamWindow bounds the unread data of one stream, in bytes: a slow caller occupies at most
-	// that much memory.
+	// maxStreamWindow bounds the unread data of one stream, in bytes: a slow caller occupies at
+	// most that much memory.
 	maxStreamWindow = 1 << 20
 	// dialTimeout bounds one connection attempt; the pauses between attempts grow up to
 	// maxRedialPause, so that a restarted peer gets work within seconds.
@@ -74,8 +75,8 @@
 	return ses, st, nil
 }
 
-// Accept opens the server side of a session on an accepted connection and accepts its control stream.
-// The session ends with the context or when the returned function is called.
+// Accept opens the server side of a session on an accepted connection and accepts its control
+// stream. The session ends with the context or when the returned function is called.
 func Accept(ctx context.Context, conn net.Conn) (*yamux.Session, *yamux.Stream, func(), error) {
 	ses, err := yamux.Server(conn, Config())
 	if err != nil {
@@ -95,8 +96,8 @@
 	return ses, st, cleanup, nil
 }
 
-// Redial calls connect repeatedly until the context ends, with a growing pause after connections that
-// lasted for maxRedialPause or less.
+// Redial calls connect repeatedly until the context ends, with a growing pause after connections
+// that lasted for maxRedialPause or less.
 func Redial(ctx context.Context, connect func(context.Context)) {
 	bo := backoff.NewExponentialBackOff()
 	bo.InitialInterval, bo.MaxInterval = minRedialPause, maxRedialPause
--- a/io/peer/evidence.go
+++ b/io/peer/evidence.go
@@ -13,8 +13,8 @@
 // ErrNoHome reports that the receiving entry does not pool the evidence that it was sent.
 var ErrNoHome = errors.New("peer: the receiving entry does not pool evidence of this roll-out")
 
-// SendEvidence sends a batch to the home entry of its roll-out, which pools it, and returns nil once
-// the home has accepted it. A batch that fails is missing from the pooled evidence.
+// SendEvidence sends a batch to the home entry of its roll-out, which pools it, and returns nil
+// once the home has accepted it. A batch that fails is missing from the pooled evidence.
 func (me *Mesh) SendEvidence(ctx context.Context, home core.Host, ba rollout.Batch) error {
 	fr, err := me.exchange(ctx, home.Addr, &frame.Frame{Body: &frame.Frame_Evidence{Evidence: evidenceFrame(ba)}})
 	if err != nil {
@@ -54,8 +54,8 @@
 	}
 }
 
-// evidenceFrame groups a batch by version and kind and keeps the order within each group. An outcome
-// takes one byte, since in a roll-out to many callers every answer is an outcome.
+// evidenceFrame groups a batch by version and kind and keeps the order within each group. An
+// outcome takes one byte, since in a roll-out to many callers every answer is an outcome.
 func evidenceFrame(ba rollout.Batch) *frame.Evidence {
 	type group struct {
 		version core.VersionID
--- a/io/peer/halt_test.go
+++ b/io/peer/halt_test.go
@@ -43,10 +43,10 @@
 	return en
 }
 
-// The store is unavailable, and two entries serve callers. Neither has enough evidence against a bad
-// version to halt it, but both together have. The entry that pools the evidence halts the version,
-// and the other receives the halt over the link alone, so that neither gives the version to callers
-// any more.
+// The store is unavailable, and two entries serve callers. Neither has enough evidence against a
+// bad version to halt it, but both together have. The entry that pools the evidence halts the
+// version, and the other receives the halt over the link alone, so that neither gives the version
+// to callers any more.
 func TestPooledHaltWithoutStore(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
--- a/io/peer/peer_test.go
+++ b/io/peer/peer_test.go
@@ -72,7 +72,8 @@
 }
 
 // The store is unavailable, one entry has a configuration and the others have just started. If the
-// entry did not forward it, the others would refuse every caller until the store is available again.
+// entry did not forward it, the others would refuse every caller until the store is available
+// again.
 func TestConfigurationPropagatesWithoutStore(t *testing.T) {
 	all := newMembers(t, 5)
 	adopt(t, all[3], 7)
@@ -87,8 +88,8 @@
 	})
 }
 
-// A request sent through one entry crashes an engine, and its caller retries through another. Unless
-// that entry has received the record of the suspect, the retry crashes one more engine.
+// A request sent through one entry crashes an engine, and its caller retries through another.
+// Unless that entry has received the record of the suspect, the retry crashes one more engine.
 func TestSuspectsPropagate(t *testing.T) {
 	all := newMembers(t, 4)
 	adopt(t, all[0], 1)
--- a/io/peer/pins.go
+++ b/io/peer/pins.go
@@ -23,8 +23,9 @@
 	findTimeout = 50 * time.Millisecond
 	// keepTimeout bounds a background message to a holder.
 	keepTimeout = 2 * time.Second
-	// maxPendingKeeps bounds the number of concurrent messages to holders. Further ones are dropped:
-	// the token still pins the session, and the next request through this entry finds it here.
+	// maxPendingKeeps bounds the number of concurrent messages to holders. Further ones are
+	// dropped: the token still pins the session, and the next request through this entry finds it
+	// here.
 	maxPendingKeeps = 256
 )
 
@@ -89,8 +90,8 @@
 	return &frame.Frame{Body: &frame.Frame_Pins{Pins: pi}}
 }
 
-// Keep records the versions that a session is pinned to: here immediately, and at its holders in the
-// background.
+// Keep records the versions that a session is pinned to: here immediately, and at its holders in
+// the background.
 func (me *Mesh) Keep(key session.Key, vs session.Versions) {
 	me.holder.Keep(key, vs, time.Now())
 	for _, ho := range me.holders(key) {
