--- a/io/engine/engine.go
+++ b/io/engine/engine.go
@@ -1,8 +1,8 @@
-// Package engine speaks to a model engine: HTTP with server-sent events in
-// the shape of the OpenAI-compatible chat completions API.
+// Package engine is the client of a model engine: HTTP with server-sent events in the format of the
+// OpenAI-compatible chat completions API.
 //
-// The attempt's id goes out as X-Request-Id, and every event must carry it in
-// its id. An engine that mixes answers up is noticed by that.
+// The attempt's id is sent as X-Request-Id, and every event must contain it in its id. This detects
+// engines that mix up answers.
 //
 // # Usage
 //
@@ -25,7 +25,7 @@
 	"skylarkstand/core"
 )
 
-// Engine is one model engine. It implements [core.Runner].
+// Engine is the client of one model engine. It implements [core.Runner].
 type Engine struct {
 	deps core.Deps
 	url  string
@@ -33,17 +33,17 @@
 }
 
 const (
-	dialLimit = 2 * time.Second
-	idleConns = 256
-	// maxAnswer bounds an answer that is not streamed, in bytes.
+	dialTimeout  = 2 * time.Second
+	maxIdleConns = 256
+	// maxAnswer is the maximum size in bytes of an answer that is not streamed.
 	maxAnswer = 16 << 20
 )
 
-// New returns the engine at a base URL.
+// New returns a client for the engine at a base URL.
 func New(deps core.Deps, base string) *Engine {
 	tr := &http.Transport{
-		DialContext:         (&net.Dialer{Timeout: dialLimit}).DialContext,
-		MaxIdleConnsPerHost: idleConns, MaxIdleConns: idleConns, IdleConnTimeout: time.Minute,
+		DialContext:         (&net.Dialer{Timeout: dialTimeout}).DialContext,
+		MaxIdleConnsPerHost: maxIdleConns, MaxIdleConns: maxIdleConns, IdleConnTimeout: time.Minute,
 	}
 	return &Engine{deps: deps, url: base, cli: &http.Client{Transport: tr}}
 }
@@ -58,7 +58,7 @@
 	rq.Header.Set("X-Request-Id", string(at.ID))
 	rs, err := eng.cli.Do(rq)
 	if err != nil {
-		return nil, eng.doFailure(ctx, err)
+		return nil, eng.callFailure(ctx, err)
 	}
 	if rs.StatusCode != http.StatusOK {
 		defer rs.Body.Close()
@@ -72,8 +72,8 @@
 	return eng.readWhole(rs, at.ID)
 }
 
-// doFailure tells a call that never reached the engine from one that may have.
-func (eng *Engine) doFailure(ctx context.Context, err error) *core.Failure {
+// callFailure distinguishes a call that never reached the engine from one that may have.
+func (eng *Engine) callFailure(ctx context.Context, err error) *core.Failure {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
 		return core.Refuse(core.CodeNoUpstream, time.Second, "the engine cannot be reached")
@@ -81,20 +81,19 @@
 	if ctx.Err() != nil {
 		return &core.Failure{Code: core.CodeCallerGone, Ran: core.RanUnknown, Message: "the caller gave up or its deadline passed"}
 	}
-	return eng.broken("the engine broke the call off")
+	return eng.breakFailure("the engine broke the call off")
 }
 
-// probeLimit bounds a try to reach the engine. It is on this host.
-const probeLimit = 500 * time.Millisecond
+// probeTimeout bounds one probe. It is short because the engine runs on this host.
+const probeTimeout = 500 * time.Millisecond
 
-// Probe reports whether the engine answers HTTP at all.
+// Probe returns nil if the engine responds to HTTP at all, with whatever status.
 //
-// That it accepts a connection is not enough: while a process goes down, the
-// kernel closes its connections one by one, and the listener may be the last.
-// A crash was then taken for a broken call, and the request that caused it
-// cost one upstream more.
+// A successful connect is not enough: while a process terminates, the kernel closes its connections
+// one by one, and the listener may be the last. The crash would then be classified as a broken
+// call, and the request that caused it would crash one more upstream.
 func (eng *Engine) Probe() error {
-	ctx, cancel := context.WithTimeout(context.Background(), probeLimit)
+	ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
 	defer cancel()
 	rq, err := http.NewRequestWithContext(ctx, http.MethodGet, eng.url+"/health", http.NoBody)
 	if err != nil {
@@ -107,17 +106,17 @@
 	return rs.Body.Close()
 }
 
-// broken tells a crash of the engine from a call that it broke off alone. The
-// requests in flight at a crash are suspected to be its cause.
-func (eng *Engine) broken(message string) *core.Failure {
+// breakFailure distinguishes a crash of the engine from a single call that the engine aborted. The
+// requests in flight at a crash become suspects for its cause.
+func (eng *Engine) breakFailure(message string) *core.Failure {
 	if eng.Probe() == nil {
 		return core.Lost("%s", message)
 	}
 	return &core.Failure{Code: core.CodeCrashed, Ran: core.RanFailed, RetryAfter: time.Second, Message: "the engine went down with this request in flight"}
 }
 
-// whole is an answer that is not streamed.
-type whole struct {
+// wholeAnswer is an answer that is not streamed.
+type wholeAnswer struct {
 	body  []byte
 	ctype string
 	usage core.Usage
@@ -136,7 +135,7 @@
 	defer rs.Body.Close()
 	body, err := io.ReadAll(io.LimitReader(rs.Body, maxAnswer+1))
 	if err != nil {
-		return nil, eng.broken("the engine broke the answer off")
+		return nil, eng.breakFailure("the engine broke the answer off")
 	}
 	if len(body) > maxAnswer {
 		return nil, &core.Failure{Code: core.CodeTooLarge, Ran: core.RanFailed, Message: "the engine's answer is too large"}
@@ -146,7 +145,7 @@
 		return nil, &core.Failure{Code: core.CodeUpstream, Ran: core.RanFailed, RetryAfter: time.Second,
 			Message: "the engine gave another request's answer"}
 	}
-	wh := &whole{body: body, ctype: rs.Header.Get("Content-Type")}
+	wh := &wholeAnswer{body: body, ctype: rs.Header.Get("Content-Type")}
 	if ub.Usage != nil {
 		wh.usage = core.Usage{Prompt: ub.Usage.Prompt, Generated: ub.Usage.Generated}
 	}
@@ -155,7 +154,7 @@
 
 func answerID(id core.AttemptID) string { return "chatcmpl-" + string(id) }
 
-func (wh *whole) Next() ([]byte, error) {
+func (wh *wholeAnswer) Next() ([]byte, error) {
 	if wh.read {
 		return nil, io.EOF
 	}
@@ -163,10 +162,10 @@
 	return wh.body, nil
 }
 
-func (wh *whole) Usage() core.Usage   { return wh.usage }
-func (wh *whole) Status() int         { return http.StatusOK }
-func (wh *whole) ContentType() string { return wh.ctype }
-func (wh *whole) Close()              {}
+func (wh *wholeAnswer) Usage() core.Usage   { return wh.usage }
+func (wh *wholeAnswer) Status() int         { return http.StatusOK }
+func (wh *wholeAnswer) ContentType() string { return wh.ctype }
+func (wh *wholeAnswer) Close()              {}
 
-// ReplayOf implements [core.Answer]: an upstream stores nothing.
-func (wh *whole) ReplayOf() core.AttemptID { return "" }
+// ReplayOf implements [core.Answer]. It is always empty: an upstream stores no answers.
+func (wh *wholeAnswer) ReplayOf() core.AttemptID { return "" }
--- a/io/engine/order.go
+++ b/io/engine/order.go
@@ -10,10 +10,10 @@
 	"github.com/rotisserie/eris"
 )
 
-// ErrRefused tells that the engine refused an order.
+// ErrRefused reports that the engine refused an order.
 var ErrRefused = errors.New("engine: the order was refused")
 
-// Order sends an order with its fencing number: {"fence": 7, "order": …}.
+// Order sends an order with its fencing number to the engine, as {"fence": 7, "order": …}.
 func (eng *Engine) Order(ctx context.Context, fence uint64, body []byte) error {
 	raw, err := json.Marshal(struct {
 		Fence uint64          `json:"fence"`
--- a/io/engine/stream.go
+++ b/io/engine/stream.go
@@ -12,7 +12,7 @@
 	"skylarkstand/core/meter"
 )
 
-// stream is an answer as server-sent events.
+// stream is an answer that is streamed as server-sent events.
 type stream struct {
 	eng   *Engine
 	rs    *http.Response
@@ -20,17 +20,17 @@
 	id    []byte
 	out   []byte
 	usage core.Usage
-	// done is set by the end mark, which goes out as a piece of its own, so
-	// that the entry can hold it back until the request is settled.
+	// done is set by the [DONE] event, which Next returns as a separate piece, so that the entry
+	// can hold it back until the request is settled.
 	done, ended bool
 }
 
-// readBuffer holds several events; what has arrived together goes on together.
-const readBuffer = 4 << 10
+// readBufferSize fits several events, in bytes: events that arrive together are forwarded together.
+const readBufferSize = 4 << 10
 
 func newStream(eng *Engine, rs *http.Response, id core.AttemptID) *stream {
 	return &stream{
-		eng: eng, rs: rs, br: bufio.NewReaderSize(rs.Body, readBuffer),
+		eng: eng, rs: rs, br: bufio.NewReaderSize(rs.Body, readBufferSize),
 		id: []byte(`"id":"` + answerID(id) + `"`),
 	}
 }
@@ -39,12 +39,12 @@
 	dataPrefix = []byte("data: ")
 	doneMark   = []byte("[DONE]")
 	usageMark  = []byte(`"usage":{`)
-	lineEnd    = []byte("\n\n")
+	eventEnd   = []byte("\n\n")
 	doneEvent  = []byte("data: [DONE]\n\n")
 )
 
-// Next implements [core.Answer]: it returns the events that have arrived, as
-// they are, and at least one.
+// Next implements [core.Answer]. It returns the events that have arrived, unchanged, and at least
+// one.
 func (sm *stream) Next() ([]byte, error) {
 	if sm.ended {
 		return nil, io.EOF
@@ -57,32 +57,32 @@
 	for {
 		line, err := sm.br.ReadSlice('\n')
 		if err != nil {
-			// The end of the connection before [DONE] is a cut, however
-			// orderly it looks.
-			return nil, sm.eng.broken("the engine broke the stream off")
+			// A connection that ends before [DONE] truncates the answer, even if it is closed
+			// cleanly.
+			return nil, sm.eng.breakFailure("the engine broke the stream off")
 		}
 		line = bytes.TrimRight(line, "\r\n")
 		if bytes.HasPrefix(line, dataPrefix) {
-			sm.take(line)
+			sm.appendEvent(line)
 		}
 		if sm.done && len(sm.out) == 0 {
 			sm.ended = true
 			return doneEvent, nil
 		}
-		// An event ends with an empty line; waiting for more after that line
-		// would hold the token back until the next one comes.
+		// An event ends with an empty line; reading on after that line would delay the token until
+		// the next one arrives.
 		if sm.done || len(sm.out) > 0 && len(line) == 0 && sm.br.Buffered() == 0 {
 			return sm.out, nil
 		}
 	}
 }
 
-// take adds one event to what goes out, unless it is another attempt's.
+// appendEvent appends one event to the output unless it belongs to another attempt.
 //
-// An engine that resumes or cancels streams may put a late event of an
-// earlier request onto this connection. The caller would read a stranger's
-// words within its own answer; such an event is dropped and counted.
-func (sm *stream) take(line []byte) {
+// An engine that resumes or cancels streams may write a late event of an earlier request to this
+// connection. The caller would receive another caller's text within its own answer, so such an
+// event is dropped and counted.
+func (sm *stream) appendEvent(line []byte) {
 	data := line[len(dataPrefix):]
 	if bytes.Equal(data, doneMark) {
 		sm.done = true
@@ -93,11 +93,11 @@
 		meter.ForeignEvents.Inc(sm.eng.deps.Metrics)
 		return
 	}
-	sm.count(data)
-	sm.out = append(append(sm.out, line...), lineEnd...)
+	sm.countTokens(data)
+	sm.out = append(append(sm.out, line...), eventEnd...)
 }
 
-func (sm *stream) count(data []byte) {
+func (sm *stream) countTokens(data []byte) {
 	if !bytes.Contains(data, usageMark) {
 		sm.usage.Generated++
 		return
@@ -113,5 +113,5 @@
 func (sm *stream) ContentType() string { return "text/event-stream" }
 func (sm *stream) Close()              { sm.rs.Body.Close() }
 
-// ReplayOf implements [core.Answer]: an upstream stores nothing.
+// ReplayOf implements [core.Answer]. It is always empty: an upstream stores no answers.
 func (sm *stream) ReplayOf() core.AttemptID { return "" }
--- a/io/engine/stream_test.go
+++ b/io/engine/stream_test.go
@@ -21,30 +21,30 @@
 	return fmt.Sprintf("data: {\"id\":\"chatcmpl-%s\",\"choices\":[{\"delta\":{\"content\":%q}}]}\n\n", id, text)
 }
 
-// piped returns a stream whose engine is the test.
-func piped() (*stream, *io.PipeWriter) {
+// newPipedStream returns a stream and the writer through which the test acts as the engine.
+func newPipedStream() (*stream, *io.PipeWriter) {
 	rd, wr := io.Pipe()
 	return newStream(New(core.NewDeps(), "http://127.0.0.1:1"), &http.Response{Body: rd}, attempt), wr
 }
 
-// An engine sends one token and takes its time for the next. Were the first
-// one held until the second came, a caller would see every token late by one,
-// and the first token of a slow answer much too late.
-func TestTokenGoesOnBeforeTheNextArrives(t *testing.T) {
+// An engine sends one token and pauses before the next. If a token were held until the next one
+// arrived, a caller would get every token one interval late, and the first token of a slow answer
+// much too late.
+func TestTokenIsForwardedBeforeNextArrives(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		sm, wr := piped()
+		sm, wr := newPipedStream()
 		go func() { _, _ = wr.Write([]byte(sse("a1", "one"))) }()
-		got, err := sm.Next() // Blocks for good, which synctest reports, if the token is held.
+		got, err := sm.Next() // Blocks forever if the token is held, which synctest reports.
 		assert.NilError(t, err)
 		assert.Equal(t, string(got), sse("a1", "one"))
 		wr.Close()
 	})
 }
 
-// An engine that resumes streams puts a late event of another request onto the
-// connection. The caller would read a stranger's words within its own answer.
+// An engine that resumes streams writes a late event of another request to the connection. The
+// caller would receive another caller's text within its own answer.
 func TestForeignEventIsDropped(t *testing.T) {
-	sm, wr := piped()
+	sm, wr := newPipedStream()
 	go func() {
 		_, _ = wr.Write([]byte(sse("a1", "mine") + sse("other", "STRANGER") + sse("a1", "too") + "data: [DONE]\n\n"))
 	}()
@@ -61,13 +61,13 @@
 	assert.Equal(t, sm.Usage().Generated, core.Tokens(2))
 }
 
-// An engine's host goes down in the middle of an answer and the connection
-// closes in good order. Taken for the end, the half answer would look whole to
-// the caller and be billed as one.
-func TestStreamWithoutEndMarkIsCut(t *testing.T) {
-	hs := httptest.NewServer(http.NotFoundHandler()) // The engine is still there.
+// An engine's host goes down in the middle of an answer and the connection is closed cleanly.
+// Treated as the end of the answer, the truncated answer would look complete to the caller and be
+// billed as such.
+func TestStreamWithoutDoneEventIsLost(t *testing.T) {
+	hs := httptest.NewServer(http.NotFoundHandler()) // The engine still responds.
 	defer hs.Close()
-	sm, wr := piped()
+	sm, wr := newPipedStream()
 	sm.eng = New(core.NewDeps(), hs.URL)
 	go func() {
 		_, _ = wr.Write([]byte(sse("a1", "half")))
@@ -81,13 +81,13 @@
 	assert.Equal(t, fl.Ran, core.RanUnknown)
 }
 
-// The engine's process goes down in the middle of an answer. Reported as a
-// mere cut, the request would be sent to the next engine and take it down too.
-func TestCutByACrashIsToldApart(t *testing.T) {
+// The engine's process crashes in the middle of an answer. Reported as a lost connection only, the
+// request would be sent to the next engine and crash it too.
+func TestStreamEndedByCrashIsReportedAsCrash(t *testing.T) {
 	hs := httptest.NewServer(http.NotFoundHandler())
 	base := hs.URL
 	hs.Close()
-	sm, wr := piped()
+	sm, wr := newPipedStream()
 	sm.eng = New(core.NewDeps(), base)
 	wr.Close()
 	_, err := sm.Next()
@@ -96,10 +96,10 @@
 	assert.Equal(t, fl.Code, core.CodeCrashed)
 }
 
-// A process that goes down closes its connections one by one, and for a moment
-// still accepts new ones without answering them. The caller's request crashed
-// the engine; taken for a broken call it would be sent on as harmless.
-func TestEngineThatAcceptsButIsGone(t *testing.T) {
+// A process that terminates closes its connections one by one, and for a moment still accepts new
+// ones without responding. The request crashed the engine; classified as a broken call, it would be
+// sent to another engine as harmless.
+func TestEngineThatAcceptsWithoutResponding(t *testing.T) {
 	li, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	defer li.Close()
@@ -112,7 +112,7 @@
 			conn.Close()
 		}
 	}()
-	sm, wr := piped()
+	sm, wr := newPipedStream()
 	sm.eng = New(core.NewDeps(), "http://"+li.Addr().String())
 	wr.Close()
 	_, err = sm.Next()
