--- a/io/store/store.go
+++ b/io/store/store.go
@@ -1,6 +1,5 @@
-// Package store speaks to the platform's key-value service by HTTP. The form
-// is this project's guess until the users publish theirs; nothing outside this
-// package knows it.
+// Package store is the HTTP client of the platform's key-value service. The wire format is an
+// assumption until the users publish theirs; nothing outside this package depends on it.
 //
 // # Usage
 //
@@ -30,20 +29,20 @@
 }
 
 const (
-	dialLimit = time.Second
-	// callLimit bounds a call: the store answers in milliseconds, and one that
-	// does not within this time is down for our purposes.
-	callLimit = 2 * time.Second
-	// watchRound is how long one waiting watch lasts before it is renewed.
-	watchRound = 25 * time.Second
-	idleConns  = 64
+	dialTimeout = time.Second
+	// callTimeout bounds a call. The store responds within milliseconds; one that takes longer than
+	// this is treated as unavailable.
+	callTimeout = 2 * time.Second
+	// watchWait is how long one long poll of a watch waits for a change before it is renewed.
+	watchWait    = 25 * time.Second
+	maxIdleConns = 64
 )
 
-// New returns the store at a base URL.
+// New returns a client for the store at a base URL.
 func New(base string) *Store {
 	tr := &http.Transport{
-		DialContext:         (&net.Dialer{Timeout: dialLimit}).DialContext,
-		MaxIdleConnsPerHost: idleConns, IdleConnTimeout: time.Minute,
+		DialContext:         (&net.Dialer{Timeout: dialTimeout}).DialContext,
+		MaxIdleConnsPerHost: maxIdleConns, IdleConnTimeout: time.Minute,
 	}
 	return &Store{url: base, cli: &http.Client{Transport: tr}}
 }
@@ -58,10 +57,10 @@
 	Revision core.Revision `json:"revision"`
 }
 
-// call sends one request. Write tells that a lost reply leaves the outcome
-// open.
-func (st *Store) call(ctx context.Context, limit time.Duration, method, target string, body []byte, write bool, out any) error {
-	ctx, cancel := context.WithTimeout(ctx, limit)
+// call sends one request and decodes the response into out. If write is set, a lost response leaves
+// the outcome uncertain.
+func (st *Store) call(ctx context.Context, timeout time.Duration, method, target string, body []byte, write bool, out any) error {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	rq, err := http.NewRequestWithContext(ctx, method, target, bytes.NewReader(body))
 	if err != nil {
@@ -69,12 +68,12 @@
 	}
 	rs, err := st.cli.Do(rq)
 	if err != nil {
-		return lost(err, write)
+		return callError(err, write)
 	}
 	defer rs.Body.Close()
 	raw, err := io.ReadAll(rs.Body)
 	if err != nil {
-		return lost(err, write)
+		return callError(err, write)
 	}
 	switch rs.StatusCode {
 	case http.StatusOK:
@@ -82,7 +81,7 @@
 			return nil
 		}
 		if json.Unmarshal(raw, out) != nil {
-			return lost(nil, write)
+			return callError(nil, write)
 		}
 		return nil
 	case http.StatusNotFound:
@@ -92,11 +91,11 @@
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests:
 		return core.ErrUnavailable
 	default:
-		return lost(nil, write)
+		return callError(nil, write)
 	}
 }
 
-func lost(err error, write bool) error {
+func callError(err error, write bool) error {
 	var op *net.OpError
 	if !write || errors.As(err, &op) && op.Op == "dial" {
 		return core.ErrUnavailable
@@ -107,14 +106,14 @@
 // Get implements [core.Store].
 func (st *Store) Get(ctx context.Context, key string) (core.Item, error) {
 	var it wireItem
-	err := st.call(ctx, callLimit, http.MethodGet, st.keyURL(key, nil), nil, false, &it)
+	err := st.call(ctx, callTimeout, http.MethodGet, st.keyURL(key, nil), nil, false, &it)
 	return core.Item(it), err
 }
 
 // List implements [core.Store].
 func (st *Store) List(ctx context.Context, prefix string) ([]core.Item, error) {
 	var wis []wireItem
-	err := st.call(ctx, callLimit, http.MethodGet, st.url+"/v1/list?prefix="+url.QueryEscape(prefix), nil, false, &wis)
+	err := st.call(ctx, callTimeout, http.MethodGet, st.url+"/v1/list?prefix="+url.QueryEscape(prefix), nil, false, &wis)
 	its := make([]core.Item, len(wis))
 	for i, wi := range wis {
 		its[i] = core.Item(wi)
@@ -125,38 +124,38 @@
 // Create implements [core.Store].
 func (st *Store) Create(ctx context.Context, key string, value []byte, lease core.LeaseID) (core.Revision, error) {
 	var it wireItem
-	err := st.call(ctx, callLimit, http.MethodPut, st.keyURL(key, url.Values{"create": {"1"}, "lease": {string(lease)}}), value, true, &it)
+	err := st.call(ctx, callTimeout, http.MethodPut, st.keyURL(key, url.Values{"create": {"1"}, "lease": {string(lease)}}), value, true, &it)
 	return it.Revision, err
 }
 
 // Swap implements [core.Store].
 func (st *Store) Swap(ctx context.Context, key string, prev core.Revision, value []byte) (core.Revision, error) {
 	var it wireItem
-	err := st.call(ctx, callLimit, http.MethodPut, st.keyURL(key, prevQuery(prev)), value, true, &it)
+	err := st.call(ctx, callTimeout, http.MethodPut, st.keyURL(key, prevQuery(prev)), value, true, &it)
 	return it.Revision, err
 }
 
 // Delete implements [core.Store].
 func (st *Store) Delete(ctx context.Context, key string, prev core.Revision) error {
-	return st.call(ctx, callLimit, http.MethodDelete, st.keyURL(key, prevQuery(prev)), nil, true, nil)
+	return st.call(ctx, callTimeout, http.MethodDelete, st.keyURL(key, prevQuery(prev)), nil, true, nil)
 }
 
 func prevQuery(prev core.Revision) url.Values {
 	return url.Values{"prev": {strconv.FormatUint(uint64(prev), 10)}}
 }
 
-// Watch implements [core.Store] by long polls.
+// Watch implements [core.Store] by long polling.
 func (st *Store) Watch(ctx context.Context, key string, after core.Revision) (core.Item, error) {
-	qu := url.Values{"after": {strconv.FormatUint(uint64(after), 10)}, "wait": {watchRound.String()}}
+	qu := url.Values{"after": {strconv.FormatUint(uint64(after), 10)}, "wait": {watchWait.String()}}
 	target := st.url + "/v1/watch/" + url.PathEscape(key) + "?" + qu.Encode()
 	for {
 		var it wireItem
-		err := st.call(ctx, watchRound+callLimit, http.MethodGet, target, nil, false, &it)
+		err := st.call(ctx, watchWait+callTimeout, http.MethodGet, target, nil, false, &it)
 		switch {
 		case ctx.Err() != nil:
 			return core.Item{}, ctx.Err()
 		case errors.Is(err, core.ErrNotFound):
-			continue // The round passed without a change.
+			continue // The long poll ended without a change.
 		default:
 			return core.Item(it), err
 		}
@@ -166,11 +165,11 @@
 // Grant implements [core.Store].
 func (st *Store) Grant(ctx context.Context, ttl time.Duration) (core.LeaseID, error) {
 	var out struct{ Lease core.LeaseID }
-	err := st.call(ctx, callLimit, http.MethodPost, st.url+"/v1/leases?ttl="+ttl.String(), nil, true, &out)
+	err := st.call(ctx, callTimeout, http.MethodPost, st.url+"/v1/leases?ttl="+ttl.String(), nil, true, &out)
 	return out.Lease, err
 }
 
 // Renew implements [core.Store].
 func (st *Store) Renew(ctx context.Context, lease core.LeaseID) error {
-	return st.call(ctx, callLimit, http.MethodPost, st.url+"/v1/leases/"+url.PathEscape(string(lease))+"/renew", nil, true, nil)
+	return st.call(ctx, callTimeout, http.MethodPost, st.url+"/v1/leases/"+url.PathEscape(string(lease))+"/renew", nil, true, nil)
 }
