--- a/io/service/service.go
+++ b/io/service/service.go
@@ -1,4 +1,4 @@
-// Package service calls a plain service by HTTP: POST /{operation}.
+// Package service is the HTTP client of a plain service: POST /{operation}.
 //
 // # Usage
 //
@@ -19,33 +19,33 @@
 	"skylarkstand/core"
 )
 
-// Service is one plain service. It implements [core.Runner].
+// Service is the client of one plain service. It implements [core.Runner].
 type Service struct {
 	url string
 	cli *http.Client
 }
 
 const (
-	dialLimit = 2 * time.Second
-	idleConns = 256
+	dialTimeout  = 2 * time.Second
+	maxIdleConns = 256
+	// maxAnswer is the maximum size of an answer in bytes.
 	maxAnswer = 1 << 20
 )
 
-// New returns the service at a base URL.
+// New returns a client for the service at a base URL.
 //
-// net/http sends an idempotent-looking request again by itself when a kept
-// connection breaks, and takes an Idempotency-Key header as leave to do so. The
-// key is therefore passed under another name and the body without a way to
-// rewind it: a call reaches the service at most once.
+// When a reused connection breaks, net/http automatically retries requests that it considers
+// idempotent, and it takes an Idempotency-Key header as such a sign. Therefore the key is sent
+// under another name and the body cannot be rewound: a call reaches the service at most once.
 func New(base string) *Service {
 	tr := &http.Transport{
-		DialContext:         (&net.Dialer{Timeout: dialLimit}).DialContext,
-		MaxIdleConnsPerHost: idleConns, IdleConnTimeout: time.Minute,
+		DialContext:         (&net.Dialer{Timeout: dialTimeout}).DialContext,
+		MaxIdleConnsPerHost: maxIdleConns, IdleConnTimeout: time.Minute,
 	}
 	return &Service{url: base, cli: &http.Client{Transport: tr}}
 }
 
-// KeyHeader carries the caller's idempotency key to the service.
+// KeyHeader is the header that carries the caller's idempotency key to the service.
 const KeyHeader = "Skylarkstand-Idempotency-Key"
 
 // Run implements [core.Runner].
@@ -101,5 +101,5 @@
 func (an *answer) ContentType() string { return an.ctype }
 func (an *answer) Close()              {}
 
-// ReplayOf implements [core.Answer]: an upstream stores nothing.
+// ReplayOf implements [core.Answer]. It is always empty: an upstream stores no answers.
 func (an *answer) ReplayOf() core.AttemptID { return "" }
