--- a/io/rater/rater.go
+++ b/io/rater/rater.go
@@ -1,4 +1,4 @@
-// Package rater asks the service that rates answers, by HTTP.
+// Package rater is the HTTP client of the service that rates answers.
 //
 // # Usage
 //
@@ -22,10 +22,10 @@
 	cli *http.Client
 }
 
-// New returns the rating service at a base URL.
+// New returns a client for the rating service at a base URL.
 func New(base string) *Rater { return &Rater{url: base, cli: &http.Client{}} }
 
-type question struct {
+type ratingRequest struct {
 	Model   core.ModelID   `json:"model"`
 	Version core.VersionID `json:"version"`
 	Prompt  []byte         `json:"prompt"`
@@ -34,7 +34,7 @@
 
 // Rate implements [core.Rater].
 func (ra *Rater) Rate(ctx context.Context, mv core.ModelVersion, prompt, answer []byte) (core.Quality, error) {
-	raw, err := json.Marshal(question{mv.Model, mv.Version, prompt, answer})
+	raw, err := json.Marshal(ratingRequest{mv.Model, mv.Version, prompt, answer})
 	if err != nil {
 		return 0, eris.Wrap(err, "rating")
 	}
@@ -49,7 +49,7 @@
 	defer rs.Body.Close()
 	var out struct{ Quality core.Quality }
 	if rs.StatusCode != http.StatusOK {
-		return 0, eris.Errorf("rating: %s", rs.Status)
+		return 0, eris.Errorf("rating: the rating service responded with status %s", rs.Status)
 	}
 	if err := json.NewDecoder(rs.Body).Decode(&out); err != nil {
 		return 0, eris.Wrap(err, "rating")
