--- a/io/hosts/hosts.go
+++ b/io/hosts/hosts.go
@@ -16,36 +16,36 @@
 	"skylarkstand/core"
 )
 
-// List implements [core.Hosts].
+// List is the client of the platform's host list. It implements [core.Hosts].
 type List struct {
 	url string
 	cli *http.Client
 }
 
-const callLimit = 2 * time.Second
+const callTimeout = 2 * time.Second
 
-// New returns the list at a base URL.
+// New returns a client for the host list at a base URL.
 func New(base string) *List {
-	return &List{url: base, cli: &http.Client{Timeout: callLimit}}
+	return &List{url: base, cli: &http.Client{Timeout: callTimeout}}
 }
 
 // List implements [core.Hosts].
 func (li *List) List(ctx context.Context) ([]core.Host, error) {
 	rq, err := http.NewRequestWithContext(ctx, http.MethodGet, li.url+"/v1/hosts", http.NoBody)
 	if err != nil {
-		return nil, eris.Wrap(err, "host list")
+		return nil, eris.Wrap(err, "read the host list")
 	}
 	rs, err := li.cli.Do(rq)
 	if err != nil {
-		return nil, eris.Wrap(err, "host list")
+		return nil, eris.Wrap(err, "read the host list")
 	}
 	defer rs.Body.Close()
 	if rs.StatusCode != http.StatusOK {
-		return nil, eris.Errorf("host list: %s", rs.Status)
+		return nil, eris.Errorf("read the host list: the server responded with status %s", rs.Status)
 	}
 	var list []core.Host
 	if err := json.NewDecoder(rs.Body).Decode(&list); err != nil {
-		return nil, eris.Wrap(err, "host list")
+		return nil, eris.Wrap(err, "read the host list")
 	}
 	return list, nil
 }
