--- a/app/agent.go
+++ b/app/agent.go
@@ -31,7 +31,7 @@
 	return ag.run(ctx)
 }
 
-// agentProcess is the parts of an agent process that start and stop.
+// agentProcess holds the components of an agent process that are started and stopped.
 type agentProcess struct {
 	set   settings.Agent
 	deps  core.Deps
@@ -39,18 +39,18 @@
 	admin http.Handler
 }
 
-// run serves until the context ends and then stops as planned: the upstream
-// is said to be leaving, the attempts in flight end.
+// run serves until the context ends and then shuts down gracefully: it announces that the
+// upstream is leaving and waits for the attempts in flight.
 func (ag *agentProcess) run(ctx context.Context) error {
 	li, err := net.Listen("tcp", ag.set.Listen)
 	if err != nil {
 		return err
 	}
-	duties, stop := context.WithCancel(context.WithoutCancel(ctx))
+	serviceCtx, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
 	defer serveAdmin(ag.set.Admin, ag.admin)()
 	served := make(chan error, 1)
-	go func() { served <- ag.srv.Serve(duties, li) }()
+	go func() { served <- ag.srv.Serve(serviceCtx, li) }()
 	event.Log(ag.deps.Log, event.Started, "role", "agent", "listen", li.Addr().String(), "upstream", ag.set.Upstream)
 
 	select {
@@ -60,8 +60,8 @@
 	}
 	event.Log(ag.deps.Log, event.Stopping)
 	ag.srv.Leave()
-	// Entries that read the notice late still dispatch; they get refusals.
-	time.Sleep(noticeTime)
+	// Entries that have not yet processed the notice still dispatch; their attempts are refused.
+	time.Sleep(leaveDelay)
 	dctx, cancel := context.WithTimeout(context.Background(), time.Duration(ag.set.DrainLimit))
 	defer cancel()
 	if err := ag.srv.Drain(dctx); err != nil {
--- a/app/app.go
+++ b/app/app.go
@@ -1,5 +1,5 @@
-// Package app wires the processes and owns their start and stop. Each role and
-// each operators' command is a subcommand of one binary.
+// Package app wires the processes and controls their start and shutdown. Each role and each
+// operator command is a subcommand of one binary.
 //
 // # Usage
 //
@@ -19,17 +19,17 @@
 
 // Exit codes of the commands.
 const (
-	// ExitOK: done.
+	// ExitOK: the command succeeded.
 	ExitOK = 0
 	// ExitFailed: the command failed; the message says why.
 	ExitFailed = 1
-	// ExitUsage: the command line was wrong.
+	// ExitUsage: the command line or a file named on it was invalid.
 	ExitUsage = 2
 	// ExitRefused: a configuration was refused; nothing was changed.
 	ExitRefused = 3
-	// ExitUncertain: it is not known whether the change was accepted.
+	// ExitUncertain: it is unknown whether the change was accepted.
 	ExitUncertain = 4
-	// ExitSpreading: accepted, but not in force everywhere when the time was up.
+	// ExitSpreading: the change was accepted, but was not in force everywhere before the timeout.
 	ExitSpreading = 5
 )
 
@@ -52,12 +52,12 @@
 	Reference *referenceCmd `arg:"subcommand:reference" help:"print a generated reference page"`
 }
 
-// Description implements go-arg's interface.
+// Description implements [arg.Described].
 func (args) Description() string {
 	return "skylarkstand routes requests to versions of models, from cheap to costly.\n"
 }
 
-// Epilogue implements go-arg's interface.
+// Epilogue implements [arg.Epilogued].
 func (args) Epilogue() string {
 	return `Examples:
   skylarkstand entry --settings entry.jsonc
@@ -73,12 +73,12 @@
 5 accepted but not yet in force everywhere.`
 }
 
-// command is what each subcommand implements.
+// command is implemented by each subcommand.
 type command interface {
 	run(ctx context.Context) error
 }
 
-// exitError carries an exit code.
+// exitError is an error with the exit code of the process.
 type exitError struct {
 	code int
 	err  error
--- a/app/apply.go
+++ b/app/apply.go
@@ -12,15 +12,15 @@
 	"skylarkstand/core/declaration/publish"
 )
 
-// auditArgs is what commands that change the configuration share.
+// auditArgs holds the arguments shared by the commands that change the configuration.
 type auditArgs struct {
 	Why string `arg:"--why,required" help:"the reason, for the audit trail"`
 	Who string `arg:"--who,env:SKYLARKSTAND_OPERATOR" help:"who applies; default is the user"`
-	// Wait bounds how long a lost reply is looked for. A store that was merely
-	// slow answers within it; a longer one only keeps the operator from
-	// hearing that the outcome is not known.
+	// Wait bounds the attempts to determine the outcome after a lost reply. A store that was
+	// only slow answers within it; a longer wait would only delay the report that the outcome
+	// is unknown.
 	Wait time.Duration `arg:"--wait" default:"30s" help:"how long to look for a reply that was lost, and for the change to be in force"`
-	// Hosts makes the command wait until the change is in force everywhere.
+	// Hosts, if set, makes the command wait until the change is in force everywhere.
 	Hosts string `arg:"--hosts,env:SKYLARKSTAND_HOSTS" help:"base URL of the platform's host list; waits and reports zone by zone"`
 }
 
@@ -32,27 +32,27 @@
 }
 
 func (cmd *applyCmd) run(ctx context.Context) error {
-	pub, pr, err := proposal(ctx, cmd.storeArgs, cmd.fileArgs, cmd.Base)
+	pub, pr, err := readProposal(ctx, cmd.storeArgs, cmd.fileArgs, cmd.Base)
 	if err != nil {
 		return err
 	}
 	return cmd.apply(ctx, pub, cmd.name(), pr)
 }
 
-// proposal reads the files and finds the generation that they are to replace:
-// the one given, or else the newest.
-func proposal(ctx context.Context, sa storeArgs, fa fileArgs, given *uint64) (*publish.Publisher, publish.Proposal, error) {
+// readProposal reads the files and determines the generation that they replace: the given one,
+// or the newest.
+func readProposal(ctx context.Context, sa storeArgs, fa fileArgs, given *uint64) (*publish.Publisher, publish.Proposal, error) {
 	doc, err := fa.read()
 	if err != nil {
 		return nil, publish.Proposal{}, err
 	}
 	pub := publish.New(sa.open())
-	base, err := baseOf(ctx, pub, given)
+	base, err := baseGeneration(ctx, pub, given)
 	return pub, publish.Proposal{Document: doc, Base: base}, err
 }
 
-// apply shows a change, puts it in force and says truthfully what became of
-// it: the exit code tells scripts the same.
+// apply prints a change, publishes it and reports its outcome, including an unknown one. The exit
+// code reports the same to scripts.
 func (aa auditArgs) apply(ctx context.Context, pub *publish.Publisher, name string, pr publish.Proposal) error {
 	pr.Who, pr.Why = aa.operator(), aa.Why
 	res, err := pub.Prepare(ctx, pr)
@@ -60,11 +60,11 @@
 		return publish.ErrInterrupted
 	}
 	if errors.Is(err, publish.ErrSame) {
-		fmt.Printf("nothing to change: generation %d says the same\n", res.Before.Number)
+		fmt.Printf("no change: generation %d has the same content\n", res.Before.Number)
 		return nil
 	}
 	if err != nil {
-		return failed(name, err)
+		return publishError(name, err)
 	}
 	printChange(res)
 	ctx, cancel := context.WithTimeout(ctx, aa.Wait)
@@ -72,14 +72,14 @@
 	shown := res.Before.Number
 	res, err = pub.Apply(ctx, pr)
 	if errors.Is(err, publish.ErrSame) {
-		fmt.Printf("nothing to change: generation %d says the same\n", res.Before.Number)
+		fmt.Printf("no change: generation %d has the same content\n", res.Before.Number)
 		return nil
 	}
 	if err != nil {
-		return failed(name, err)
+		return publishError(name, err)
 	}
 	if res.Before.Number != shown {
-		fmt.Printf("meanwhile generation %d came; it changed other parts, and the change was carried over\n", res.Before.Number)
+		fmt.Printf("generation %d was accepted meanwhile; it changed other parts, and the change was carried over\n", res.Before.Number)
 	}
 	fmt.Printf("generation %d is accepted\n", res.After.Number)
 	if aa.Hosts == "" {
@@ -88,16 +88,16 @@
 	return reportInForce(ctx, aa.Hosts, res.After.Number)
 }
 
-// failed turns a publisher's error into one for people, with its exit code.
-func failed(name string, err error) error {
+// publishError converts a publisher's error into a message for operators with its exit code.
+func publishError(name string, err error) error {
 	var un *publish.Uncertain
 	switch {
 	case errors.As(err, &un):
-		return &exitError{ExitUncertain, eris.Errorf("%s: the store's reply was lost; look at `skylarkstand history`, or apply the same file again, which is safe", un)}
+		return &exitError{ExitUncertain, eris.Errorf("%s: the store's reply was lost; check `skylarkstand history`, or apply the same file again, which is safe", un)}
 	case errors.Is(err, publish.ErrAway), errors.Is(err, publish.ErrBusy), errors.Is(err, publish.ErrInterrupted):
 		return err
 	}
-	return refused(name, err)
+	return refusalError(name, err)
 }
 
 func (aa auditArgs) operator() string {
--- a/app/bill.go
+++ b/app/bill.go
@@ -17,30 +17,30 @@
 	List bool `arg:"--list" help:"list each bill"`
 }
 
-// run prints the sums. It fails when a bill stands twice or an entry of a
-// chain is missing: the sums are then not what callers owe.
+// run prints the sum per workspace. It fails if a bill is duplicated or an entry of a chain is
+// missing, since the sums are then not the amounts to charge.
 func (cmd *billCmd) run(ctx context.Context) error {
 	acc, err := ledger.Sum(ctx, cmd.open())
 	if err != nil {
-		return eris.Wrap(err, "the ledger could not be read; is the store up?")
+		return eris.Wrap(err, "the ledger could not be read; check that the store is reachable")
 	}
 	for _, id := range slices.Sorted(maps.Keys(acc.Workspaces)) {
 		ba := acc.Workspaces[id]
 		fmt.Printf("%-24s %8d requests %12.5f", id, ba.Requests, float64(ba.Total)/100_000)
 		if ba.Resent > 0 {
-			fmt.Printf("  (%d more answers to requests sent again, not charged)", ba.Resent)
+			fmt.Printf("  (%d more answers to retried requests, not charged)", ba.Resent)
 		}
 		fmt.Println()
 	}
 	if cmd.List {
-		if err := list(acc.Bills); err != nil {
+		if err := printBills(acc.Bills); err != nil {
 			return err
 		}
 	}
-	return faults(&acc)
+	return reportFaults(&acc)
 }
 
-func list(bills []ledger.Bill) error {
+func printBills(bills []ledger.Bill) error {
 	for _, bi := range bills {
 		raw, err := json.Marshal(bi)
 		if err != nil {
@@ -51,15 +51,15 @@
 	return nil
 }
 
-func faults(acc *ledger.Account) error {
+func reportFaults(acc *ledger.Account) error {
 	for _, fa := range acc.Faults {
 		fmt.Println("fault:", fa)
 	}
 	for _, rq := range acc.Doubled {
-		fmt.Println("fault: the bill of request", rq, "stands twice; it is charged once")
+		fmt.Println("fault: the bill of request", rq, "is duplicated; it is charged once")
 	}
 	if len(acc.Faults)+len(acc.Doubled) > 0 {
-		return eris.Errorf("the ledger has %d faults of its chains and %d bills that stand twice", len(acc.Faults), len(acc.Doubled))
+		return eris.Errorf("the ledger has %d chain faults and %d duplicated bills", len(acc.Faults), len(acc.Doubled))
 	}
 	return nil
 }
--- a/app/check.go
+++ b/app/check.go
@@ -12,7 +12,7 @@
 	"skylarkstand/core/declaration"
 )
 
-// fileArgs names a configuration: one file, or several that make one together.
+// fileArgs names the files of a configuration. Several files are joined into one.
 type fileArgs struct {
 	Files []string `arg:"positional,required" placeholder:"FILE" help:"configuration, JSON with comments; several files make one; - reads standard input"`
 }
@@ -30,8 +30,8 @@
 	return nil
 }
 
-// read reads and checks a configuration. Mistakes of its form and mistakes of
-// its content are reported together.
+// read reads and validates a configuration. Mistakes in its form and in its content are reported
+// together.
 func (fa fileArgs) read() (declaration.Document, error) {
 	if len(fa.Files) == 1 {
 		raw, err := readFile(fa.Files[0])
@@ -39,7 +39,7 @@
 			return declaration.Document{}, eris.Wrap(err, "configuration")
 		}
 		doc, err := declaration.Load(raw)
-		return doc, refused(fa.name(), err)
+		return doc, refusalError(fa.name(), err)
 	}
 	var list []declaration.Source
 	for _, path := range fa.Files {
@@ -49,7 +49,7 @@
 		}
 		doc, err := declaration.Parse(raw)
 		if err != nil {
-			return doc, refused(path, err)
+			return doc, refusalError(path, err)
 		}
 		list = append(list, declaration.Source{Name: path, Document: doc})
 	}
@@ -57,7 +57,7 @@
 	if err == nil {
 		err = doc.Check()
 	}
-	return doc, refused(fa.name(), err)
+	return doc, refusalError(fa.name(), err)
 }
 
 func readFile(path string) ([]byte, error) {
@@ -67,8 +67,8 @@
 	return os.ReadFile(path)
 }
 
-// refused turns the mistakes of a document into an error for people.
-func refused(path string, err error) error {
+// refusalError converts the mistakes of a document into a message for operators with its exit code.
+func refusalError(path string, err error) error {
 	var mis declaration.Mistakes
 	var cls declaration.Clashes
 	switch {
--- a/app/commands.go
+++ b/app/commands.go
@@ -5,7 +5,7 @@
 	"skylarkstand/io/store"
 )
 
-// storeArgs is what commands that talk to the platform's store share.
+// storeArgs holds the arguments shared by the commands that access the platform's store.
 type storeArgs struct {
 	Store string `arg:"--store,env:SKYLARKSTAND_STORE,required" help:"base URL of the platform's store"`
 }
--- a/app/config_reader.go
+++ b/app/config_reader.go
@@ -16,12 +16,12 @@
 	"skylarkstand/io/peer"
 )
 
-// configurationChain is the name of the configuration's chain in the store.
+// configurationChain is the name of the chain in the store that holds the configuration.
 const configurationChain = "configuration"
 
-// configReader brings new generations into an entry: from the store when the
-// entry is one of its zone's preferred readers, over links from other entries
-// when it is not, or when the store is away.
+// configReader delivers new configuration generations to an entry: from the store if the entry is
+// one of its zone's preferred readers, otherwise, or while the store is unavailable, over links
+// from other entries.
 type configReader struct {
 	deps  core.Deps
 	inf   *declaration.InForce
@@ -38,17 +38,17 @@
 }
 
 const (
-	retryStore = 500 * time.Millisecond
-	// watchRound bounds one wait, so that an idle watch still confirms that
-	// the store answers and that the generation in force is the newest.
-	watchRound = 5 * time.Second
-	// silence is how long an entry trusts readers that it hears nothing from
-	// before it reads the store itself. It covers a reader's watch round and
-	// two notices, so that no usual pause sends 360 entries to the store.
-	silence = watchRound + 3*peer.NoticeEvery
+	storeRetryDelay = 500 * time.Millisecond
+	// watchTimeout bounds one watch, so that an idle watch still confirms that the store answers
+	// and that the generation in force is the newest.
+	watchTimeout = 5 * time.Second
+	// maxReaderSilence is how long an entry relies on readers from which it receives nothing
+	// before it reads the store itself. It covers a reader's watch timeout and two notices, so
+	// that a normal pause does not make 360 entries read the store at once.
+	maxReaderSilence = watchTimeout + 3*peer.NoticeEvery
 )
 
-// Update takes a new reading of the host list.
+// Update sets the current host list.
 func (cr *configReader) Update(hosts []core.Host) {
 	cr.hosts.Store(&hosts)
 	if cr.self.Addr != "" {
@@ -56,11 +56,13 @@
 	}
 }
 
-func (cr *configReader) reads() bool {
-	return spread.Reads(*cr.hosts.Load(), cr.self, cr.inf.Fresh(time.Now(), silence))
+// isReader reports whether this entry reads the store itself.
+func (cr *configReader) isReader() bool {
+	return spread.Reads(*cr.hosts.Load(), cr.self, cr.inf.Fresh(time.Now(), maxReaderSilence))
 }
 
-// Serve implements suture's service.
+// Serve implements suture.Service: it accepts links from other entries and reads the store
+// while this entry is a reader.
 func (cr *configReader) Serve(ctx context.Context) error {
 	if cr.self.Addr != "" {
 		li, err := net.Listen("tcp", cr.self.Addr)
@@ -69,32 +71,32 @@
 		}
 		go func() { _ = cr.mesh.Serve(ctx, li) }()
 	}
-	away := false
+	storeDown := false
 	for ctx.Err() == nil {
-		if cr.reads() {
+		if cr.isReader() {
 			err := cr.follow(ctx)
-			if errors.Is(err, chain.ErrAway) && !away {
+			if errors.Is(err, chain.ErrAway) && !storeDown {
 				event.Log(cr.deps.Log, event.StoreDown, "use", "configuration")
 			}
-			away = errors.Is(err, chain.ErrAway)
+			storeDown = errors.Is(err, chain.ErrAway)
 		}
 		select {
-		case <-time.After(retryStore):
+		case <-time.After(storeRetryDelay):
 		case <-ctx.Done():
 		}
 	}
 	return ctx.Err()
 }
 
-// follow reads to the chain's end and then waits for each next entry, for as
-// long as this entry is to read.
+// follow reads to the end of the chain and then waits for each next entry, as long as this entry
+// is a reader.
 func (cr *configReader) follow(ctx context.Context) error {
 	last, err := cr.chain.Last(ctx)
 	if err != nil {
 		return err
 	}
 	cr.adopt(last)
-	for cr.reads() {
+	for cr.isReader() {
 		if cr.inf.Number() <= core.Generation(last.Number) {
 			cr.inf.Confirm(time.Now())
 		}
@@ -110,10 +112,9 @@
 	return nil
 }
 
-// next waits one round for an entry and returns an Entry of number 0 when none
-// came.
+// next waits up to watchTimeout for an entry and returns an Entry with number 0 if none was added.
 func (cr *configReader) next(ctx context.Context, n uint64) (chain.Entry, error) {
-	wctx, cancel := context.WithTimeout(ctx, watchRound)
+	wctx, cancel := context.WithTimeout(ctx, watchTimeout)
 	defer cancel()
 	en, err := cr.chain.Watch(wctx, n)
 	switch {
--- a/app/diff.go
+++ b/app/diff.go
@@ -17,25 +17,26 @@
 }
 
 func (cmd *diffCmd) run(ctx context.Context) error {
-	pub, pr, err := proposal(ctx, cmd.storeArgs, cmd.fileArgs, cmd.Base)
+	pub, pr, err := readProposal(ctx, cmd.storeArgs, cmd.fileArgs, cmd.Base)
 	if err != nil {
 		return err
 	}
 	res, err := pub.Prepare(ctx, pr)
 	if errors.Is(err, publish.ErrSame) {
-		fmt.Printf("nothing changes: generation %d says the same\n", res.Before.Number)
+		fmt.Printf("no change: generation %d has the same content\n", res.Before.Number)
 		return nil
 	}
 	if err != nil {
-		return failed(cmd.name(), err)
+		return publishError(cmd.name(), err)
 	}
 	printChange(res)
 	fmt.Printf("to put it in force as reviewed: skylarkstand apply %s --base %d --why REASON\n", cmd.name(), res.Before.Number)
 	return nil
 }
 
-// baseOf returns the generation that a file was written against.
-func baseOf(ctx context.Context, pub *publish.Publisher, given *uint64) (core.Generation, error) {
+// baseGeneration returns the generation that a file was written against: the given one, or the
+// newest.
+func baseGeneration(ctx context.Context, pub *publish.Publisher, given *uint64) (core.Generation, error) {
 	if given != nil {
 		return core.Generation(*given), nil
 	}
@@ -46,7 +47,7 @@
 	return newest.Number, nil
 }
 
-// printChange shows a change as people read it, with its effect.
+// printChange prints a change and its effects in readable form.
 func printChange(res publish.Result) {
 	fmt.Printf("against generation %d:\n", res.Before.Number)
 	if res.Rebased > 0 {
--- a/app/entry.go
+++ b/app/entry.go
@@ -36,11 +36,11 @@
 	return en.run(ctx)
 }
 
-// limitProcessors bounds the cores that the process uses at once, below what
-// the host offers.
+// limitProcessors bounds the cores that the process uses at once. It never raises the bound above
+// what the host offers.
 func limitProcessors(n int) { runtime.GOMAXPROCS(min(n, runtime.GOMAXPROCS(0))) }
 
-// entryProcess is the parts of an entry process that start and stop.
+// entryProcess holds the components of an entry process that are started and stopped.
 type entryProcess struct {
 	set       settings.Entry
 	deps      core.Deps
@@ -48,19 +48,19 @@
 	led       *ledger.Writer
 	successor *ledger.Successor
 	reader    *configReader
-	guard     *guardDuty
+	guard     *guardService
 	srv       *caller.Server
 	admin     http.Handler
 }
 
-// run serves until the context ends and then stops as planned: readyz fails,
-// the listener closes, the work in flight ends, the ledger is flushed.
+// run serves until the context ends and then shuts down gracefully: readyz fails, the listener
+// closes, the requests in flight complete and the ledger is flushed.
 func (en *entryProcess) run(ctx context.Context) error {
 	li, err := net.Listen("tcp", en.set.Listen)
 	if err != nil {
 		return err
 	}
-	duties, stop := context.WithCancel(context.WithoutCancel(ctx))
+	serviceCtx, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
 	en.pool.OnHosts(func(hosts []core.Host) {
 		en.reader.Update(hosts)
@@ -72,7 +72,7 @@
 	sup.Add(en.successor)
 	sup.Add(en.reader)
 	sup.Add(en.guard)
-	done := sup.ServeBackground(duties)
+	done := sup.ServeBackground(serviceCtx)
 
 	defer serveAdmin(en.set.Admin, en.admin)()
 	hs := callerServer(en.set, en.srv)
@@ -94,59 +94,58 @@
 	return nil
 }
 
-// slop is what net/http allows a header beyond its bound.
-const slop = 4096
+// headerSlop is how many bytes net/http accepts beyond MaxHeaderBytes.
+const headerSlop = 4096
 
-// callerServer returns the server for callers. It refuses a header beyond the
-// bound with 431 before it has read the whole of it.
+// callerServer returns the server for callers. It refuses a header above the bound with 431
+// before the whole header is read.
 func callerServer(set settings.Entry, ha http.Handler) *http.Server {
 	return &http.Server{
-		Handler: ha, ReadHeaderTimeout: headerLimit, IdleTimeout: idleLimit, MaxHeaderBytes: max(set.MaxHeader-slop, 1),
+		Handler: ha, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: max(set.MaxHeader-headerSlop, 1),
 	}
 }
 
-// serveAdmin serves the page of operators and collectors, if there is an
-// address for it, and returns the clean-up.
+// serveAdmin serves the endpoints for operators and metrics collectors if an address is set, and
+// returns a function that stops the server.
 func serveAdmin(addr string, ha http.Handler) func() {
 	if addr == "" {
 		return func() {}
 	}
-	hs := &http.Server{Addr: addr, Handler: ha, ReadHeaderTimeout: headerLimit}
+	hs := &http.Server{Addr: addr, Handler: ha, ReadHeaderTimeout: headerTimeout}
 	go func() { _ = hs.ListenAndServe() }()
 	return func() { _ = hs.Close() }
 }
 
 const (
-	// headerLimit stops a caller that never ends its header from holding a
-	// connection; idleLimit closes kept connections nobody uses.
-	headerLimit = 10 * time.Second
-	idleLimit   = 2 * time.Minute
-	// noticeTime is what the platform's balancer needs to see that readyz
-	// fails. Closing the listener at once would refuse callers that it still
-	// sends here.
-	noticeTime = 500 * time.Millisecond
-	// flushLimit bounds the last write of the ledger, beside the drain limit:
-	// requests that used all of that must not cost others their bills. With a
-	// store that is away the process must still end; agents hold the copies.
-	flushLimit = 10 * time.Second
+	// headerTimeout prevents a caller that never completes its header from holding a connection.
+	// idleTimeout closes unused keep-alive connections.
+	headerTimeout = 10 * time.Second
+	idleTimeout   = 2 * time.Minute
+	// leaveDelay is how long the platform's balancer needs to detect that readyz fails. Closing
+	// the listener immediately would refuse callers that it still sends to this process.
+	leaveDelay = 500 * time.Millisecond
+	// flushTimeout bounds the final write of the ledger. It is separate from the drain limit, so
+	// that requests that use up the drain limit do not cause the loss of other requests' bills.
+	// If the store is unavailable, the process must still exit; agents hold copies of the bills.
+	flushTimeout = 10 * time.Second
 )
 
 func (en *entryProcess) drain(hs *http.Server) {
 	event.Log(en.deps.Log, event.Stopping)
 	en.srv.Leave()
-	time.Sleep(noticeTime)
+	time.Sleep(leaveDelay)
 	ctx, cancel := context.WithTimeout(context.Background(), time.Duration(en.set.DrainLimit))
 	defer cancel()
 	if err := hs.Shutdown(ctx); err != nil {
 		event.Log(en.deps.Log, event.DrainCut, "error", err)
 	}
-	if err := en.led.Close(flushLimit); err != nil {
+	if err := en.led.Close(flushTimeout); err != nil {
 		event.Log(en.deps.Log, event.SegmentLate, "error", err)
 	}
 }
 
-// newSupervisor returns the root of a process's tree. A duty that ends with an
-// error or a panic is started again, with a growing pause.
+// newSupervisor returns the root of a process's supervision tree. A service that ends with an
+// error or a panic is restarted with a growing backoff.
 func newSupervisor(name string, deps core.Deps) *suture.Supervisor {
 	return suture.New(name, suture.Spec{
 		EventHook: func(ev suture.Event) {
--- a/app/entry_test.go
+++ b/app/entry_test.go
@@ -11,10 +11,10 @@
 	"skylarkstand/app/settings"
 )
 
-// A caller sends two thousand headers of 500 bytes. An entry that read them all
-// would hold a megabyte for each connection; it refuses them with 431, and serves
-// headers below its bound.
-func TestCallersHeadersAreBounded(t *testing.T) {
+// Guards against unbounded memory per connection: a caller sends two thousand headers of 500 bytes,
+// which would take a megabyte if all were read. The entry must refuse them with 431 and accept
+// headers below the bound.
+func TestRequestHeadersAreBounded(t *testing.T) {
 	set := settings.DefaultEntry()
 	ts := httptest.NewUnstartedServer(nil)
 	ts.Config = callerServer(set, http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}))
--- a/app/evacuate.go
+++ b/app/evacuate.go
@@ -18,7 +18,7 @@
 	End  bool   `arg:"--end" help:"give the zone work again"`
 }
 
-// run changes nothing but the zone: what other operators change meanwhile is kept.
+// run changes only the zone; concurrent changes by other operators are kept.
 func (cmd *evacuateCmd) run(ctx context.Context) error {
 	pub := publish.New(cmd.open())
 	newest, err := pub.Newest(ctx)
@@ -30,15 +30,15 @@
 		reason = ""
 		accept = append(accept, declaration.AcceptEnd(core.Zone(cmd.Zone), cmd.Why))
 	}
-	// What was accepted about the last step is spent.
+	// The accepted risks of the previous generation do not carry over.
 	now := declaration.Again(newest, accept)
 	doc, ok := now.Evacuate(core.Zone(cmd.Zone), reason)
 	if !ok {
-		var known []string
+		var declared []string
 		for _, zo := range newest.Document.Zones {
-			known = append(known, string(zo.ID))
+			declared = append(declared, string(zo.ID))
 		}
-		return &exitError{ExitUsage, eris.Errorf("zone %q is not declared; the configuration in force declares: %s", cmd.Zone, strings.Join(known, ", "))}
+		return &exitError{ExitUsage, eris.Errorf("zone %q is not declared; the configuration in force declares: %s", cmd.Zone, strings.Join(declared, ", "))}
 	}
 	return cmd.apply(ctx, pub, "the evacuation of "+cmd.Zone, publish.Proposal{Document: doc, Base: newest.Number})
 }
--- a/app/explain.go
+++ b/app/explain.go
@@ -15,7 +15,7 @@
 	Files   []string `arg:"positional" help:"logs of gateways; standard input without any"`
 }
 
-// run prints a request's story. It fails when no line has the id.
+// run prints the timeline of a request. It fails if no log line has the request's id.
 func (cmd *explainCmd) run(context.Context) error {
 	lo, err := readLogs(cmd.Files)
 	if err != nil {
@@ -26,12 +26,12 @@
 		return err
 	}
 	if len(st.Lines) == 0 {
-		return eris.Errorf("nothing is known of the request %s", cmd.Request)
+		return eris.Errorf("the logs contain no line with the request id %s; check the id and the log files", cmd.Request)
 	}
 	return nil
 }
 
-// readLogs reads files, or standard input without any.
+// readLogs reads the named files, or standard input if there are none.
 func readLogs(names []string) (*story.Log, error) {
 	var lo story.Log
 	if len(names) == 0 {
--- a/app/gateway.go
+++ b/app/gateway.go
@@ -53,24 +53,24 @@
 }
 
 const (
-	// collectAt is the growth of the heap between two collections, in percent.
-	// A gateway's heap is a few MB; collecting more often costs it little and
-	// keeps what the host has to hold small.
-	collectAt = 50
-	// memoryPart is the share of the allowed memory at which the collector
-	// works harder. The rest is for stacks, buffers of the kernel and what a
-	// burst allocates between two collections.
-	memoryPart = 0.6
+	// gcPercent is the heap growth between two garbage collections, in percent. A gateway's heap
+	// is a few MB, so collecting more often than the default costs little and keeps the resident
+	// memory small.
+	gcPercent = 50
+	// memoryLimitShare is the share of the allowed memory that is set as the runtime's soft memory
+	// limit, above which the collector runs more often. The rest is for stacks, kernel buffers
+	// and the allocations of a burst between two collections.
+	memoryLimitShare = 0.6
 )
 
 func limitMemory(mb int64) {
-	debug.SetGCPercent(collectAt)
+	debug.SetGCPercent(gcPercent)
 	if mb > 0 {
-		debug.SetMemoryLimit(int64(memoryPart * float64(mb<<20)))
+		debug.SetMemoryLimit(int64(memoryLimitShare * float64(mb<<20)))
 	}
 }
 
-// gatewayProcess is the parts of a gateway that start and stop.
+// gatewayProcess holds the components of a gateway that are started and stopped.
 type gatewayProcess struct {
 	set      settings.Gateway
 	deps     core.Deps
@@ -89,35 +89,36 @@
 	srv      *front.Server
 	admin    metricsPage
 
-	stop *stopClock
+	stop *shutdownState
 }
 
-// stopClock tells the parts of a process how far its planned stop is.
-type stopClock struct {
+// shutdownState is the progress of a process's graceful shutdown. It is safe for concurrent use.
+type shutdownState struct {
 	leaving atomic.Bool
-	// ends is when the process must have ended, in nanoseconds since epoch; 0
-	// until the stop has been noticed.
-	ends  atomic.Int64
-	epoch time.Time
+	// deadline is when the process must have exited, in nanoseconds since epoch; 0 until the
+	// balancer has stopped sending connections.
+	deadline atomic.Int64
+	epoch    time.Time
 }
 
-func newStopClock() *stopClock { return &stopClock{epoch: time.Now()} }
+func newShutdownState() *shutdownState { return &shutdownState{epoch: time.Now()} }
 
-// noticed notes that callers who still come have nowhere else to go, and when
-// the process ends.
-func (sc *stopClock) noticed(ends time.Time) { sc.ends.Store(int64(ends.Sub(sc.epoch))) }
+// setDeadline records when the process ends. It is called once the balancer has stopped sending
+// connections: callers that still connect have no other entry to use.
+func (sc *shutdownState) setDeadline(at time.Time) { sc.deadline.Store(int64(at.Sub(sc.epoch))) }
 
-// left returns how long the process still serves, once its stop was noticed.
-func (sc *stopClock) left() (time.Duration, bool) {
-	ends := sc.ends.Load()
-	return time.Until(sc.epoch.Add(time.Duration(ends))), ends != 0
+// remaining returns how long the process still serves. The result is false until the deadline is
+// set.
+func (sc *shutdownState) remaining() (time.Duration, bool) {
+	deadline := sc.deadline.Load()
+	return time.Until(sc.epoch.Add(time.Duration(deadline))), deadline != 0
 }
 
-// run serves until the context ends and then stops as planned.
+// run serves until the context ends and then shuts down gracefully.
 func (gw *gatewayProcess) run(ctx context.Context) error {
 	gw.mirror.Subscribe(gw.feed.Changed)
 	gw.mirror.Subscribe(func([]core.Change) { gw.sharer.Changed() })
-	duties, stop := context.WithCancel(context.WithoutCancel(ctx))
+	serviceCtx, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
 	sup := newSupervisor("gateway", gw.deps)
 	sup.Add(gw.follower)
@@ -127,14 +128,14 @@
 	sup.Add(gw.sharer)
 	sup.Add(gw.recaller)
 	sup.Add(gw.gauges)
-	done := sup.ServeBackground(duties)
+	done := sup.ServeBackground(serviceCtx)
 
 	defer serveAdmin(gw.set.Admin, http.Handler(gw.admin))()
-	closeAsides, err := gw.serveAsides()
+	closeInternal, err := gw.serveInternal()
 	if err != nil {
 		return err
 	}
-	defer closeAsides()
+	defer closeInternal()
 	li, err := net.Listen("tcp", gw.set.Listen)
 	if err != nil {
 		return eris.Wrap(err, "listen")
@@ -158,18 +159,19 @@
 	return nil
 }
 
-// serveAsides serves the balancer's question and the siblings'.
-func (gw *gatewayProcess) serveAsides() (func(), error) {
+// serveInternal serves the readiness endpoint for the balancer and the endpoints for sibling
+// entries, and returns a function that stops both servers.
+func (gw *gatewayProcess) serveInternal() (func(), error) {
 	ready := http.NewServeMux()
 	ready.HandleFunc("GET "+gw.set.ReadinessPath, gw.ready)
 	sibs := http.NewServeMux()
 	sibs.Handle("GET "+sibling.Path, sibling.Handler(gw.mirror, gw.follower.Doubtful))
 	sibs.Handle("GET "+sibling.ReportsPath, sibling.Reports(gw.guard))
-	closeReady, err := serveAside(gw.set.Readiness, ready)
+	closeReady, err := serveOn(gw.set.Readiness, ready)
 	if err != nil {
 		return nil, err
 	}
-	closeSibs, err := serveAside(gw.set.Siblings, sibs)
+	closeSibs, err := serveOn(gw.set.Siblings, sibs)
 	if err != nil {
 		closeReady()
 		return nil, err
@@ -180,19 +182,19 @@
 	}, nil
 }
 
-func serveAside(addr string, ha http.Handler) (func(), error) {
+func serveOn(addr string, ha http.Handler) (func(), error) {
 	li, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, eris.Wrap(err, "listen")
 	}
-	hs := &http.Server{Handler: ha, ReadHeaderTimeout: headerLimit}
+	hs := &http.Server{Handler: ha, ReadHeaderTimeout: headerTimeout}
 	go func() { _ = hs.Serve(li) }()
 	return func() { _ = hs.Close() }, nil
 }
 
-// ready tells the balancer whether new connections may come: not before a
-// configuration and upstreams are known, and not once the process leaves. A
-// store that is away later does not count: what is known goes on to be right.
+// ready reports to the balancer whether to send new connections: not before a configuration and
+// upstreams are loaded, and not once the process is leaving. A later outage of the store does not
+// affect readiness, since the loaded state stays valid.
 func (gw *gatewayProcess) ready(w http.ResponseWriter, _ *http.Request) {
 	if gw.stop.leaving.Load() || gw.inf.Current() == nil || gw.fleet.Len() == 0 {
 		w.WriteHeader(http.StatusServiceUnavailable)
@@ -200,80 +202,78 @@
 }
 
 const (
-	// unnoticed is how long the balancer may send connections after readiness
-	// has gone: it asks once a second and goes by two misses in a row.
-	unnoticed = 2300 * time.Millisecond
-	// killMargin is kept of the drain limit: the process must have ended by
-	// itself when that is over.
-	killMargin = 400 * time.Millisecond
+	// balancerDelay is how long the balancer may send connections after readiness fails: it probes
+	// once a second and removes an entry after two consecutive failures.
+	balancerDelay = 2300 * time.Millisecond
+	// exitMargin is subtracted from the drain limit: the process must exit by itself before the
+	// platform kills it at the limit.
+	exitMargin = 400 * time.Millisecond
 )
 
-// drain stops as planned. Until the balancer has noticed, connections are
-// accepted as before; each answer closes its connection, so that callers go
-// elsewhere without being cut off. Then idle connections are closed, what
-// cannot end in time is refused, and what is under way ends within the drain
-// limit. The listener stays open to the end: when all entries stop at once, a
-// caller that finds nobody cannot be told when to come back.
+// drain shuts down gracefully. Until the balancer has detected the failed readiness, connections
+// are still accepted; each response closes its connection, so that callers move to other entries
+// without being cut off. Then idle connections are closed, requests that cannot complete in time
+// are refused, and requests in flight complete within the drain limit. The listener stays open to
+// the end: if all entries stop at once, a caller that cannot connect receives no Retry-After.
 func (gw *gatewayProcess) drain() {
-	ends := time.Now().Add(time.Duration(gw.set.DrainLimit) - killMargin)
+	ends := time.Now().Add(time.Duration(gw.set.DrainLimit) - exitMargin)
 	gw.stop.leaving.Store(true)
 	gw.srv.Leave()
 	event.Log(gw.deps.Log, event.Stopping, "under-way", gw.srv.Flying())
-	time.Sleep(min(unnoticed, time.Until(ends)))
-	gw.stop.noticed(ends)
+	time.Sleep(min(balancerDelay, time.Until(ends)))
+	gw.stop.setDeadline(ends)
 	gw.srv.CloseIdle()
 	ctx, cancel := context.WithDeadline(context.Background(), ends)
 	defer cancel()
-	if left := gw.srv.Drain(ctx); left > 0 {
-		event.Log(gw.deps.Log, event.DrainCut, "under-way", left)
+	if remaining := gw.srv.Drain(ctx); remaining > 0 {
+		event.Log(gw.deps.Log, event.DrainCut, "under-way", remaining)
 	}
 }
 
-// reloadEvery is how often the settings file is looked at: it may change
+// settingsPollInterval is how often the settings file is checked for changes, since it may change
 // without a signal.
-const reloadEvery = 2 * time.Second
+const settingsPollInterval = 2 * time.Second
 
-// watchSettings reads the settings again when the file changes or the process is
-// told to. Addresses, place and bounds are those of the start; a change of them
-// is logged, so that an operator sees what waits for the next one. The channel
-// is closed when the context has ended and the file is watched no more.
+// watchSettings reloads the settings when the file changes or the process receives SIGHUP.
+// Addresses, zone and bounds stay as they were at the start; a change of them is logged, so that an
+// operator sees which changes take effect at the next start. The returned channel is closed when
+// the context has ended and the file is no longer watched.
 //
-// The signal is listened for until the process is gone: its default action is to
-// end the process, which during a planned stop would cut off every request that
-// the stop waits for.
+// SIGHUP stays registered until the process exits: its default action terminates the process, which
+// during a graceful shutdown would cut off every request that the shutdown waits for.
 func (gw *gatewayProcess) watchSettings(ctx context.Context, path string) <-chan struct{} {
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		gw.reloads(ctx, path, hup)
+		gw.watchLoop(ctx, path, hup)
 	}()
 	return done
 }
 
-func (gw *gatewayProcess) reloads(ctx context.Context, path string, hup <-chan os.Signal) {
-	ti := time.NewTicker(reloadEvery)
+func (gw *gatewayProcess) watchLoop(ctx context.Context, path string, hup <-chan os.Signal) {
+	ti := time.NewTicker(settingsPollInterval)
 	defer ti.Stop()
-	last := modified(path)
+	last := modTime(path)
 	for {
-		told := false
+		signaled := false
 		select {
 		case <-ctx.Done():
 			return
 		case <-hup:
-			told = true
+			signaled = true
 		case <-ti.C:
 		}
-		if at := modified(path); told || at != last {
+		if at := modTime(path); signaled || at != last {
 			last = at
 			gw.reload(path)
 		}
 	}
 }
 
-// modified is when a file was changed last; zero when that cannot be told.
-func modified(path string) time.Time {
+// modTime returns a file's modification time, or zero if it cannot be determined.
+func modTime(path string) time.Time {
 	fi, err := os.Stat(path)
 	if err != nil {
 		return time.Time{}
@@ -290,8 +290,8 @@
 	event.Log(gw.deps.Log, event.Reloaded, "waiting-for-restart", gw.set.Changed(set))
 }
 
-// member renders the process's own line of the list of entries.
-func member(set settings.Gateway, deps core.Deps) ([]byte, error) {
+// memberRecord encodes this process's record in the list of entries.
+func memberRecord(set settings.Gateway, deps core.Deps) ([]byte, error) {
 	raw, err := json.Marshal(feed.Member{ID: deps.Self, Addr: set.Siblings, Zone: deps.Zone})
 	return raw, eris.Wrap(err, "register")
 }
--- a/app/gateway_providers.go
+++ b/app/gateway_providers.go
@@ -31,8 +31,8 @@
 	"skylarkstand/platform"
 )
 
-// newGatewayProcess logs to standard output, where the platform collects it,
-// without waiting for whoever reads.
+// newGatewayProcess returns a process that logs to standard output, where the platform collects
+// the log. Logging does not block on the reader.
 func newGatewayProcess(set settings.Gateway) (process, func()) {
 	scope, page, closeScope := metrics.New("gateway")
 	var lv slog.Level
@@ -56,7 +56,7 @@
 	}))
 }
 
-// storeOutcome names the outcome of a store's call in metrics.
+// storeOutcome returns the value of the outcome label for a store call in metrics.
 func storeOutcome(err error) string {
 	switch {
 	case err == nil:
@@ -82,7 +82,7 @@
 	return warmup.New(deps.Self, warmup.Overshoot(set.WarmUp.Overshoot, set.WarmUp.Slack))
 }
 
-// newOff returns the mechanisms that are switched off; the settings were checked.
+// newOff returns the disabled mechanisms. The settings are validated before.
 func newOff(set settings.Gateway) (mechanism.Off, error) { return mechanism.Parse(set.Without) }
 
 func newGuard(set settings.Gateway, off mechanism.Off) *canary.Guard {
@@ -91,8 +91,8 @@
 
 func newCodec() front.Codec { return platform.Callers{} }
 
-// members is the entries that are registered. It is filled in once the feed is
-// there, which itself needs the parts that ask for the entries.
+// members provides the registered entries. Its functions are set when the feed is created, since
+// the feed depends on components that use members.
 type members struct {
 	list  func() []feed.Member
 	count func() int
@@ -102,8 +102,8 @@
 	return &members{list: func() []feed.Member { return nil }, count: func() int { return 0 }}
 }
 
-// others lists the addresses of the other entries. What was registered at the own
-// address before is none of them.
+// others returns the addresses of the other entries. It excludes by address, not by id, so that a
+// previous process registered at this process's address is not among them.
 func (me *members) others(own string) []string {
 	var out []string
 	for _, mb := range me.list() {
@@ -114,8 +114,8 @@
 	return out
 }
 
-// region lists the entries of a region.
-func (me *members) region(regions map[core.Zone]core.Region, re core.Region) []feed.Member {
+// inRegion returns the entries of a region.
+func (me *members) inRegion(regions map[core.Zone]core.Region, re core.Region) []feed.Member {
 	var out []feed.Member
 	for _, mb := range me.list() {
 		if regions[mb.Zone] == re {
@@ -125,10 +125,10 @@
 	return out
 }
 
-// near lists the addresses of the other entries of a region.
-func (me *members) near(own string, regions map[core.Zone]core.Region, re core.Region) []string {
+// othersInRegion returns the addresses of the other entries of a region.
+func (me *members) othersInRegion(own string, regions map[core.Zone]core.Region, re core.Region) []string {
 	var out []string
-	for _, mb := range me.region(regions, re) {
+	for _, mb := range me.inRegion(regions, re) {
 		if mb.Addr != own {
 			out = append(out, mb.Addr)
 		}
@@ -136,8 +136,8 @@
 	return out
 }
 
-// remote lists the addresses of the entries of each other region.
-func (me *members) remote(regions map[core.Zone]core.Region, own core.Region) map[core.Region][]string {
+// byRemoteRegion returns the addresses of the entries of each other region.
+func (me *members) byRemoteRegion(regions map[core.Zone]core.Region, own core.Region) map[core.Region][]string {
 	by := map[core.Region][]string{}
 	for _, mb := range me.list() {
 		if re := regions[mb.Zone]; re != own {
@@ -147,7 +147,8 @@
 	return by
 }
 
-// rank is the process's place among the entries for a service.
+// rank returns the position of a process in the rendezvous order of the entries for a service, or
+// the number of entries if it is not registered.
 func (me *members) rank(self core.ProcessID, sv core.ServiceID) int {
 	list := me.list()
 	top := rendezvous.Top(string(sv), list, len(list), func(mb feed.Member) string { return string(mb.ID) })
@@ -158,17 +159,17 @@
 	return at
 }
 
-// readersPerRegion is how many entries of a region watch the store for the
-// others. The loss of two of them, or their cut from the store, is then no matter.
+// readersPerRegion is how many entries of a region watch the store for the others. With three, the
+// region still receives updates if two of them fail or are cut off from the store.
 const readersPerRegion = 3
 
-// reads reports whether a process watches the store for its region. One that is
-// not registered yet watches it for itself.
-func (me *members) reads(self core.ProcessID, regions map[core.Zone]core.Region, re core.Region) bool {
-	near := me.region(regions, re)
+// isReader reports whether a process watches the store for its region. A process that is not
+// registered yet watches the store itself.
+func (me *members) isReader(self core.ProcessID, regions map[core.Zone]core.Region, re core.Region) bool {
+	local := me.inRegion(regions, re)
 	isSelf := func(mb feed.Member) bool { return mb.ID == self }
-	top := rendezvous.Top(string(re), near, readersPerRegion, func(mb feed.Member) string { return string(mb.ID) })
-	return !slices.ContainsFunc(near, isSelf) || slices.ContainsFunc(top, isSelf)
+	top := rendezvous.Top(string(re), local, readersPerRegion, func(mb feed.Member) string { return string(mb.ID) })
+	return !slices.ContainsFunc(local, isSelf) || slices.ContainsFunc(top, isSelf)
 }
 
 func newSiblings(set settings.Gateway, cl *upstream.Client, me *members) *sibling.Siblings {
@@ -179,18 +180,18 @@
 	if off.Has(mechanism.Readers) {
 		return mirror.NewFollower(deps, mi, st, si)
 	}
-	reads := func() bool { return me.reads(deps.Self, set.Regions, deps.Region) }
-	return mirror.NewFollower(deps, mi, st, si, mirror.Reads(reads))
+	isReader := func() bool { return me.isReader(deps.Self, set.Regions, deps.Region) }
+	return mirror.NewFollower(deps, mi, st, si, mirror.Reads(isReader))
 }
 
-func newForwarder(set settings.Gateway, deps core.Deps, inf *route.InForce, fl *fleet.Fleet, gu *canary.Guard, wu *warmup.Tracker, mi *mirror.Mirror, ac core.Access, sc *stopClock, me *members, off mechanism.Off) *forward.Forwarder {
+func newForwarder(set settings.Gateway, deps core.Deps, inf *route.InForce, fl *fleet.Fleet, gu *canary.Guard, wu *warmup.Tracker, mi *mirror.Mirror, ac core.Access, sc *shutdownState, me *members, off mechanism.Off) *forward.Forwarder {
 	re := set.Repeats
 	slack := func() float64 { return retry.Share(re.Slack, me.count()) }
 	return forward.New(deps, ac, forward.Parts{
 		InForce: inf, Fleet: fl, Canary: gu, Warmup: wu,
 		Age:      func() time.Duration { return mi.Age(time.Now()) },
 		Repeats:  forward.NewWindows(time.Duration(re.Window), re.Ratio, slack),
-		Stopping: sc.left, Off: off,
+		Stopping: sc.remaining, Off: off,
 	})
 }
 
@@ -207,7 +208,7 @@
 }
 
 func newRegistrar(set settings.Gateway, deps core.Deps, st *platform.Store) (*register.Registrar, error) {
-	line, err := member(set, deps)
+	line, err := memberRecord(set, deps)
 	return register.New(deps, st, feed.PrefixEntries+string(deps.Self), line), err
 }
 
@@ -220,10 +221,10 @@
 }
 
 func newSharer(set settings.Gateway, deps core.Deps, fw *forward.Forwarder, fo *mirror.Follower, me *members) *sibling.Sharer {
-	near := func() []string { return me.near(set.Siblings, set.Regions, deps.Region) }
-	reads := func() bool { return me.reads(deps.Self, set.Regions, deps.Region) }
-	remote := func() map[core.Region][]string { return me.remote(set.Regions, deps.Region) }
-	return sibling.NewSharer(deps.Self, set.Siblings, fw, fo, near, reads, sibling.Remote(remote))
+	local := func() []string { return me.othersInRegion(set.Siblings, set.Regions, deps.Region) }
+	isReader := func() bool { return me.isReader(deps.Self, set.Regions, deps.Region) }
+	remote := func() map[core.Region][]string { return me.byRemoteRegion(set.Regions, deps.Region) }
+	return sibling.NewSharer(deps.Self, set.Siblings, fw, fo, local, isReader, sibling.Remote(remote))
 }
 
 func newRecaller(deps core.Deps, inf *route.InForce, fl *fleet.Fleet, mem core.Memory, fw *forward.Forwarder, off mechanism.Off) *recall.Recaller {
--- a/app/gateway_test.go
+++ b/app/gateway_test.go
@@ -15,7 +15,7 @@
 )
 
 const gatewaySettings = `{
-  // The least that a gateway needs.
+  // The minimal settings of a gateway.
   "listen": "127.0.0.1:1", "readiness": "127.0.0.1:2", "siblings": "127.0.0.1:3", "store": "127.0.0.1:4",
   "zone": "muc-a", "regions": {"muc-a": "muc"},
 }`
@@ -27,11 +27,10 @@
 	return path
 }
 
-// A process is stopping as planned and ends what is under way. Its settings file
-// changes just then, and it is told so by a signal whose default action ends a
-// process: were nobody listening for it any more, all callers would be cut off
-// in the middle of their answers.
-func TestHangupDuringAStop(t *testing.T) {
+// Guards against SIGHUP terminating a process that is draining. The settings file changes during a
+// graceful shutdown; the default action of the signal ends the process, so without a handler all
+// callers would be cut off in the middle of their responses.
+func TestHangupDuringShutdown(t *testing.T) {
 	path := writeSettings(t, gatewaySettings)
 	set, err := settings.LoadGateway(path)
 	assert.NilError(t, err)
@@ -41,11 +40,11 @@
 	cancel()
 	<-stopped
 	assert.NilError(t, syscall.Kill(os.Getpid(), syscall.SIGHUP))
-	time.Sleep(20 * time.Millisecond) // The signal would have ended the test by now.
+	time.Sleep(20 * time.Millisecond) // By now the signal would have ended the test process.
 }
 
-// An operator makes several mistakes in one settings file. All of them must be
-// told at once, or the process is started once for each.
+// All mistakes in a settings file must be reported at once; otherwise the operator has to start the
+// process once per mistake.
 func TestGatewaySettingsFaults(t *testing.T) {
 	_, err := settings.LoadGateway(writeSettings(t, `{"listen": "nowhere", "zone": "muc-a", "exposure": 2, "log-level": "loud", "colour": 1}`))
 	for _, part := range []string{"colour", "listen", "readiness", "siblings", "store", "regions", "exposure", "log-level"} {
--- a/app/gauges.go
+++ b/app/gauges.go
@@ -16,11 +16,11 @@
 	"skylarkstand/io/front"
 )
 
-// gaugesEvery is how often the gauges are set. Collectors come every 15 s or so.
-const gaugesEvery = 5 * time.Second
+// gaugeInterval is how often the gauges are set. Collectors scrape about every 15 s.
+const gaugeInterval = 5 * time.Second
 
-// gauges is the duty that shows a gateway's state in its metrics. It implements
-// suture's Service.
+// gauges is the service that exports a gateway's state as metrics. It implements
+// suture.Service.
 type gauges struct {
 	scope  tally.Scope
 	inf    *route.InForce
@@ -35,9 +35,9 @@
 	return &gauges{deps.Metrics, inf, fl, gu, mi, fw, srv}
 }
 
-// Serve implements suture's Service.
+// Serve implements suture.Service.
 func (ga *gauges) Serve(ctx context.Context) error {
-	ti := time.NewTicker(gaugesEvery)
+	ti := time.NewTicker(gaugeInterval)
 	defer ti.Stop()
 	for {
 		ga.set(time.Now())
@@ -58,8 +58,8 @@
 	for sv, share := range ga.guard.Shares() {
 		meter.RollOutShare.Set(ga.scope, share, string(sv))
 	}
-	for sv, left := range ga.fw.RepeatsLeft() {
-		meter.RepeatsLeft.Set(ga.scope, left, string(sv))
+	for sv, remaining := range ga.fw.RepeatsLeft() {
+		meter.RepeatsLeft.Set(ga.scope, remaining, string(sv))
 	}
 	for sv, co := range ga.fleet.Counts(now) {
 		ga.upstreams(sv, "serving", co.Serving)
--- a/app/guard_duty.go
+++ b/app/guard_duty.go
@@ -15,55 +15,59 @@
 	"skylarkstand/io/peer"
 )
 
-// guardDuty keeps the guard of roll-outs in step with the configuration and
-// writes its halts into it.
-type guardDuty struct {
+// guardService applies the configuration to the roll-out guard and records the guard's halts in the
+// configuration. It implements suture.Service.
+type guardService struct {
 	deps core.Deps
 	inf  *declaration.InForce
 	gu   *rollout.Guard
 	rec  *rollout.Recorder
 	mesh *peer.Mesh
 	self core.Host
-	// hosts is the last reading of the host list.
+	// hosts is the current host list.
 	hosts atomic.Pointer[[]core.Host]
-	// fresh is how old the last word of the newest configuration may be.
-	fresh time.Duration
+	// maxAge bounds the time since the configuration was last confirmed to be the newest. Beyond
+	// it the configuration is stale.
+	maxAge time.Duration
 
+	// stale and pending record that the current stale configuration or failed recording was
+	// logged, so that each is logged once.
 	stale, pending bool
-	told           map[core.ModelVersion]bool
+	// announced holds the versions whose halt was logged and announced.
+	announced map[core.ModelVersion]bool
 }
 
-func newGuardDuty(set settings.Entry, deps core.Deps, inf *declaration.InForce, gu *rollout.Guard, st core.Store, mesh *peer.Mesh) *guardDuty {
-	gd := &guardDuty{
+func newGuardService(set settings.Entry, deps core.Deps, inf *declaration.InForce, gu *rollout.Guard, st core.Store, mesh *peer.Mesh) *guardService {
+	gd := &guardService{
 		deps: deps, inf: inf, gu: gu, mesh: mesh, self: entryHost(set), rec: rollout.NewRecorder(chain.New(st, configurationChain), inf),
-		fresh: time.Duration(set.Freshness), told: map[core.ModelVersion]bool{},
+		maxAge: time.Duration(set.Freshness), announced: map[core.ModelVersion]bool{},
 	}
 	gd.hosts.Store(new([]core.Host))
 	return gd
 }
 
 const (
-	// guardPace is how often evidence goes to the home of a roll-out and a
-	// halt that could not be recorded is tried again. Each pace exposes the
-	// callers of half of it on average; each batch is a frame a roll-out.
-	guardPace = 500 * time.Millisecond
-	// sendLimit bounds the wait for a home that is frozen or far.
-	sendLimit = 400 * time.Millisecond
-	// recordLimit bounds one try, so that a store that hangs does not keep
-	// the guard from newer configurations.
-	recordLimit = 3 * time.Second
+	// guardInterval is how often evidence is sent to the home of a roll-out and how often recording
+	// a halt is retried. On average, the callers of half an interval are exposed to a bad version
+	// in addition; each interval costs one frame per roll-out.
+	guardInterval = 500 * time.Millisecond
+	// sendTimeout bounds the wait for a home that is frozen or has a long round-trip time.
+	sendTimeout = 400 * time.Millisecond
+	// recordTimeout bounds one attempt, so that a store that hangs does not delay the adoption of
+	// newer configurations by the guard.
+	recordTimeout = 3 * time.Second
 )
 
-// Serve implements suture's service.
-func (gd *guardDuty) Serve(ctx context.Context) error {
-	tick := time.NewTicker(guardPace)
+// Serve implements suture.Service.
+func (gd *guardService) Serve(ctx context.Context) error {
+	tick := time.NewTicker(guardInterval)
 	defer tick.Stop()
 	for {
 		changed := gd.inf.Changed()
 		if sn := gd.inf.Current(); sn != nil {
 			gd.gu.Follow(sn)
 		}
-		gd.tellStale()
+		gd.logStale()
 		gd.sendEvidence(ctx)
 		gd.record(ctx)
 		select {
@@ -76,12 +80,12 @@
 	}
 }
 
-// Update takes a new reading of the host list.
-func (gd *guardDuty) Update(hosts []core.Host) { gd.hosts.Store(&hosts) }
+// Update sets the current host list.
+func (gd *guardService) Update(hosts []core.Host) { gd.hosts.Store(&hosts) }
 
-// sendEvidence gives what was seen to the homes of the roll-outs. An entry
-// that cannot reach a home, or that the list does not name yet, decides alone.
-func (gd *guardDuty) sendEvidence(ctx context.Context) {
+// sendEvidence sends the observed attempts to the homes of the roll-outs. An entry decides locally
+// if it cannot reach a home or has no address for other entries, or if the host list has no home.
+func (gd *guardService) sendEvidence(ctx context.Context) {
 	for _, ba := range gd.gu.Batches() {
 		home, ok := rollout.Home(ba.Model, *gd.hosts.Load())
 		switch {
@@ -96,30 +100,30 @@
 	}
 }
 
-func (gd *guardDuty) send(ctx context.Context, home core.Host, ba rollout.Batch) bool {
-	sctx, cancel := context.WithTimeout(ctx, sendLimit)
+func (gd *guardService) send(ctx context.Context, home core.Host, ba rollout.Batch) bool {
+	sctx, cancel := context.WithTimeout(ctx, sendTimeout)
 	defer cancel()
 	return gd.mesh.SendEvidence(sctx, home, ba) == nil
 }
 
-// tellStale logs when the configuration becomes outdated.
-func (gd *guardDuty) tellStale() {
-	stale := gd.inf.Current() != nil && !gd.inf.Fresh(time.Now(), gd.fresh)
+// logStale logs when the configuration becomes stale.
+func (gd *guardService) logStale() {
+	stale := gd.inf.Current() != nil && !gd.inf.Fresh(time.Now(), gd.maxAge)
 	if stale && !gd.stale {
 		event.Log(gd.deps.Log, event.ConfigStale, "generation", gd.inf.Number(), "heard", gd.inf.Heard())
 	}
 	gd.stale = stale
 }
 
-func (gd *guardDuty) record(ctx context.Context) {
+func (gd *guardService) record(ctx context.Context) {
 	halts := gd.gu.Halts()
 	if len(halts) == 0 {
 		gd.pending = false
-		clear(gd.told)
+		clear(gd.announced)
 	}
 	for _, ha := range halts {
-		if !gd.told[ha.Version] {
-			gd.told[ha.Version] = true
+		if !gd.announced[ha.Version] {
+			gd.announced[ha.Version] = true
 			event.Log(gd.deps.Log, event.RollOutHalted, "version", ha.Version.String(), "why", ha.Why, "reached", ha.Reached)
 			meter.RollOutsHalted.Inc(gd.deps.Metrics)
 			gd.mesh.TellHalt(ha, gd.inf.Number())
@@ -128,8 +132,8 @@
 	}
 }
 
-func (gd *guardDuty) recordOne(ctx context.Context, ha rollout.Halt) {
-	rctx, cancel := context.WithTimeout(ctx, recordLimit)
+func (gd *guardService) recordOne(ctx context.Context, ha rollout.Halt) {
+	rctx, cancel := context.WithTimeout(ctx, recordTimeout)
 	defer cancel()
 	wrote, err := gd.rec.Record(rctx, ha, time.Now().UTC())
 	switch {
--- a/app/history.go
+++ b/app/history.go
@@ -20,7 +20,7 @@
 	JSON bool `arg:"--json" help:"one JSON object a line"`
 }
 
-// historyLine is one line of the audit trail in JSON.
+// historyLine is one line of the audit trail in JSON output.
 type historyLine struct {
 	Generation core.Generation `json:"generation"`
 	declaration.Audit
--- a/app/in_force.go
+++ b/app/in_force.go
@@ -13,18 +13,19 @@
 	"skylarkstand/io/peer"
 )
 
-// reportInForce prints, zone by zone, when an accepted generation is in force.
+// reportInForce waits until an accepted generation is in force and reports its propagation per
+// availability zone.
 func reportInForce(ctx context.Context, list string, gen core.Generation) error {
 	hos, err := hosts.New(list).List(ctx)
 	if err != nil {
-		return &exitError{ExitSpreading, eris.Wrap(err, "the change is accepted; who has it in force cannot be told")}
+		return &exitError{ExitSpreading, eris.Wrap(err, "the change is accepted; its propagation is unknown, since the host list could not be read")}
 	}
 	deps := core.NewDeps()
-	ask := func(ctx context.Context, addr string, gen core.Generation) error {
+	wait := func(ctx context.Context, addr string, gen core.Generation) error {
 		_, err := peer.Await(ctx, deps, addr, gen)
 		return err
 	}
-	rep := inforce.Follow(ctx, hos, gen, ask, printZone)
+	rep := inforce.Follow(ctx, hos, gen, wait, printZone)
 	if len(rep.Missing) > 0 {
 		return &exitError{ExitSpreading, eris.Errorf("generation %d is accepted, and %d processes do not have it in force yet; those that are up will adopt it", gen, len(rep.Missing))}
 	}
--- a/app/load.go
+++ b/app/load.go
@@ -30,7 +30,7 @@
 		return err
 	}
 	var opts []load.Option
-	if !cmd.Quiet && terminal(os.Stderr) {
+	if !cmd.Quiet && isTerminal(os.Stderr) {
 		opts = append(opts, load.WithProgress(os.Stderr))
 	}
 	rep := load.New(mix, opts...).Run(ctx)
@@ -38,7 +38,7 @@
 	return writeFile(cmd.CSV, rep.WriteCSV)
 }
 
-// writeFile writes a report to a file, if one was asked for.
+// writeFile writes a report to a file, if a path is given.
 func writeFile(path string, write func(io.Writer) error) error {
 	if path == "" {
 		return nil
@@ -54,7 +54,7 @@
 	return eris.Wrap(fi.Close(), "report")
 }
 
-func terminal(fi *os.File) bool {
+func isTerminal(fi *os.File) bool {
 	st, err := fi.Stat()
 	return err == nil && st.Mode()&os.ModeCharDevice != 0
 }
--- a/app/losses.go
+++ b/app/losses.go
@@ -15,8 +15,8 @@
 	Span  time.Duration `arg:"--span" default:"2s" help:"the time that a row sums"`
 }
 
-// run prints why callers got less than they could. It fails when the logs tell of
-// no request.
+// run prints a table of the causes why requests earned less than they could. It fails if the logs
+// contain no request.
 func (cmd *lossesCmd) run(context.Context) error {
 	if cmd.Span <= 0 {
 		return &exitError{ExitUsage, eris.New("--span must be above 0")}
@@ -27,7 +27,7 @@
 	}
 	ta := losses.Count(lo.Lines(), cmd.Span)
 	if ta.Total.Requests == 0 {
-		return eris.New("the logs tell of no request")
+		return eris.New("the logs contain no request; check that they are logs of gateways")
 	}
 	return ta.Write(os.Stdout)
 }
--- a/app/losses_test.go
+++ b/app/losses_test.go
@@ -8,9 +8,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// An engineer names a file without requests, or one that is not there. The
-// command must not end as if nobody had lost anything.
-func TestLossesSaysWhenItKnowsNothing(t *testing.T) {
+// Guards against a success exit code, which would mean that nothing was lost, if a file has no
+// requests or does not exist.
+func TestLossesFailsWithoutData(t *testing.T) {
 	dir := t.TempDir()
 	log, empty := filepath.Join(dir, "gateway.log"), filepath.Join(dir, "empty.log")
 	row := `{"time":"2026-03-01T08:00:00Z","msg":"exchange-refused","process":"p1","request":"r1","code":"overloaded"}` + "\n"
--- a/app/operating_test.go
+++ b/app/operating_test.go
@@ -16,18 +16,18 @@
 )
 
 const (
-	page     = "../docs/OPERATING.md"
-	pageURL  = "http://127.0.0.1:9200"
-	rewrites = "SKYLARKSTAND_RENEW"
+	page          = "../docs/OPERATING.md"
+	pageURL       = "http://127.0.0.1:9200"
+	renewVariable = "SKYLARKSTAND_RENEW"
 )
 
-// moments are written on the page as they were on the day of the run.
-var moments = regexp.MustCompile(`\d{4}-\d\d-\d\dT\d\d:\d\d:\d\dZ`)
+// timestamps matches the times in the page, which are those of the run that generated it.
+var timestamps = regexp.MustCompile(`\d{4}-\d\d-\d\dT\d\d:\d\d:\d\dZ`)
 
-// An operator in a hurry types what the page says. A command that has since
-// changed its name or its output costs minutes in which callers get wrong
-// answers. With SKYLARKSTAND_RENEW=1 the page is written anew.
-func TestPageForOperatorsShowsWhatHappens(t *testing.T) {
+// Guards against commands and output in the operators' page that no longer match the program: an
+// operator who relies on them during an incident loses minutes in which callers receive wrong
+// answers. With SKYLARKSTAND_RENEW=1 the page is regenerated.
+func TestOperatingPageMatchesOutput(t *testing.T) {
 	dir := t.TempDir()
 	out, err := exec.Command("go", "build", "-o", dir+"/", "skylarkstand").CombinedOutput()
 	assert.NilError(t, err, string(out))
@@ -51,14 +51,14 @@
 		}
 		return strings.ReplaceAll(text, srv.URL, pageURL)
 	})
-	if os.Getenv(rewrites) != "" {
+	if os.Getenv(renewVariable) != "" {
 		assert.NilError(t, os.WriteFile(page, []byte(got), 0o600))
 		return
 	}
-	assert.Equal(t, moments.ReplaceAllString(got, "TIME"), moments.ReplaceAllString(string(old), "TIME"))
+	assert.Equal(t, timestamps.ReplaceAllString(got, "TIME"), timestamps.ReplaceAllString(string(old), "TIME"))
 }
 
-// rerun returns a page with the output of its commands replaced.
+// rerun returns the page with the output of its commands replaced by that of run.
 func rerun(t *testing.T, text string, run func(string) string) string {
 	t.Helper()
 	var sb strings.Builder
@@ -73,7 +73,7 @@
 		case line == "```":
 			inside = false
 		case inside && !isCommand:
-			continue // Output of an earlier run.
+			continue // Output of the previous run.
 		}
 		sb.WriteString(line + "\n")
 		if inside && isCommand {
@@ -83,9 +83,9 @@
 	return sb.String()
 }
 
-// An on-call engineer follows the page while a user waits. Its commands must run
-// as they stand.
-func TestPageForOnCallEngineersRuns(t *testing.T) {
+// Guards against commands in the on-call page that do not run: an engineer copies them during an
+// incident.
+func TestOperationsPageCommandsRun(t *testing.T) {
 	dir := t.TempDir()
 	out, err := exec.Command("go", "build", "-o", dir+"/", "skylarkstand").CombinedOutput()
 	assert.NilError(t, err, string(out))
--- a/app/order.go
+++ b/app/order.go
@@ -23,15 +23,15 @@
 	Order    string          `arg:"positional,required" help:"the order as JSON, such as '{\"load\":\"desk@v2\"}'"`
 }
 
-// orderLimit bounds the wait for an engine; loading a version takes minutes,
-// but an engine takes the order for it at once.
-const orderLimit = 30 * time.Second
+// orderTimeout bounds the wait for an engine. Loading a version takes minutes, but an engine
+// acknowledges the order immediately.
+const orderTimeout = 30 * time.Second
 
 func (cmd *orderCmd) run(ctx context.Context) error {
 	if !json.Valid([]byte(cmd.Order)) {
 		return &exitError{ExitUsage, eris.New("the order is not JSON")}
 	}
-	ctx, cancel := context.WithTimeout(ctx, orderLimit)
+	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
 	list, err := hosts.New(cmd.Hosts).List(ctx)
 	if err != nil {
@@ -43,7 +43,7 @@
 	}
 	fence, err := order.NewIssuer(cmd.open()).Next(ctx, cmd.Upstream)
 	if err != nil {
-		return eris.Wrap(err, "nothing was ordered")
+		return eris.Wrap(err, "the order was not sent")
 	}
 	if err := sendOrder(ctx, list[at].Addr, &frame.Order{Fence: uint64(fence), Body: []byte(cmd.Order)}); err != nil {
 		return err
@@ -52,25 +52,25 @@
 	return nil
 }
 
-// sendOrder hands an order to an agent and waits for its word.
+// sendOrder sends an order to an agent and waits for its reply.
 func sendOrder(ctx context.Context, addr string, or *frame.Order) error {
 	ses, _, err := link.Dial(ctx, addr)
 	if err != nil {
-		return eris.Wrap(err, "nothing was ordered: the agent cannot be reached")
+		return eris.Wrap(err, "the order was not sent: the agent is unreachable")
 	}
 	defer ses.Close()
 	stop := context.AfterFunc(ctx, func() { ses.Close() })
 	defer stop()
 	st, err := ses.OpenStream()
 	if err != nil {
-		return eris.Wrap(err, "nothing was ordered: the agent cannot be reached")
+		return eris.Wrap(err, "the order was not sent: the agent is unreachable")
 	}
 	if err := frame.NewWriter(st).Write(&frame.Frame{Body: &frame.Frame_Order{Order: or}}); err != nil {
-		return &exitError{ExitUncertain, eris.Wrap(err, "it is not known whether the engine took the order")}
+		return &exitError{ExitUncertain, eris.Wrap(err, "it is unknown whether the engine received the order")}
 	}
 	fr, err := frame.NewReader(st).Read()
 	if err != nil || fr.GetOrderDone() == nil {
-		return &exitError{ExitUncertain, eris.New("it is not known whether the engine took the order; give it again, a new number replaces it")}
+		return &exitError{ExitUncertain, eris.New("it is unknown whether the engine received the order; send it again, a new fencing number supersedes this one")}
 	}
 	if msg := fr.GetOrderDone().Error; msg != "" {
 		return eris.New(msg)
--- a/app/providers.go
+++ b/app/providers.go
@@ -41,7 +41,7 @@
 	return slog.New(slog.NewJSONHandler(os.Stderr, &slog.HandlerOptions{Level: lv}))
 }
 
-// process is what every process has, whatever its role.
+// process holds the components that every process has, whatever its role.
 type process struct {
 	Deps core.Deps
 	Page metricsPage
@@ -83,13 +83,13 @@
 }
 
 func newCaller(set settings.Entry, deps core.Deps, page metricsPage, inf *declaration.InForce, dis *dispatch.Dispatcher, kr *session.Keyring, mesh *peer.Mesh) *caller.Server {
-	room := func(po admission.Pool) admission.Room { return admission.Room(dis.Room(po.Target, po.Service, po.Far)) }
-	gt := admission.NewGate(room, admission.MaxWait(time.Duration(set.MaxWait)), admission.MaxQueue(set.MaxQueue))
+	capacity := func(po admission.Pool) admission.Room { return admission.Room(dis.Room(po.Target, po.Service, po.Far)) }
+	gt := admission.NewGate(capacity, admission.MaxWait(time.Duration(set.MaxWait)), admission.MaxQueue(set.MaxQueue))
 	return caller.New(deps, inf, dis, kr, caller.Gate(gt),
 		caller.WithSessions(mesh), caller.Freshness(time.Duration(set.Freshness)), caller.MaxBody(set.MaxBody), caller.MaxInFlight(set.MaxInFlight), caller.Metrics(page))
 }
 
-// entryHost returns the entry's own line of the host list.
+// entryHost returns the entry's own record in the host list.
 func entryHost(set settings.Entry) core.Host {
 	return core.Host{Role: core.RoleEntry, Addr: set.PeerListen, Zone: set.Zone, Region: set.Region}
 }
@@ -107,7 +107,7 @@
 		dispatch.Candidates(po), dispatch.Placement(placement.CrossingBudget(set.CrossingBudget)))
 }
 
-// newUpstreamHost returns the agent's own line of the host list.
+// newUpstreamHost returns the agent's own record in the host list.
 func newUpstreamHost(set settings.Agent) core.Host {
 	return core.Host{
 		Role: core.RoleAgent, ID: set.Upstream, Addr: set.Listen, Zone: set.Zone, Region: set.Region,
--- a/app/readers_test.go
+++ b/app/readers_test.go
@@ -9,8 +9,8 @@
 	"skylarkstand/core/feed"
 )
 
-// Guards against a region whose entries all take another one for its reader, and
-// against a process that relies on others before these can know of it.
+// Guards against a region without a reader because each entry assumes that another one is the
+// reader, and against a process that relies on others before it is registered.
 func TestReadersOfARegion(t *testing.T) {
 	regions := map[core.Zone]core.Region{"muc-a": "muc", "muc-b": "muc", "nue-a": "nue"}
 	me := newMembers()
@@ -21,24 +21,24 @@
 	me.list = func() []feed.Member { return all }
 	readers := 0
 	for _, mb := range all {
-		if regions[mb.Zone] == "muc" && me.reads(mb.ID, regions, "muc") {
+		if regions[mb.Zone] == "muc" && me.isReader(mb.ID, regions, "muc") {
 			readers++
 		}
 	}
 	assert.Equal(t, readers, readersPerRegion)
-	assert.Assert(t, me.reads("new", regions, "muc"), "it is not registered yet")
+	assert.Assert(t, me.isReader("new", regions, "muc"), "an unregistered process must read the store itself")
 	all = all[:4]
-	assert.Assert(t, me.reads("p1", regions, "muc") && me.reads("p2", regions, "muc"), "there are few")
+	assert.Assert(t, me.isReader("p1", regions, "muc") && me.isReader("p2", regions, "muc"), "with fewer entries than readersPerRegion, all must be readers")
 }
 
-// Guards against a process that tells itself what it has sent, since another one was
-// registered at its address before.
-func TestOwnAddressIsNoOtherEntry(t *testing.T) {
+// Guards against a process that gossips to itself because another process was registered at its
+// address before.
+func TestOtherEntriesExcludeOwnAddress(t *testing.T) {
 	regions := map[core.Zone]core.Region{"muc-a": "muc", "nue-a": "nue"}
 	me := newMembers()
 	me.list = func() []feed.Member {
 		return []feed.Member{{ID: "gone", Addr: "one", Zone: "muc-a"}, {ID: "p2", Addr: "two", Zone: "muc-a"}, {ID: "p3", Addr: "three", Zone: "nue-a"}}
 	}
-	assert.DeepEqual(t, me.near("one", regions, "muc"), []string{"two"})
+	assert.DeepEqual(t, me.othersInRegion("one", regions, "muc"), []string{"two"})
 	assert.DeepEqual(t, me.others("one"), []string{"two", "three"})
 }
--- a/app/roll_back.go
+++ b/app/roll_back.go
@@ -19,10 +19,10 @@
 	AcceptRisk []string `arg:"--accept-risk,separate" placeholder:"RULE@PLACE" help:"a risk that is meant, as check names it; may repeat"`
 }
 
-// run makes a new generation with an old content. The chain itself never goes
-// back: a process that knows a higher generation would not take a lower one.
+// run publishes a new generation with the content of an old one. The chain itself never goes back:
+// a process that has a higher generation does not adopt a lower one.
 func (cmd *rollBackCmd) run(ctx context.Context) error {
-	accept, err := cmd.accepted()
+	accept, err := cmd.acceptedRisks()
 	if err != nil {
 		return err
 	}
@@ -33,7 +33,7 @@
 	}
 	name := fmt.Sprintf("generation %d", cmd.Generation)
 	if cmd.Generation == 0 || core.Generation(cmd.Generation) >= newest.Number {
-		return &exitError{ExitUsage, eris.Errorf("%s cannot come back; the newest is generation %d, see `skylarkstand history`", name, newest.Number)}
+		return &exitError{ExitUsage, eris.Errorf("%s cannot be restored: it is not an earlier generation; the newest is generation %d, see `skylarkstand history`", name, newest.Number)}
 	}
 	old, err := pub.Read(ctx, core.Generation(cmd.Generation))
 	if err != nil {
@@ -42,10 +42,10 @@
 	return cmd.apply(ctx, pub, name, publish.Proposal{Document: declaration.Again(old, accept), Base: newest.Number})
 }
 
-func (cmd *rollBackCmd) accepted() ([]declaration.AcceptRisk, error) {
+func (cmd *rollBackCmd) acceptedRisks() ([]declaration.AcceptRisk, error) {
 	var out []declaration.AcceptRisk
 	for _, text := range cmd.AcceptRisk {
-		// The place may hold an @ of its own, a rule does not.
+		// The place may contain an @, the rule does not.
 		rule, place, ok := strings.Cut(text, "@")
 		if !ok {
 			return nil, &exitError{ExitUsage, eris.Errorf("%q is not a risk; write RULE@PLACE, such as %q", text, "withdrawal-lifted@withdrawals[desk@v2]")}
--- a/app/settings/load.go
+++ b/app/settings/load.go
@@ -17,13 +17,13 @@
 	"skylarkstand/core/spelling"
 )
 
-// Faults is all that is wrong with a settings file.
+// Faults lists all faults of a settings file.
 type Faults []string
 
 // Error implements error.
 func (fa Faults) Error() string { return strings.Join(fa, "\n") }
 
-// LoadEntry reads and checks an entry's settings.
+// LoadEntry reads and validates an entry's settings. All faults are returned at once.
 func LoadEntry(path string) (Entry, error) {
 	set := DefaultEntry()
 	fa, err := load(path, schema.Entry, &set)
@@ -34,23 +34,23 @@
 	fa.url("store", set.Store)
 	fa.url("hosts", set.Hosts)
 	fa.url("rater", set.Rater)
-	fa.present("zone", string(set.Zone))
-	fa.present("region", string(set.Region))
-	fa.present("pin-secret", set.PinSecret)
+	fa.required("zone", string(set.Zone))
+	fa.required("region", string(set.Region))
+	fa.required("pin-secret", set.PinSecret)
 	fa.atLeast("max-body", set.MaxBody, 1, "every request would be refused")
 	fa.atLeast("max-header", int64(set.MaxHeader), 1, "every request would be refused")
 	fa.atLeast("max-in-flight", set.MaxInFlight, 1, "every request would be refused")
-	fa.some("max-wait", set.MaxWait, "every request would be refused while its pool is full")
+	fa.positive("max-wait", set.MaxWait, "every request would be refused while its pool is full")
 	fa.atLeast("max-queue", int64(set.MaxQueue), 1, "every request would be refused while its pool is full")
-	fa.atLeast("crossing-budget", set.CrossingBudget, 0, "a budget cannot be less than nothing")
-	fa.some("ledger-pace", set.LedgerPace, "the ledger would be written without a pause")
-	fa.some("drain-limit", set.DrainLimit, "a planned stop would cut off requests")
+	fa.atLeast("crossing-budget", set.CrossingBudget, 0, "a budget cannot be negative")
+	fa.positive("ledger-pace", set.LedgerPace, "the ledger would be written without a pause")
+	fa.positive("drain-limit", set.DrainLimit, "a graceful shutdown would cut off requests")
 	fa.atLeast("processors", int64(set.Processors), 1, "the process could not run")
 	fa.logLevel(set.LogLevel)
 	return set, fa.err(path)
 }
 
-// LoadAgent reads and checks an agent's settings.
+// LoadAgent reads and validates an agent's settings. All faults are returned at once.
 func LoadAgent(path string) (Agent, error) {
 	set := DefaultAgent()
 	fa, err := load(path, schema.Agent, &set)
@@ -59,36 +59,36 @@
 	}
 	fa.address("listen", set.Listen)
 	fa.url("store", set.Store)
-	fa.present("upstream", string(set.Upstream))
-	fa.present("zone", string(set.Zone))
-	fa.present("region", string(set.Region))
+	fa.required("upstream", string(set.Upstream))
+	fa.required("zone", string(set.Zone))
+	fa.required("region", string(set.Region))
 	if (set.Engine == "") == (set.ServiceURL == "") {
-		fa.add("engine, service-url", "exactly one must be set; an agent stands beside one upstream")
+		fa.add("engine, service-url", "exactly one must be set; an agent serves one upstream")
 	}
 	if set.Engine != "" {
 		fa.url("engine", set.Engine)
-		fa.present("model", string(set.Model))
-		fa.present("version", string(set.Version))
+		fa.required("model", string(set.Model))
+		fa.required("version", string(set.Version))
 	}
 	if set.ServiceURL != "" {
 		fa.url("service-url", set.ServiceURL)
-		fa.present("service", string(set.Service))
+		fa.required("service", string(set.Service))
 	}
 	fa.atLeast("slots", int64(set.Slots), 1, "the upstream would get no work")
-	fa.atLeast("queue", int64(set.Queue), 0, "a queue cannot be shorter than nothing")
-	fa.some("drain-limit", set.DrainLimit, "a planned stop would cut off requests")
-	fa.some("claim-retention", set.ClaimRetention, "a repeated call would run again")
+	fa.atLeast("queue", int64(set.Queue), 0, "a queue length cannot be negative")
+	fa.positive("drain-limit", set.DrainLimit, "a graceful shutdown would cut off requests")
+	fa.positive("claim-retention", set.ClaimRetention, "a retried operation would run again")
 	if set.ClaimWrites <= 0 {
-		fa = append(fa, "claim-writes: must be above 0, or no claim is ever written")
+		fa = append(fa, "claim-writes: must be above 0, or claims are never written")
 	}
 	fa.atLeast("processors", int64(set.Processors), 1, "the process could not run")
 	fa.logLevel(set.LogLevel)
 	return set, fa.err(path)
 }
 
-// load reads a file into settings that hold the defaults. What breaks the
-// schema is returned as faults, so that the checks of content can add theirs:
-// a process that is set up by hand would otherwise be started once a fault.
+// load reads a file into settings that hold the defaults. Schema violations are returned as faults,
+// so that the content checks can add theirs: otherwise an operator who sets up a process by hand
+// would have to start it once per fault.
 func load(path string, kd schema.Kind, out any) (Faults, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -109,14 +109,13 @@
 	return fa, eris.Wrapf(decode(std, list, out), "settings %s", path)
 }
 
-// decode reads what is readable. Fields of another type than declared are left
-// out: the decoder stops at some of them, and what stands behind them would
-// count as not given.
+// decode decodes the valid fields. Fields of another type than declared are skipped: the decoder
+// stops at some of them, and the fields after them would be reported as missing.
 func decode(std []byte, list []schema.Fault, out any) error {
 	var fields map[string]json.RawMessage
 	if err := json.Unmarshal(std, &fields); err != nil {
 		if len(list) > 0 {
-			return nil // No object at all, which is a fault already.
+			return nil // Not an object, which is already reported as a fault.
 		}
 		return err
 	}
@@ -134,8 +133,8 @@
 	return json.Unmarshal(raw, out)
 }
 
-// has reports whether a field has a fault already; a second line about it
-// would only confuse.
+// has reports whether a field already has a fault. Only the first fault of a field is reported,
+// since a second line would confuse.
 func (fa *Faults) has(name string) bool {
 	for _, line := range *fa {
 		if strings.HasPrefix(line, name+":") {
@@ -164,26 +163,26 @@
 	}
 }
 
-func (fa *Faults) present(name, val string) {
+func (fa *Faults) required(name, val string) {
 	if val == "" {
 		fa.add(name, "is missing; set it")
 	}
 }
 
-func (fa *Faults) atLeast(name string, val, least int64, harm string) {
+func (fa *Faults) atLeast(name string, val, least int64, consequence string) {
 	if val < least {
-		fa.add(name, "%d is too small, %s; give at least %d", val, harm, least)
+		fa.add(name, "%d is too small, %s; give at least %d", val, consequence, least)
 	}
 }
 
-func (fa *Faults) some(name string, du Duration, harm string) {
+func (fa *Faults) positive(name string, du Duration, consequence string) {
 	if du <= 0 {
-		fa.add(name, "%s is too short, %s; give more, such as \"2s\"", time.Duration(du), harm)
+		fa.add(name, "%s is too short, %s; give more, such as \"2s\"", time.Duration(du), consequence)
 	}
 }
 
-// logLevel refuses unknown levels: an operator who asks for "verbose" and gets
-// the default looks for lines that are never written.
+// logLevel refuses unknown levels: with a fallback to the default, an operator who sets "verbose"
+// would look for lines that are never logged.
 func (fa *Faults) logLevel(val string) {
 	levels := []string{"debug", "info", "warn", "error"}
 	if slices.Contains(levels, val) {
--- a/app/settings/load_test.go
+++ b/app/settings/load_test.go
@@ -18,8 +18,8 @@
 	return path
 }
 
-// A host is set up by hand, with several slips in one file. Its process does
-// not start; the operator sees all of them in one go and mends them at once.
+// Guards against reporting only one fault per start: a settings file written by hand has several
+// mistakes, and the operator must see all of them at once.
 func TestAllFaultsOfAFileAreReportedAtOnce(t *testing.T) {
 	path := file(t, `{
 		// a comment
@@ -42,12 +42,12 @@
 log-level: there is no level "warning"; choose one of debug, info, warn, error`)
 }
 
-func TestAFileOfAnotherKindIsAFault(t *testing.T) {
+func TestNonObjectFileIsAFault(t *testing.T) {
 	_, err := settings.LoadEntry(file(t, `["listen"]`))
 	assert.ErrorContains(t, err, "the file: is array, not object; write an object in { }")
 }
 
-func TestDefaultsStandForWhatIsLeftOut(t *testing.T) {
+func TestDefaultsApplyToOmittedFields(t *testing.T) {
 	set, err := settings.LoadAgent(file(t, `{
 		"listen": "10.0.0.1:7000", "zone": "muc-a", "region": "muc", "store": "http://10.0.0.9", "upstream": "desk-1",
 		"engine": "http://10.0.0.1:8000", "model": "desk", "version": "v1", "queue": 4, "drain-limit": "90s",
@@ -58,9 +58,9 @@
 	assert.Equal(t, time.Duration(set.DrainLimit), 90*time.Second)
 }
 
-// An agent that stands beside two upstreams, or none, would guard the wrong
-// one: callers' work would reach an upstream that nothing checks.
-func TestAnAgentHasOneUpstream(t *testing.T) {
+// Guards against an agent configured with two upstreams or none: it would protect the wrong one, and
+// callers' requests would reach an unprotected upstream.
+func TestAgentHasExactlyOneUpstream(t *testing.T) {
 	_, err := settings.LoadAgent(file(t, `{
 		"listen": "10.0.0.1:7000", "zone": "muc-a", "region": "muc", "store": "http://10.0.0.9", "upstream": "desk-1", "slots": 0,
 	}`))
--- a/app/settings/settings.go
+++ b/app/settings/settings.go
@@ -1,6 +1,5 @@
-// Package settings holds the settings of the processes: JSON with comments,
-// one struct a role. The reference page and the JSON schema are generated from
-// the structs.
+// Package settings defines the settings of the processes, read from JSON with comments, with one
+// struct per role. The reference page and the JSON schemas are generated from the structs.
 //
 // # Usage
 //
@@ -15,18 +14,18 @@
 	"skylarkstand/core/placement"
 )
 
-// Entry is the settings of an entry process.
+// Entry holds the settings of an entry process.
 type Entry struct {
 	// Listen is the address for callers, as IP:port.
 	Listen string `json:"listen"`
-	// Admin is the address of healthz, metrics and the status page for
-	// operators, as IP:port. Callers should not reach it.
+	// Admin is the address of healthz, metrics and the status page for operators, as IP:port.
+	// Callers should not be able to reach it.
 	Admin string `json:"admin,omitempty"`
 	// PeerListen is the address for other entries, as IP:port.
 	PeerListen string `json:"peer-listen,omitempty"`
-	// Zone is the availability zone that the process stands in.
+	// Zone is the availability zone that the process runs in.
 	Zone core.Zone `json:"zone"`
-	// Region holds the zone.
+	// Region is the region that contains the zone.
 	Region core.Region `json:"region"`
 	// Store is the base URL of the platform's key-value service.
 	Store string `json:"store"`
@@ -34,108 +33,104 @@
 	Hosts string `json:"hosts"`
 	// Rater is the base URL of the rating service.
 	Rater string `json:"rater"`
-	// PinSecret signs the tokens that keep sessions on their versions. All
-	// entries share it.
+	// PinSecret is the key that signs the tokens of sticky sessions, which keep sessions on their
+	// versions. All entries share it.
 	PinSecret string `json:"pin-secret"`
-	// MaxBody bounds a caller's body, in bytes.
+	// MaxBody bounds the body of a caller's request, in bytes.
 	MaxBody int64 `json:"max-body,omitempty"`
-	// MaxHeader bounds a caller's request header, in bytes; a longer one gets 431.
+	// MaxHeader bounds the header of a caller's request, in bytes; a longer one is refused with 431.
 	MaxHeader int `json:"max-header,omitempty"`
-	// MaxInFlight bounds the requests in the process.
+	// MaxInFlight bounds the requests in flight in the process.
 	MaxInFlight int64 `json:"max-in-flight,omitempty"`
-	// MaxWait bounds the wait for a full pool of a request without a deadline.
+	// MaxWait bounds how long a request without a deadline waits for a full pool.
 	MaxWait Duration `json:"max-wait,omitempty"`
-	// MaxQueue bounds the requests that wait for one pool of upstreams. A
-	// workspace may take a sixteenth of it.
+	// MaxQueue bounds the requests that wait for one pool of upstreams. One workspace may use at
+	// most a sixteenth of it.
 	MaxQueue int `json:"max-queue,omitempty"`
-	// CrossingBudget is the bytes per second that this process may send and
-	// receive for attempts over the link between regions. All entries share
-	// the link with the store's traffic; 0 crosses never.
+	// CrossingBudget is how many bytes per second this process may send and receive for attempts
+	// over the link between regions. All entries share the link with the store's traffic; 0
+	// disables cross-region attempts.
 	CrossingBudget int64 `json:"crossing-budget,omitempty"`
-	// Freshness is how old the last word of the newest configuration may be
-	// before versions under roll-out get no new sessions.
+	// Freshness bounds the time since the configuration was last confirmed to be the newest. Beyond
+	// it, versions under roll-out get no new sessions.
 	Freshness Duration `json:"freshness,omitempty"`
-	// LedgerWrites is how many writes a second the ledgers of all entries
-	// together may take of the store. 0 sets no bound.
+	// LedgerWrites bounds the store writes per second of the ledgers of all entries together; 0 sets
+	// no bound.
 	LedgerWrites float64 `json:"ledger-writes,omitempty"`
-	// LedgerPace is the shortest time between two ledger segments.
+	// LedgerPace is the minimum time between two ledger segments.
 	LedgerPace Duration `json:"ledger-pace,omitempty"`
-	// DrainLimit bounds a planned stop. It must be above the longest answer.
+	// DrainLimit bounds a graceful shutdown. It must be longer than the longest response.
 	DrainLimit Duration `json:"drain-limit,omitempty"`
-	// Processors is how many cores the process uses at once, at most. More of
-	// them wake each other for every token and do little besides.
+	// Processors bounds the cores that the process uses at once. With more cores, most of the added
+	// processor time goes to waking each other for every token.
 	Processors int `json:"processors,omitempty"`
 	// LogLevel is "debug", "info", "warn" or "error".
 	LogLevel string `json:"log-level,omitempty"`
 }
 
-// Agent is the settings of an agent process.
+// Agent holds the settings of an agent process.
 type Agent struct {
 	// Listen is the address for entries, as IP:port.
 	Listen string `json:"listen"`
 	// Admin is the address of healthz and metrics, as IP:port.
 	Admin string `json:"admin,omitempty"`
-	// Upstream is the id of the upstream beside the agent, as the host list
-	// has it.
+	// Upstream is the id, in the host list, of the upstream beside the agent.
 	Upstream core.UpstreamID `json:"upstream"`
-	// Zone is the availability zone that the process stands in.
+	// Zone is the availability zone that the process runs in.
 	Zone core.Zone `json:"zone"`
-	// Region holds the zone.
+	// Region is the region that contains the zone.
 	Region core.Region `json:"region"`
 	// Engine is the base URL of the model engine beside the agent.
 	Engine string `json:"engine,omitempty"`
-	// Model is what the engine runs, with Version.
+	// Model is the id of the model that the engine runs.
 	Model core.ModelID `json:"model,omitempty"`
-	// Version of the model.
+	// Version is the version of the model that the engine runs.
 	Version core.VersionID `json:"version,omitempty"`
-	// ServiceURL is the base URL of the plain service beside the agent, in
-	// place of an engine.
+	// ServiceURL is the base URL of the plain service beside the agent, instead of an engine.
 	ServiceURL string `json:"service-url,omitempty"`
 	// Service is the id of the plain service.
 	Service core.ServiceID `json:"service,omitempty"`
 	// Store is the base URL of the platform's key-value service, for claims.
 	Store string `json:"store"`
-	// ClaimRetention is how long the answer of an operation that runs at most
-	// once is kept. A time-ordered key (UUIDv7) older than it is refused; a
-	// key of another form that is repeated later may run again. All agents of
-	// a service should have the same.
+	// ClaimRetention is how long the response of an at-most-once operation is kept. A time-ordered
+	// idempotency key (UUIDv7) older than this is refused; a retry with a key of another form may
+	// run again after this time. All agents of a service should have the same value.
 	ClaimRetention Duration `json:"claim-retention,omitempty"`
-	// ClaimWrites is this agent's share of the store's writes for claims, in a
-	// second. The shares of all agents together must stay below what the store
-	// takes; under load claims wait longer and share a write.
+	// ClaimWrites is how many store writes per second this agent may use for claims. The sum over
+	// all agents must stay below the capacity of the store; under load, claims wait longer and are
+	// batched into one write.
 	ClaimWrites float64 `json:"claim-writes,omitempty"`
 	// Slots is how many attempts the upstream runs at once.
 	Slots int `json:"slots,omitempty"`
 	// Queue is how many attempts may wait for a slot.
 	Queue int `json:"queue,omitempty"`
-	// DrainLimit bounds a planned stop. It must be above the longest answer.
+	// DrainLimit bounds a graceful shutdown. It must be longer than the longest response.
 	DrainLimit Duration `json:"drain-limit,omitempty"`
-	// Processors is how many cores the process uses at once, at most. More of
-	// them wake each other for every token and do little besides.
+	// Processors bounds the cores that the process uses at once. With more cores, most of the added
+	// processor time goes to waking each other for every token.
 	Processors int `json:"processors,omitempty"`
 	// LogLevel is "debug", "info", "warn" or "error".
 	LogLevel string `json:"log-level,omitempty"`
 }
 
-// defaultProcessors carries more than an entry's part of the load that is
-// designed for, 20,000 tokens a second, and leaves an agent's host to its
-// upstream.
+// defaultProcessors is enough for more than an entry's share of the design load, 20,000 tokens a
+// second, and leaves the other cores of an agent's host to its upstream.
 const defaultProcessors = 4
 
-// defaultHeader is above what browsers and gateways before an entry send, which
-// commonly stop at 8 kB. Each connection may hold as much in memory.
-const defaultHeader = 32 << 10
+// defaultMaxHeader is above the headers that browsers and proxies in front of an entry send, which
+// are commonly limited to 8 kB. Each connection may use this much memory.
+const defaultMaxHeader = 32 << 10
 
-// DefaultEntry returns an entry's settings before the file is read.
+// DefaultEntry returns the default settings of an entry, which the settings file overrides.
 func DefaultEntry() Entry {
 	return Entry{
-		MaxBody: 4 << 20, MaxHeader: defaultHeader, MaxInFlight: 4096, Freshness: Duration(20 * time.Second),
+		MaxBody: 4 << 20, MaxHeader: defaultMaxHeader, MaxInFlight: 4096, Freshness: Duration(20 * time.Second),
 		MaxWait: Duration(30 * time.Second), MaxQueue: 4096, CrossingBudget: placement.DefaultCrossing,
 		LedgerWrites: 100, LedgerPace: Duration(2 * time.Second), DrainLimit: Duration(time.Minute), Processors: defaultProcessors, LogLevel: "info",
 	}
 }
 
-// DefaultAgent returns an agent's settings before the file is read.
+// DefaultAgent returns the default settings of an agent, which the settings file overrides.
 func DefaultAgent() Agent {
 	return Agent{
 		ClaimRetention: Duration(24 * time.Hour), ClaimWrites: 30,
@@ -143,7 +138,7 @@
 	}
 }
 
-// Duration is a time in settings, written as "1.5s".
+// Duration is a duration in settings, written as a string such as "1.5s".
 type Duration time.Duration
 
 // MarshalJSON implements [json.Marshaler].
--- a/app/status_page.go
+++ b/app/status_page.go
@@ -15,7 +15,7 @@
 	"skylarkstand/io/agent"
 )
 
-// statusPage shows what an entry sees, as JSON for `skylarkstand status`.
+// statusPage serves an entry's view of the system as JSON for `skylarkstand status`.
 type statusPage struct {
 	deps core.Deps
 	inf  *declaration.InForce
@@ -23,13 +23,13 @@
 	reg  *suspect.Registry
 }
 
-// entryStatus is the page's content.
+// entryStatus is the content of the status page.
 type entryStatus struct {
 	Process    core.ProcessID  `json:"process"`
 	Zone       core.Zone       `json:"zone"`
 	Generation core.Generation `json:"generation"`
-	// Heard is how long ago the generation was known to be the newest, in
-	// seconds; negative if it never was.
+	// Heard is the time since the generation was last confirmed to be the newest, in seconds;
+	// negative if it was never confirmed.
 	Heard     float64          `json:"heard-seconds-ago"`
 	Upstreams []upstreamStatus `json:"upstreams"`
 	Suspects  []suspectStatus  `json:"suspects"`
@@ -90,7 +90,7 @@
 	return us
 }
 
-// printEntry shows an entry's page to people.
+// printEntry fetches an entry's status page and prints it in readable form.
 func printEntry(ctx context.Context, base string) error {
 	rq, err := http.NewRequestWithContext(ctx, http.MethodGet, base+"/status", http.NoBody)
 	if err != nil {
@@ -98,12 +98,12 @@
 	}
 	rs, err := http.DefaultClient.Do(rq)
 	if err != nil {
-		return eris.Wrap(err, "the entry does not answer; is this its admin address?")
+		return eris.Wrap(err, "the entry does not answer; check that this is its admin address")
 	}
 	defer rs.Body.Close()
 	var es entryStatus
 	if err := json.NewDecoder(rs.Body).Decode(&es); err != nil {
-		return eris.Wrap(err, "the entry's page cannot be read; is this its admin address?")
+		return eris.Wrap(err, "the entry's status cannot be decoded; check that this is its admin address")
 	}
 	fmt.Printf("entry %s in %s: generation %d in force, confirmed %.1f s ago\n", es.Process, es.Zone, es.Generation, es.Heard)
 	for _, us := range es.Upstreams {
--- a/app/wire.go
+++ b/app/wire.go
@@ -29,7 +29,7 @@
 	wire.Build(
 		newEntryProcess, wire.FieldsOf(new(process), "Deps", "Page"), newEntryStore, newHosts, newRater,
 		declaration.NewInForce, agent.New, newLedger, newSuccessor, rollout.New, newDispatcher, newKeyring, newCaller,
-		newConfigReader, newGuardDuty, suspect.New, newMesh, newUpstreams, newEntryAdmin, wire.Struct(new(statusPage), "*"),
+		newConfigReader, newGuardService, suspect.New, newMesh, newUpstreams, newEntryAdmin, wire.Struct(new(statusPage), "*"),
 		wire.Bind(new(core.Store), new(*store.Store)),
 		wire.Bind(new(core.Hosts), new(*hosts.List)),
 		wire.Bind(new(core.Rater), new(*rater.Rater)),
@@ -52,7 +52,7 @@
 func wireGateway(set settings.Gateway) (*gatewayProcess, func(), error) {
 	wire.Build(
 		newGatewayProcess, wire.FieldsOf(new(process), "Deps", "Page"), newUpstreamClient, newPlatformStore, newLayout,
-		newFleet, newWarmup, newOff, newGuard, newCodec, newMembers, newSiblings, newFollower, newForwarder, newFeed, newRegistrar, newRecorder, newPooler, newSharer, newRecaller, newGauges, newStopClock,
+		newFleet, newWarmup, newOff, newGuard, newCodec, newMembers, newSiblings, newFollower, newForwarder, newFeed, newRegistrar, newRecorder, newPooler, newSharer, newRecaller, newGauges, newShutdownState,
 		route.NewInForce, mirror.New, front.New, platform.NewUpstreams,
 		wire.Bind(new(core.Access), new(*platform.Upstreams)), wire.Bind(new(core.Memory), new(*platform.Upstreams)),
 		wire.Struct(new(gatewayProcess), "set", "deps", "inf", "fleet", "mirror", "feed", "follower", "reg", "guard", "recorder", "pooler", "sharer", "recaller", "gauges", "srv", "admin", "stop"),
--- a/app/wire_gen.go
+++ b/app/wire_gen.go
@@ -25,8 +25,8 @@
 	appProcess, cleanup := newEntryProcess(set)
 	deps := appProcess.Deps
 	inForce := declaration.NewInForce()
-	hostsList := newHosts(set)
-	pool := agent.New(deps, inForce, hostsList)
+	list := newHosts(set)
+	pool := agent.New(deps, inForce, list)
 	store := newEntryStore(set)
 	writer := newLedger(set, deps, store, pool)
 	successor := newSuccessor(deps, store, pool, writer)
@@ -34,7 +34,7 @@
 	guard := rollout.New()
 	mesh := newMesh(set, deps, inForce, registry, guard)
 	appConfigReader := newConfigReader(set, deps, inForce, store, mesh)
-	appGuardDuty := newGuardDuty(set, deps, inForce, guard, store, mesh)
+	appGuardService := newGuardService(set, deps, inForce, guard, store, mesh)
 	appMetricsPage := appProcess.Page
 	upstreams := newUpstreams(deps, pool, registry, mesh)
 	rater := newRater(set)
@@ -55,7 +55,7 @@
 		led:       writer,
 		successor: successor,
 		reader:    appConfigReader,
-		guard:     appGuardDuty,
+		guard:     appGuardService,
 		srv:       server,
 		admin:     handler,
 	}
@@ -109,8 +109,8 @@
 	siblings := newSiblings(set, client, appMembers)
 	follower := newFollower(set, deps, mirrorMirror, store, siblings, appMembers, off)
 	upstreams := platform.NewUpstreams(client)
-	appStopClock := newStopClock()
-	forwarder := newForwarder(set, deps, inForce, fleet, guard, tracker, mirrorMirror, upstreams, appStopClock, appMembers, off)
+	appShutdownState := newShutdownState()
+	forwarder := newForwarder(set, deps, inForce, fleet, guard, tracker, mirrorMirror, upstreams, appShutdownState, appMembers, off)
 	feed := newFeed(deps, layout, inForce, fleet, guard, tracker, follower, forwarder, client, appMembers)
 	registrar, err := newRegistrar(set, deps, store)
 	if err != nil {
@@ -143,7 +143,7 @@
 		gauges:   appGauges,
 		srv:      server,
 		admin:    appMetricsPage,
-		stop:     appStopClock,
+		stop:     appShutdownState,
 	}
 	return appGatewayProcess, func() {
 		cleanup2()
--- a/main.go
+++ b/main.go
@@ -1,4 +1,4 @@
-// Skylarkstand is a model-aware router for versions and cascades.
+// Skylarkstand is a model-aware request router with versions and cascades of models.
 //
 // # Usage
 //
