--- a/deploy/ablation/main.go
+++ b/deploy/ablation/main.go
@@ -1,12 +1,10 @@
-// Command ablation says what each mechanism of a gateway is worth: it plays the
-// users' days of a deployment with all mechanisms, and once more with each of
-// them switched off.
+// Command ablation measures the benefit of each mechanism of a gateway: it runs the users' days of a
+// deployment with all mechanisms enabled, and again with each mechanism disabled.
 //
-// Days are played on copies of the committed sources, whose settings template
-// names the mechanism, without processor time, so that the same day with the same
-// seed differs by the mechanism alone, as far as a day repeats. A row is the mean
-// of the differences between plays of the same day and seed, with its standard
-// error; what is within two of them may be chance.
+// Days run on copies of the committed sources whose settings template disables the mechanism.
+// Processor time is excluded, so that runs of the same day and seed differ only by the mechanism,
+// as far as days are reproducible. A row is the mean difference between runs of the same day and
+// seed, with its standard error; a difference within two standard errors may be chance.
 //
 // # Usage
 //
@@ -49,7 +47,7 @@
 	}
 }
 
-// baseline is the row with all mechanisms.
+// baseline is the name of the row with all mechanisms enabled.
 const baseline = "(all)"
 
 func run(ctx context.Context, ar args) error {
@@ -66,25 +64,25 @@
 	defer os.RemoveAll(dir)
 	for _, site := range ar.Sites {
 		fmt.Println(filepath.Base(site))
-		whole, err := ar.play(ctx, filepath.Join(dir, "all"), "", site)
+		baselineScores, err := ar.runDays(ctx, filepath.Join(dir, "all"), "", site)
 		if err != nil {
 			return err
 		}
-		fmt.Printf("  %-18s %.3f\n", baseline, mean(whole))
+		fmt.Printf("  %-18s %.3f\n", baseline, mean(baselineScores))
 		for _, na := range names {
-			without, err := ar.play(ctx, filepath.Join(dir, na), na, site)
+			without, err := ar.runDays(ctx, filepath.Join(dir, na), na, site)
 			if err != nil {
 				return err
 			}
-			diff, spread := compare(whole, without)
-			fmt.Printf("  %-18s %+.4f +- %.4f\n", na, diff, spread)
+			diff, stdErr := compare(baselineScores, without)
+			fmt.Printf("  %-18s %+.4f +- %.4f\n", na, diff, stdErr)
 		}
 	}
 	return nil
 }
 
-// play plays all days with all seeds and returns their worths, in one order.
-func (ar args) play(ctx context.Context, tree, without, site string) ([]float64, error) {
+// runDays runs all days with all seeds and returns their scores, always in the same order.
+func (ar args) runDays(ctx context.Context, tree, without, site string) ([]float64, error) {
 	if err := prepare(ctx, tree, without); err != nil {
 		return nil, err
 	}
@@ -96,23 +94,23 @@
 		}
 	}
 	out, errs := make([]float64, len(days)), make([]error, len(days))
-	places := make(chan struct{}, max(ar.Jobs, 1))
+	running := make(chan struct{}, max(ar.Jobs, 1))
 	var wg sync.WaitGroup
 	for i, da := range days {
-		places <- struct{}{}
+		running <- struct{}{}
 		wg.Go(func() {
-			defer func() { <-places }()
-			out[i], errs[i] = ar.one(ctx, tree, without, site, da.name, da.seed)
+			defer func() { <-running }()
+			out[i], errs[i] = ar.runDay(ctx, tree, without, site, da.name, da.seed)
 		})
 	}
 	wg.Wait()
 	return out, errors.Join(errs...)
 }
 
-// prepare copies the committed sources and switches a mechanism off.
+// prepare copies the committed sources to tree and disables a mechanism, if one is given.
 func prepare(ctx context.Context, tree, without string) error {
 	if _, err := os.Stat(tree); err == nil {
-		return nil // Another site used it.
+		return nil // The copy was made for a previous site.
 	}
 	if out, err := exec.CommandContext(ctx, "git", "clone", "--quiet", ".", tree).CombinedOutput(); err != nil {
 		return eris.Wrapf(err, "clone: %s", out)
@@ -129,14 +127,14 @@
 	return eris.Wrap(os.WriteFile(path, []byte(changed), 0o644), "template") //nolint:gosec // As the file it replaces.
 }
 
-// report is what is read of a day's report.
+// report is the part of a day's report that is used.
 type report struct {
 	Worth  float64        `json:"G"`
 	Breaks map[string]any `json:"breaks"`
 }
 
-// one plays one day and returns its worth.
-func (ar args) one(ctx context.Context, tree, without, site, day, seed string) (float64, error) {
+// runDay runs one day and returns its score.
+func (ar args) runDay(ctx context.Context, tree, without, site, day, seed string) (float64, error) {
 	file := filepath.Join(tree, fmt.Sprintf("report-%s-%s.json", day, seed))
 	defer os.Remove(file)
 	argv := []string{"run", site, day, "--no-cpu", "--report", file, "--why", "ablation: without " + without}
@@ -155,7 +153,7 @@
 		return 0, eris.Wrapf(err, "%s, seed %s", day, seed)
 	}
 	for rule := range re.Breaks {
-		fmt.Printf("  %s, seed %s, without %q: the rule %s was broken\n", day, seed, without, rule)
+		fmt.Printf("  %s, seed %s, without %q: rule %s was violated\n", day, seed, without, rule)
 	}
 	return re.Worth, nil
 }
@@ -168,16 +166,16 @@
 	return sum / float64(len(vals))
 }
 
-// compare returns the mean of the differences and its standard error.
-func compare(whole, without []float64) (diff, spread float64) {
-	diffs := make([]float64, len(whole))
-	for i := range whole {
-		diffs[i] = without[i] - whole[i]
+// compare returns the mean of the paired differences and its standard error.
+func compare(baselineScores, without []float64) (diff, stdErr float64) {
+	diffs := make([]float64, len(baselineScores))
+	for i := range baselineScores {
+		diffs[i] = without[i] - baselineScores[i]
 	}
 	diff = mean(diffs)
 	for _, val := range diffs {
-		spread += (val - diff) * (val - diff)
+		stdErr += (val - diff) * (val - diff)
 	}
 	n := float64(len(diffs))
-	return diff, math.Sqrt(spread / max(n-1, 1) / n)
+	return diff, math.Sqrt(stdErr / max(n-1, 1) / n)
 }
