--- a/examples/association/main.go
+++ b/examples/association/main.go
@@ -1,7 +1,6 @@
-// Association prints the configuration of a wholesalers' association: short
-// replies from a small model, seasonal catalogues from a large one, and an
-// orders service whose holds and confirmations must not run twice. Before
-// Advent a late reply loses a customer, so a second of waiting is dear.
+// Association prints the configuration of a wholesalers' association: short replies from a small
+// model, seasonal catalogues from a large one, and an orders service whose holds and confirmations
+// must not run twice. Before Advent a late reply loses a customer, so the price of latency is high.
 //
 // # Usage
 //
@@ -16,11 +15,11 @@
 	id    declare.WorkspaceID
 	terms declare.Terms
 	key   declare.Digest
-	// orders tells that the member trades; the others only ask questions.
+	// orders reports whether the member may use the orders service; the others only use the models.
 	orders bool
 }
 
-// The keys are handed out by the association; only their digests stand here.
+// members lists the members. The association issues the keys; only their digests are stored here.
 var members = []member{
 	{"tanaka-candles", declare.Terms{Share: 8, Quality: 0.9, LatencyPrice: 60, Limit: 300}, declare.DigestOf("d9710b7fdf5d78acd78b067a73b59c4d519277d5b7bd7a61b4fdf127a14d1830"), true},
 	{"sapporo-incense", declare.Terms{Share: 6, Quality: 0.9, LatencyPrice: 60, Limit: 250}, declare.DigestOf("0cb8e5a9f72c3a31210103691755c1c6ac0d623d88029db1ec4094c1b06ed09c"), true},
@@ -41,7 +40,7 @@
 	large, largeStable := cf.Model("kogane-lm", "v2", declare.Version{Quality: 0.94, Prices: declare.Prices{Prompt: 120, Token: 480}})
 	largeNext := large.Version("v3", declare.Version{Quality: 0.95, Prices: declare.Prices{Prompt: 120, Token: 480}})
 
-	// Before Advent nothing new goes to more than one session in twenty.
+	// Before Advent a new version gets at most one session in twenty.
 	largeNext.RollOut(5)
 
 	reply := cf.Cascade("reply", small, large)
--- a/examples/examples_test.go
+++ b/examples/examples_test.go
@@ -1,5 +1,5 @@
-// Package examples_test runs the example programs, compares what they print
-// with the committed files, and takes those through the operators' commands.
+// Package examples_test runs the example programs, compares their output with the committed files,
+// and publishes those files as the operator commands do.
 package examples_test
 
 import (
@@ -22,8 +22,8 @@
 
 var names = []string{"landesamt", "association"}
 
-// The committed file is what people review. Should the program print something
-// else, the review was of a configuration that nobody applies.
+// Guards against a committed file that differs from the program's output: reviewers read the file,
+// so they would have reviewed a configuration that is never applied.
 func TestProgramPrintsTheCommittedFile(t *testing.T) {
 	for _, name := range names {
 		t.Run(name, func(t *testing.T) {
@@ -31,12 +31,12 @@
 			assert.NilError(t, err)
 			want, err := os.ReadFile(filepath.Join(name, "configuration.json"))
 			assert.NilError(t, err)
-			assert.Assert(t, bytes.Equal(got, want), "renew it: go run ./examples/%s >examples/%s/configuration.json", name, name)
+			assert.Assert(t, bytes.Equal(got, want), "the committed file is outdated; regenerate it: go run ./examples/%s >examples/%s/configuration.json", name, name)
 		})
 	}
 }
 
-func TestMixIsSound(t *testing.T) {
+func TestMixIsValid(t *testing.T) {
 	raw, err := os.ReadFile("mix.jsonc")
 	assert.NilError(t, err)
 	_, err = load.ParseMix(raw)
@@ -62,7 +62,7 @@
 			assert.NilError(t, err)
 			assert.DeepEqual(t, res.After.Audit.Changed, shown.After.Audit.Changed)
 
-			// The next step of the roll-out, against what is in force now.
+			// The next step of the roll-out, based on the generation in force.
 			doc.RollOuts[0].Percent = 40
 			res, err = pub.Apply(t.Context(), publish.Proposal{Document: doc, Base: 1, Who: "mei", Why: "no complaints"})
 			assert.NilError(t, err)
--- a/examples/landesamt/main.go
+++ b/examples/landesamt/main.go
@@ -1,7 +1,7 @@
-// Landesamt prints the configuration of an office that drafts retrofit quotes
-// and answers questions: a cheap desk, a costly drafter, and two plain services
-// whose claims and bookings must not run twice. Its callers can wait, so cost
-// and exposure to new versions weigh more than latency.
+// Landesamt prints the configuration of an office that drafts retrofit quotes and answers questions:
+// a cheap model "desk", an expensive model "drafter", and two plain services whose claims and
+// bookings must not run twice. Its callers can wait, so cost and exposure to new versions matter
+// more than latency.
 //
 // # Usage
 //
@@ -16,12 +16,12 @@
 	id    declare.WorkspaceID
 	terms declare.Terms
 	key   declare.Digest
-	// drafts tells that the office uses the drafter and the plain services; the
-	// others only ask the desk.
+	// drafts reports whether the office may use the drafter and the plain services; the others only
+	// use the desk.
 	drafts bool
 }
 
-// The keys are handed out by the office; only their digests stand here.
+// offices lists the offices. The Landesamt issues their keys; only the digests are stored here.
 var offices = []office{
 	{"ministries", declare.Terms{Share: 8, Quality: 0.93, LatencyPrice: 5, Limit: 400}, declare.DigestOf("d0d477d8e6a30772fc5165325ae4d7155f268b41b80e1391dc3de45b0b7b676e"), true},
 	{"schools", declare.Terms{Share: 6, Quality: 0.9, LatencyPrice: 5, Limit: 300}, declare.DigestOf("acb86e54bb198c26ad2d752fb1f1dbf69e9ee39191480f2618c6206fb6a31f68"), true},
@@ -43,7 +43,7 @@
 	drafter, drafterStable := cf.Model("drafter", "v3", declare.Version{Quality: 0.95, Prices: declare.Prices{Prompt: 150, Token: 600}})
 	drafterNext := drafter.Version("v4", declare.Version{Quality: 0.96, Prices: declare.Prices{Prompt: 160, Token: 620}})
 
-	// A bad version of the desk must reach few callers: begin with a tenth.
+	// A bad version of the desk must reach few callers: the roll-out starts with a tenth.
 	deskNext.RollOut(10)
 
 	muc := cf.Region("muc", "muc-a", "muc-b")
@@ -59,7 +59,7 @@
 			ws.Allow(drafterStable, drafterNext).Cascades(quick).Services(subsidy, survey)
 		}
 		if of.id == "courts" {
-			ws.Regions(muc) // Their files must not leave the region.
+			ws.Regions(muc) // Court files must not leave the region.
 		}
 	}
 	return cf
