--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-# Targets for maintainers. `make demo` shows the product working.
+# Targets for maintainers. `make demo` demonstrates the product.
 
 BIN := bin
 
