--- a/test/slopes/configuration.go
+++ b/test/slopes/configuration.go
@@ -13,43 +13,44 @@
 	"skylarkstand/test/fleet"
 )
 
+// documentSizes are numbers of workspaces, receiverSizes numbers of agents.
 var (
 	documentSizes = []int{10, 100, 1000}
 	receiverSizes = []int{10, 50, 200}
 )
 
-// measureConfiguration takes changes from the store through one entry to many
-// agents, and looks at what one adoption costs by itself.
+// measureConfiguration measures the propagation of changes from the store through one entry to many
+// agents, and the cost of a single adoption.
 func measureConfiguration(re *report) error {
 	if err := measureDocument(re); err != nil {
 		return err
 	}
-	if err := measureHandOn(re); err != nil {
+	if err := measurePropagation(re); err != nil {
 		return err
 	}
 	return measureManyEntries(re)
 }
 
-// measureDocument decodes and indexes documents without any link.
+// measureDocument measures the size, decoding and memory of documents, without any link.
 func measureDocument(re *report) error {
 	var size, processor, memory []point
 	for _, count := range documentSizes {
-		raw, err := generation(1, count)
+		raw, err := encodeGeneration(1, count)
 		if err != nil {
 			return err
 		}
 		num := float64(count)
 		size = append(size, point{num, float64(len(raw))})
 		const rounds = 40
-		began := ownProcessor()
+		began := ownProcessorTime()
 		for range rounds {
 			if _, err := declaration.NewInForce().Adopt(raw); err != nil {
 				return err
 			}
 		}
-		processor = append(processor, point{num, (ownProcessor() - began) / rounds})
+		processor = append(processor, point{num, (ownProcessorTime() - began) / rounds})
 		const copies = 32
-		before := heap()
+		before := liveHeap()
 		kept := make([]*declaration.InForce, copies)
 		for i := range kept {
 			kept[i] = declaration.NewInForce()
@@ -57,25 +58,27 @@
 				return err
 			}
 		}
-		memory = append(memory, point{num, (heap() - before) / copies})
+		memory = append(memory, point{num, (liveHeap() - before) / copies})
 		if kept[0].Number() != 1 {
-			return fmt.Errorf("the document was not adopted")
+			return fmt.Errorf("a document of %d workspaces was adopted as generation %d, want 1", count, kept[0].Number())
 		}
 	}
-	re.add("document-size", "an encoded generation", "workspace", bytesOf, size)
+	re.add("document-size", "an encoded generation", "workspace", byteCount, size)
 	re.add("adoption-processor", "processor time to decode and index a generation, collection included", "workspace", coreSeconds, processor)
-	re.add("snapshot-memory", "live memory of a generation in force, its encoded form included", "workspace", bytesOf, memory)
+	re.add("snapshot-memory", "live memory of a generation in force, its encoded form included", "workspace", byteCount, memory)
 	return nil
 }
 
-// handOn is what one change cost.
-type handOn struct{ took, bytes, frames, processor float64 }
+// propagationCost is the cost of one change: time and processor time in seconds, bytes, and frames
+// that carry messages.
+type propagationCost struct{ took, bytes, frames, processor float64 }
 
-func measureHandOn(re *report) error {
+// measurePropagation measures changes of all document sizes with all numbers of agents.
+func measurePropagation(re *report) error {
 	for _, doc := range documentSizes {
 		var took, bytes, processor, frames []point
 		for _, count := range receiverSizes {
-			ho, err := handOnce(doc, count)
+			ho, err := propagateThroughEntry(doc, count)
 			if err != nil {
 				return err
 			}
@@ -85,27 +88,28 @@
 			frames = append(frames, point{num, ho.frames})
 			processor = append(processor, point{num, ho.processor})
 		}
-		tag, what := fmt.Sprint(doc), fmt.Sprintf(", %s workspaces", grouped(int64(doc)))
+		tag, what := fmt.Sprint(doc), fmt.Sprintf(", %s workspaces", formatInteger(int64(doc)))
 		re.add("hand-on-time-"+tag, "time from the store's acceptance to the last agent, all agents in one process"+what, "agent", seconds, took)
-		re.add("hand-on-bytes-"+tag, "bytes from an entry for a change, both ways"+what, "agent", bytesOf, bytes)
+		re.add("hand-on-bytes-"+tag, "bytes from an entry for a change, both ways"+what, "agent", byteCount, bytes)
 		re.add("hand-on-frames-"+tag, "frames with a message for a change, both ways"+what, "agent", frameCount, frames)
 		re.add("hand-on-processor-"+tag, "processor time of an entry for a change, its own adoption included"+what, "agent", coreSeconds, processor)
 	}
 	return nil
 }
 
-// changes are averaged, because processor time is told in ticks of 10 ms.
+// changes is how many changes are averaged, since processor time is counted in ticks of 10 ms.
 const changes = 5
 
-// handOnce averages some changes through one entry process.
-func handOnce(workspaces, count int) (handOn, error) {
-	var sum handOn
+// propagateThroughEntry returns the average cost of changes that reach agents through one entry
+// process.
+func propagateThroughEntry(workspaces, count int) (propagationCost, error) {
+	var sum propagationCost
 	fl, cleanup, err := newFleet(fmt.Sprintf("hand-on-%d-%d", workspaces, count))
 	if err != nil {
 		return sum, err
 	}
 	defer cleanup()
-	ags, err := startAgents(count, new(words))
+	ags, err := startAgents(count, new(tokenRunner))
 	if err != nil {
 		return sum, err
 	}
@@ -118,12 +122,12 @@
 		return sum, err
 	}
 	ch := chain.New(store.New(fl.StoreURL), publish.Chain)
-	if err := change(ch, 1, workspaces, ags); err != nil {
+	if err := publishChange(ch, 1, workspaces, ags); err != nil {
 		return sum, err
 	}
 	for i := range changes {
 		time.Sleep(300 * time.Millisecond)
-		one, err := timeChange(ch, core.Generation(i+2), workspaces, ags, en)
+		one, err := measureChange(ch, core.Generation(i+2), workspaces, ags, en)
 		if err != nil {
 			return sum, err
 		}
@@ -135,9 +139,9 @@
 	return sum, nil
 }
 
-// change writes a generation and waits until all agents have it.
-func change(ch *chain.Chain, num core.Generation, workspaces int, ags *agents) error {
-	raw, err := generation(num, workspaces)
+// publishChange writes a generation and waits until all agents have it in force.
+func publishChange(ch *chain.Chain, num core.Generation, workspaces int, ags *agents) error {
+	raw, err := encodeGeneration(num, workspaces)
 	if err != nil {
 		return err
 	}
@@ -147,25 +151,26 @@
 	return ags.await(num)
 }
 
-func timeChange(ch *chain.Chain, num core.Generation, workspaces int, ags *agents, en *fleet.Process) (handOn, error) {
+// measureChange returns the cost of one change.
+func measureChange(ch *chain.Chain, num core.Generation, workspaces int, ags *agents, en *fleet.Process) (propagationCost, error) {
 	before := ags.meter.read()
 	use, err := usageOf(en)
 	if err != nil {
-		return handOn{}, err
+		return propagationCost{}, err
 	}
 	began := time.Now()
-	if err := change(ch, num, workspaces, ags); err != nil {
-		return handOn{}, err
+	if err := publishChange(ch, num, workspaces, ags); err != nil {
+		return propagationCost{}, err
 	}
 	took := time.Since(began).Seconds()
-	time.Sleep(200 * time.Millisecond) // Notices back, and the entry's last work.
+	time.Sleep(200 * time.Millisecond) // Includes returning notices and the entry's remaining work.
 	after, err := usageOf(en)
 	tr := ags.meter.read().since(before)
-	return handOn{took, tr.bytes(), tr.data, after.processor - use.processor}, err
+	return propagationCost{took, tr.bytes(), tr.data, after.processor - use.processor}, err
 }
 
-// measureManyEntries gives one agent links from several entries that all
-// adopt a change at the same time, as they do through their readers.
+// measureManyEntries links one agent with several entries that adopt a change at the same time, as
+// entries do that receive it through their readers.
 func measureManyEntries(re *report) error {
 	var bytes []point
 	for _, count := range []int{1, 4, 16, 64} {
@@ -175,12 +180,13 @@
 		}
 		bytes = append(bytes, point{float64(count), got})
 	}
-	re.add("hand-on-repeated-bytes", "bytes at one agent for a change of 1,000 workspaces that all its entries have at once", "linked entry", bytesOf, bytes)
+	re.add("hand-on-repeated-bytes", "bytes at one agent for a change of 1,000 workspaces that all its entries have at once", "linked entry", byteCount, bytes)
 	return nil
 }
 
+// adoptFromMany returns the bytes at one agent for a change that all its entries adopt at once.
 func adoptFromMany(entries int) (float64, error) {
-	ags, err := startAgents(1, new(words))
+	ags, err := startAgents(1, new(tokenRunner))
 	if err != nil {
 		return 0, err
 	}
@@ -190,7 +196,7 @@
 	if err := ags.awaitLinks(entries); err != nil {
 		return 0, err
 	}
-	raw, err := generation(1, 1000)
+	raw, err := encodeGeneration(1, 1000)
 	if err != nil {
 		return 0, err
 	}
--- a/test/slopes/control.go
+++ b/test/slopes/control.go
@@ -13,9 +13,9 @@
 	"skylarkstand/io/agent"
 )
 
-// measureControl counts what attempts and state reports add to a link.
+// measureControl measures the bytes that attempts, bills and state reports add to a link.
 func measureControl(re *report) error {
-	ru := new(words)
+	ru := new(tokenRunner)
 	ags, err := startAgents(1, ru)
 	if err != nil {
 		return err
@@ -26,7 +26,7 @@
 	if err := ags.awaitLinks(1); err != nil {
 		return err
 	}
-	raw, err := generation(1, 10)
+	raw, err := encodeGeneration(1, 10)
 	if err != nil {
 		return err
 	}
@@ -45,7 +45,8 @@
 	return measureReports(re)
 }
 
-func measureAttempts(re *report, ags *agents, po *agent.Pool, ru *words) error {
+// measureAttempts measures attempts without tokens, and the bytes around each token of an answer.
+func measureAttempts(re *report, ags *agents, po *agent.Pool, ru *tokenRunner) error {
 	var attempts, pieces []point
 	ru.count.Store(0)
 	for _, count := range []int{100, 500, 1000} {
@@ -62,13 +63,14 @@
 		if err != nil {
 			return err
 		}
-		pieces = append(pieces, point{float64(count), tr.bytes()/each - float64(count*len(word))})
+		pieces = append(pieces, point{float64(count), tr.bytes()/each - float64(count*len(tokenEvent))})
 	}
-	re.add("attempt-bytes", "bytes on a link for attempts without body and answer: hand-over, end, state, window updates", "attempt", bytesOf, attempts)
-	re.add("token-bytes", "bytes on a link around the pieces of an answer, without the pieces", "token", bytesOf, pieces)
+	re.add("attempt-bytes", "bytes on a link for attempts without body and answer: hand-over, end, state, window updates", "attempt", byteCount, attempts)
+	re.add("token-bytes", "bytes on a link around the pieces of an answer, without the pieces", "token", byteCount, pieces)
 	return nil
 }
 
+// runAttempts runs attempts one after the other and returns their traffic.
 func runAttempts(ags *agents, po *agent.Pool, count int) (traffic, error) {
 	before := ags.meter.read()
 	for range count {
@@ -90,11 +92,11 @@
 	return ags.meter.read().since(before), nil
 }
 
-// measureBills counts the messages that follow an answer: what was billed, and
-// that it is durable. The bills of an entry's segment went to as many agents
-// as a rule, so each notice of a durable bill is a message of its own.
+// measureBills measures the messages that follow an answer: the bill, and the confirmation that it
+// is durable. The bills of an entry's segment usually belong to different agents, so each
+// confirmation is a message of its own.
 func measureBills(re *report, ags *agents, po *agent.Pool) error {
-	raw, err := json.Marshal(ledger.Copy{Floor: ledger.Floor{Own: 1000, Takeover: 1}, Bill: bill()})
+	raw, err := json.Marshal(ledger.Copy{Floor: ledger.Floor{Own: 1000, Takeover: 1}, Bill: newBill()})
 	if err != nil {
 		return err
 	}
@@ -106,49 +108,49 @@
 			ids = append(ids, core.AttemptID(core.NewID()))
 			po.Settle(ags.hosts[0].ID, core.RequestID(core.NewID()), ids[len(ids)-1], raw)
 		}
-		time.Sleep(flight)
+		time.Sleep(deliveryTime)
 		settled = append(settled, point{float64(count), ags.meter.read().since(before).bytes()})
 		before = ags.meter.read()
 		for _, id := range ids {
 			po.Durable([]core.AttemptID{id})
 		}
-		time.Sleep(flight)
+		time.Sleep(deliveryTime)
 		durable = append(durable, point{float64(count), ags.meter.read().since(before).bytes()})
 	}
-	re.add("settled-bytes", "bytes that tell an agent of bills with one stage", "request", bytesOf, settled)
-	re.add("durable-bytes", "bytes that tell an agent that bills are durable, one bill a message", "request", bytesOf, durable)
+	re.add("settled-bytes", "bytes that tell an agent of bills with one stage", "request", byteCount, settled)
+	re.add("durable-bytes", "bytes that tell an agent that bills are durable, one bill a message", "request", byteCount, durable)
 	return nil
 }
 
-// held is a runner whose answers last until they are released.
-type held struct {
+// blockingRunner is a runner whose answers end when release is closed.
+type blockingRunner struct {
 	mu      sync.Mutex
 	release chan struct{}
 }
 
 // Run implements [core.Runner].
-func (he *held) Run(context.Context, *core.Attempt) (core.Answer, error) {
+func (he *blockingRunner) Run(context.Context, *core.Attempt) (core.Answer, error) {
 	he.mu.Lock()
 	defer he.mu.Unlock()
-	return &heldAnswer{until: he.release}, nil
+	return &blockingAnswer{until: he.release}, nil
 }
 
-type heldAnswer struct {
-	wordsAnswer
+type blockingAnswer struct {
+	tokenAnswer
 	until chan struct{}
 }
 
-func (ha *heldAnswer) Next() ([]byte, error) {
+func (ha *blockingAnswer) Next() ([]byte, error) {
 	<-ha.until
 	return nil, io.EOF
 }
 
-// measureReports changes an agent's load in every second, and counts what its
-// links carry beyond the same links at rest.
+// measureReports changes an agent's load every second and measures the traffic of its links beyond
+// that of the same links when idle.
 func measureReports(re *report) error {
 	var pts []point
 	for _, size := range []int{10, 50, 200} {
-		val, err := reportsAt(size)
+		val, err := reportBytes(size)
 		if err != nil {
 			return err
 		}
@@ -158,8 +160,9 @@
 	return nil
 }
 
-func reportsAt(size int) (float64, error) {
-	he := &held{release: make(chan struct{})}
+// reportBytes returns the bytes per second for state reports to a number of entries.
+func reportBytes(size int) (float64, error) {
+	he := &blockingRunner{release: make(chan struct{})}
 	ags, err := startAgents(1, he)
 	if err != nil {
 		return 0, err
@@ -170,7 +173,7 @@
 	if err := ags.awaitLinks(size); err != nil {
 		return 0, err
 	}
-	raw, err := generation(1, 10)
+	raw, err := encodeGeneration(1, 10)
 	if err != nil {
 		return 0, err
 	}
--- a/test/slopes/entries.go
+++ b/test/slopes/entries.go
@@ -15,27 +15,26 @@
 	"skylarkstand/io/peer"
 )
 
-// measureEntries hands changes on between entries, over the links that
-// core/spread calls for, and weighs other ways by the costs that were
-// measured.
+// measureEntries measures the propagation of changes between entries, over the links that
+// core/spread selects, and compares other strategies by the measured costs.
 func measureEntries(re *report) error {
 	if err := measureSessions(re); err != nil {
 		return err
 	}
-	var took, bytes, frames, links, rest []point
+	var took, bytes, frames, links, idleBytes []point
 	for _, size := range []int{5, 20, 60} {
 		me, err := startMesh(size)
 		if err != nil {
 			return err
 		}
-		ho, err := me.handOn()
+		ho, err := me.propagate()
 		if err != nil {
 			me.cancel()
 			return err
 		}
 		before := me.meter.read()
-		time.Sleep(meshRest)
-		rest = append(rest, point{float64(me.links), me.meter.read().since(before).bytes() / meshRest.Seconds()})
+		time.Sleep(meshIdleTime)
+		idleBytes = append(idleBytes, point{float64(me.links), me.meter.read().since(before).bytes() / meshIdleTime.Seconds()})
 		me.cancel()
 		num := float64(size)
 		took = append(took, point{num, ho.took})
@@ -44,36 +43,35 @@
 		links = append(links, point{num, float64(me.links)})
 	}
 	re.add("entries-time", "time until all entries have a change of 100 workspaces that the readers of one zone had first, in one process", "entry", seconds, took)
-	re.add("entries-bytes", "bytes between all entries for such a change", "entry", bytesOf, bytes)
+	re.add("entries-bytes", "bytes between all entries for such a change", "entry", byteCount, bytes)
 	re.add("entries-frames", "frames with a message between all entries for such a change", "entry", frameCount, frames)
 	re.add("entries-links", "links between entries", "entry", number, links)
-	re.add("entries-link-idle", "bytes on links between entries at rest, both ways: keep-alives and notices", "link", bytesPerSecond, rest)
-	re.notes = append(re.notes, weighPeers(), re.weighSpread(100))
+	re.add("entries-link-idle", "bytes on links between entries at rest, both ways: keep-alives and notices", "link", bytesPerSecond, idleBytes)
+	re.notes = append(re.notes, describePeerLinks(), re.compareStrategies(100))
 	return nil
 }
 
-// measureSessions fills an entry's table of sessions whose callers send only
-// an id.
+// measureSessions measures the memory of an entry's table of sessions whose callers send only an id.
 func measureSessions(re *report) error {
 	var pts []point
 	for _, count := range []int{5_000, 20_000, 60_000} {
-		before := heap()
+		before := liveHeap()
 		ho := session.NewHolder()
 		for i := range count {
 			key := session.Key{Workspace: "workspace-0001", Session: core.SessionID(fmt.Sprintf("session-%d", i))}
 			ho.Keep(key, session.Versions{desk.Model: desk.Version}, time.Unix(0, 0))
 		}
-		pts = append(pts, point{float64(count), heap() - before})
+		pts = append(pts, point{float64(count), liveHeap() - before})
 		runtime.KeepAlive(ho)
 	}
-	re.add("session-memory", "live memory of the held sessions", "session", bytesOf, pts)
+	re.add("session-memory", "live memory of the held sessions", "session", byteCount, pts)
 	return nil
 }
 
-// meshRest covers two rounds of keep-alives and of notices.
-const meshRest = 4 * time.Second
+// meshIdleTime covers two rounds of keep-alives and of notices.
+const meshIdleTime = 4 * time.Second
 
-// mesh is entries in this process, linked as core/spread calls for.
+// mesh is a set of entries in this process, linked as core/spread selects.
 type mesh struct {
 	hosts  []core.Host
 	infs   []*declaration.InForce
@@ -82,11 +80,12 @@
 	cancel context.CancelFunc
 }
 
-// meshZones shape the entries: four zones in two regions.
+// meshZones are the zones of the entries in turn: four zones in two regions.
 var meshZones = []core.Host{
 	{Zone: "a-1", Region: "a"}, {Zone: "a-2", Region: "a"}, {Zone: "b-1", Region: "b"}, {Zone: "b-2", Region: "b"},
 }
 
+// startMesh starts entries and waits until they are linked.
 func startMesh(size int) (*mesh, error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	me := &mesh{cancel: cancel}
@@ -104,7 +103,7 @@
 		go func() { _ = part.Serve(ctx, meteredListener{li, &me.meter}) }()
 		me.hosts, me.infs, parts = append(me.hosts, ho), append(me.infs, inf), append(parts, part)
 	}
-	time.Sleep(50 * time.Millisecond) // Update does nothing before Serve runs.
+	time.Sleep(50 * time.Millisecond) // Update has no effect before Serve runs.
 	for i, part := range parts {
 		me.links += len(spread.Peers(me.hosts, me.hosts[i]))
 		part.Update(me.hosts)
@@ -118,13 +117,13 @@
 	return me, nil
 }
 
-// handOn averages changes that only the readers of the first zone bring in,
-// which is the worst case: as a rule the readers of all zones do.
-func (me *mesh) handOn() (handOn, error) {
-	var sum handOn
+// propagate returns the average cost of changes that only the readers of the first zone receive
+// from the store. This is the worst case: usually the readers of all zones receive them.
+func (me *mesh) propagate() (propagationCost, error) {
+	var sum propagationCost
 	for i := range changes {
 		num := core.Generation(i + 1)
-		raw, err := generation(num, 100)
+		raw, err := encodeGeneration(num, 100)
 		if err != nil {
 			return sum, err
 		}
@@ -140,7 +139,7 @@
 			}
 		}
 		if err := awaitAll(me.infs, num); err != nil {
-			return sum, fmt.Errorf("entries: %w", err)
+			return sum, fmt.Errorf("propagation between entries: %w", err)
 		}
 		sum.took += time.Since(began).Seconds() / changes
 		time.Sleep(300 * time.Millisecond)
--- a/test/slopes/hosts.go
+++ b/test/slopes/hosts.go
@@ -12,23 +12,24 @@
 	"skylarkstand/io/agent"
 )
 
-// measureHosts looks at what grows with the length of the host list: reading
-// it, and choosing an upstream among the links that come of it.
+// measureHosts measures what grows with the length of the host list: reading it, and choosing an
+// upstream among the resulting links.
 func measureHosts(re *report) error {
-	if err := measureList(re); err != nil {
+	if err := measureHostList(re); err != nil {
 		return err
 	}
 	return measureChoice(re)
 }
 
-// listCase is an entry beside a list of a length.
+// listCase is an entry that reads a host list of a given length.
 type listCase struct {
-	size                        int
-	bytes, processor, residents float64
-	err                         error
+	size                       int
+	bytes, processor, resident float64
+	err                        error
 }
 
-func measureList(re *report) error {
+// measureHostList runs all cases at the same time.
+func measureHostList(re *report) error {
 	cases := []listCase{{size: 400}, {size: 4000}, {size: 12_000}}
 	var wg sync.WaitGroup
 	for i := range cases {
@@ -43,16 +44,16 @@
 		num := float64(lc.size)
 		bytes = append(bytes, point{num, lc.bytes})
 		processor = append(processor, point{num, lc.processor})
-		resident = append(resident, point{num, lc.residents})
+		resident = append(resident, point{num, lc.resident})
 	}
 	re.add("list-bytes", "bytes of the host list, read once a second", "listed host", bytesPerSecond, bytes)
 	re.add("list-processor", "processor time of an entry that reads the list and links with none of it", "listed host", cores, processor)
-	re.add("list-memory", "resident memory of that entry", "listed host", bytesOf, resident)
+	re.add("list-memory", "resident memory of that entry", "listed host", byteCount, resident)
 	return nil
 }
 
-// run lists hosts that the entry reads and links with none of: leaving
-// entries in its own zone.
+// run publishes hosts that the entry reads but does not link with: entries in its own zone that are
+// leaving.
 func (lc *listCase) run() error {
 	fl, cleanup, err := newFleet(fmt.Sprintf("list-%d", lc.size))
 	if err != nil {
@@ -78,31 +79,31 @@
 	if err := publishHosts(fl, hosts); err != nil {
 		return err
 	}
-	time.Sleep(settle)
+	time.Sleep(settleTime)
 	before, err := usageOf(en)
 	if err != nil {
 		return err
 	}
-	time.Sleep(idle)
+	time.Sleep(idleTime)
 	after, err := usageOf(en)
-	lc.processor = (after.processor - before.processor) / idle.Seconds()
-	lc.residents = after.resident
+	lc.processor = (after.processor - before.processor) / idleTime.Seconds()
+	lc.resident = after.resident
 	return err
 }
 
-// measureChoice lists an entry's candidates of a version and picks one, as
-// each attempt does. There are placement.MaxSubset of them at most.
+// measureChoice measures listing an entry's candidates of a version and picking one, as each attempt
+// does. There are at most placement.MaxSubset candidates.
 func measureChoice(re *report) error {
 	var pts []point
 	for _, size := range []int{8, 32, placement.MaxSubset} {
-		ags, err := startAgents(size, new(words))
+		ags, err := startAgents(size, new(tokenRunner))
 		if err != nil {
 			return err
 		}
 		pools, _, cancel := startPools(1, ags.hosts)
 		if err = ags.awaitLinks(size); err == nil {
 			var took float64
-			took, err = choose(pools[0])
+			took, err = choiceTime(pools[0])
 			pts = append(pts, point{float64(size), took})
 		}
 		cancel()
@@ -116,19 +117,19 @@
 	return nil
 }
 
-// choose returns the processor time of one choice.
-func choose(po *agent.Pool) (float64, error) {
+// choiceTime returns the processor time of one choice, in seconds.
+func choiceTime(po *agent.Pool) (float64, error) {
 	const rounds = 50_000
 	pk := placement.New(place.Zone, place.Region)
 	rnd := rand.New(rand.NewPCG(1, 2))
 	rq := placement.Request{Pool: placement.Pool{Target: desk}}
 	var buf []core.Upstream
-	began := ownProcessor()
+	began := ownProcessorTime()
 	for range rounds {
 		buf = po.AppendServing(buf[:0], desk)
 		if _, ok := pk.Pick(time.Now(), rq, buf, rnd.IntN); !ok {
-			return 0, fmt.Errorf("no upstream was picked of %d", len(buf))
+			return 0, fmt.Errorf("no upstream of %s was picked among %d candidates", desk, len(buf))
 		}
 	}
-	return (ownProcessor() - began) / rounds, nil
+	return (ownProcessorTime() - began) / rounds, nil
 }
--- a/test/slopes/links.go
+++ b/test/slopes/links.go
@@ -10,28 +10,30 @@
 	"skylarkstand/test/fleet"
 )
 
+// linkSizes are numbers of links at one process.
 var linkSizes = []int{10, 50, 200, 400}
 
 const (
-	// settle lets start-up work end, idle is how long idle links are watched:
-	// several rounds of the keep-alive of two seconds.
-	settle = 2 * time.Second
-	idle   = 8 * time.Second
+	// settleTime lets start-up work end. idleTime is how long idle links are measured: several
+	// rounds of the keep-alive of two seconds.
+	settleTime = 2 * time.Second
+	idleTime   = 8 * time.Second
 )
 
-// idleLinks is what one size showed.
+// idleLinks is the measurement of one size. Traffic is per second: bytes that agents received and
+// sent, and frames.
 type idleLinks struct {
-	entry, agent     usage // processor is per second of the idle time
+	entry, agent     usage // processor is per second of idleTime
 	received, sent   float64
 	probes, messages float64
 }
 
-// measureLinks watches idle links: an entry process that holds links to many
-// agents, and at the same time an agent process with links from many entries.
+// measureLinks measures idle links: an entry process with links to many agents, and at the same time
+// an agent process with links from many entries.
 func measureLinks(re *report) error {
 	var entryMem, entryCPU, agentMem, agentCPU, received, sent, probes, messages []point
 	for _, size := range linkSizes {
-		il, err := watchIdle(size)
+		il, err := measureIdleLinks(size)
 		if err != nil {
 			return err
 		}
@@ -45,9 +47,9 @@
 		probes = append(probes, point{num, il.probes})
 		messages = append(messages, point{num, il.messages})
 	}
-	re.add("entry-link-memory", "resident memory of an entry, idle", "link to an agent", bytesOf, entryMem)
+	re.add("entry-link-memory", "resident memory of an entry, idle", "link to an agent", byteCount, entryMem)
 	re.add("entry-link-processor", "processor time of an entry, idle", "link to an agent", cores, entryCPU)
-	re.add("agent-link-memory", "resident memory of an agent, idle", "link from an entry", bytesOf, agentMem)
+	re.add("agent-link-memory", "resident memory of an agent, idle", "link from an entry", byteCount, agentMem)
 	re.add("agent-link-processor", "processor time of an agent, idle", "link from an entry", cores, agentCPU)
 	re.add("idle-link-to-agent", "bytes from entry to agent, idle, above TCP", "link", bytesPerSecond, received)
 	re.add("idle-link-to-entry", "bytes from agent to entry, idle, above TCP", "link", bytesPerSecond, sent)
@@ -56,14 +58,15 @@
 	return measureGoroutines(re)
 }
 
-func watchIdle(size int) (idleLinks, error) {
+// measureIdleLinks starts an entry and an agent with a number of links each and measures them.
+func measureIdleLinks(size int) (idleLinks, error) {
 	var il idleLinks
 	fl, cleanup, err := newFleet(fmt.Sprintf("links-%d", size))
 	if err != nil {
 		return il, err
 	}
 	defer cleanup()
-	ags, err := startAgents(size, new(words))
+	ags, err := startAgents(size, new(tokenRunner))
 	if err != nil {
 		return il, err
 	}
@@ -72,8 +75,8 @@
 	if err != nil {
 		return il, err
 	}
-	// A process that has just started is still collecting garbage of its
-	// start; the list comes after it, so that only links are added.
+	// A process that has just started still collects the garbage of its start-up. The list is
+	// published afterwards, so that only links are added.
 	self := core.Host{Role: core.RoleEntry, Addr: en.Addr, Zone: place.Zone, Region: place.Region}
 	if err := publishHosts(fl, append([]core.Host{self}, ags.hosts...)); err != nil {
 		return il, err
@@ -81,7 +84,7 @@
 	if err := fl.StartEngine("alone", desk, fleet.Place{Zone: "muc-b", Region: place.Region}); err != nil {
 		return il, err
 	}
-	// StartEngine published a list of its own.
+	// StartEngine has replaced the list by its own.
 	if err := publishHosts(fl, append([]core.Host{self}, ags.hosts...)); err != nil {
 		return il, err
 	}
@@ -98,11 +101,11 @@
 	if err := ags.awaitLinks(size); err != nil {
 		return il, err
 	}
-	time.Sleep(settle)
-	return il.watch(en, ag, ags)
+	time.Sleep(settleTime)
+	return il.measure(en, ag, ags)
 }
 
-// awaitUp waits until a pool's only link stands.
+// awaitUp waits until a pool's only link is up.
 func awaitUp(po *agent.Pool) error {
 	return poll("link", func() (bool, error) {
 		ups := po.Serving(desk)
@@ -110,7 +113,8 @@
 	})
 }
 
-func (il idleLinks) watch(en, ag *fleet.Process, ags *agents) (idleLinks, error) {
+// measure returns what the processes and links use during idleTime.
+func (il idleLinks) measure(en, ag *fleet.Process, ags *agents) (idleLinks, error) {
 	began, before := time.Now(), ags.meter.read()
 	entry, err := usageOf(en)
 	if err != nil {
@@ -120,7 +124,7 @@
 	if err != nil {
 		return il, err
 	}
-	time.Sleep(idle)
+	time.Sleep(idleTime)
 	if il.entry, err = usageOf(en); err != nil {
 		return il, err
 	}
@@ -135,11 +139,11 @@
 	return il, nil
 }
 
-// measureGoroutines counts the goroutines of both sides of a link.
+// measureGoroutines measures the goroutines of both sides of a link.
 func measureGoroutines(re *report) error {
 	var pts []point
 	for _, size := range linkSizes[:3] {
-		ags, err := startAgents(size, new(words))
+		ags, err := startAgents(size, new(tokenRunner))
 		if err != nil {
 			return err
 		}
--- a/test/slopes/main.go
+++ b/test/slopes/main.go
@@ -1,17 +1,15 @@
-// Slopes measures what each process pays per link, change, request, token and
-// call of the store, at three sizes or more each, and fits a straight line.
-// It writes the table docs/slopes.md and renews the products in
-// docs/CAPACITY.md that are computed from it.
+// Slopes measures what each process uses per link, configuration change, request, token and store
+// call, at three or more sizes each, and fits a straight line to every series. It writes the table
+// docs/slopes.md and recomputes the results in docs/CAPACITY.md that depend on it.
 //
-// Entries and agents whose memory and processor time are measured are
-// processes of their own; the many small peers that they talk with run in this
-// one process. All traffic is on loopback.
+// Entries and agents whose memory and processor time are measured run as separate processes; their
+// many small peers all run in this process. All traffic is on loopback.
 //
 // # Usage
 //
-//	go run ./test/slopes           # all sections, writes both pages
-//	go run ./test/slopes links     # one section, prints only
-//	go run ./test/slopes page      # renews the products alone
+//	go run ./test/slopes           # measures all sections, writes both pages
+//	go run ./test/slopes links     # measures one section, only prints it
+//	go run ./test/slopes page      # only recomputes docs/CAPACITY.md
 package main
 
 import (
@@ -21,18 +19,19 @@
 	"time"
 )
 
-// section measures some slopes.
+// section is a group of slopes that are measured together.
 type section struct {
 	name string
 	run  func(*report) error
 }
 
-// report gathers what the sections measured.
+// report collects the slopes and further text of all sections.
 type report struct {
 	slopes []slope
 	notes  []string
 }
 
+// add fits a line to the points, records the slope and prints its row.
 func (re *report) add(name, what, per string, dim dimension, pts []point) {
 	sl := newSlope(name, what, per, dim, pts)
 	re.slopes = append(re.slopes, sl)
@@ -59,7 +58,7 @@
 
 func run(args []string) error {
 	if len(args) > 0 && args[0] == "page" {
-		return renewPage()
+		return updatePage()
 	}
 	re := new(report)
 	began := time.Now()
@@ -78,7 +77,7 @@
 	if err := os.WriteFile(tablePath, []byte(re.page(loadAverage())), 0o644); err != nil {
 		return err
 	}
-	return renewPage()
+	return updatePage()
 }
 
 const (
@@ -86,7 +85,7 @@
 	capacityPath = "docs/CAPACITY.md"
 )
 
-// page writes docs/slopes.md.
+// page returns the text of docs/slopes.md; load is the load average of the machine.
 func (re *report) page(load string) string {
 	var sb strings.Builder
 	sb.WriteString("# Slopes\n\nWritten by `make slopes`; don't edit. Each line is a straight line through\n" +
@@ -103,7 +102,7 @@
 	return sb.String()
 }
 
-// loadAverage tells how busy the machine was.
+// loadAverage returns the machine's load averages over 1, 5 and 15 minutes.
 func loadAverage() string {
 	raw, err := os.ReadFile("/proc/loadavg")
 	fields := strings.Fields(string(raw))
@@ -113,7 +112,8 @@
 	return strings.Join(fields[:3], ", ")
 }
 
-func renewPage() error {
+// updatePage recomputes docs/CAPACITY.md from docs/slopes.md.
+func updatePage() error {
 	table, err := os.ReadFile(tablePath)
 	if err != nil {
 		return err
--- a/test/slopes/meter.go
+++ b/test/slopes/meter.go
@@ -6,30 +6,30 @@
 	"sync/atomic"
 )
 
-// meter counts what passes over the connections of a listener.
+// meter counts the bytes, frames and connections of a listener.
 type meter struct {
 	received, sent atomic.Int64
-	// data and probes count yamux frames of both directions: those that carry
-	// messages, and the keep-alives.
+	// data and probes count yamux frames of both directions: frames that carry messages, and
+	// keep-alives.
 	data, probes atomic.Int64
 	conns        atomic.Int64
 }
 
-// traffic is a reading of a meter.
+// traffic is a snapshot of a meter, or the difference of two.
 type traffic struct{ received, sent, data, probes float64 }
 
 func (mt *meter) read() traffic {
 	return traffic{float64(mt.received.Load()), float64(mt.sent.Load()), float64(mt.data.Load()), float64(mt.probes.Load())}
 }
 
-// since subtracts an earlier reading.
+// since returns the traffic after an earlier snapshot.
 func (tr traffic) since(old traffic) traffic {
 	return traffic{tr.received - old.received, tr.sent - old.sent, tr.data - old.data, tr.probes - old.probes}
 }
 
 func (tr traffic) bytes() float64 { return tr.received + tr.sent }
 
-// meteredListener wraps accepted connections.
+// meteredListener counts the traffic of the connections it accepts.
 type meteredListener struct {
 	net.Listener
 	mt *meter
@@ -41,15 +41,15 @@
 		return nil, err
 	}
 	ml.mt.conns.Add(1)
-	return &meteredConn{Conn: co, mt: ml.mt, in: scanner{mt: ml.mt}, out: scanner{mt: ml.mt}}, nil
+	return &meteredConn{Conn: co, mt: ml.mt, in: frameScanner{mt: ml.mt}, out: frameScanner{mt: ml.mt}}, nil
 }
 
-// meteredConn is used by yamux, which reads from one goroutine and writes from
-// one.
+// meteredConn counts the traffic of one connection. Its scanners need no lock, since yamux reads from
+// a single goroutine and writes from a single goroutine.
 type meteredConn struct {
 	net.Conn
 	mt      *meter
-	in, out scanner
+	in, out frameScanner
 }
 
 func (mc *meteredConn) Read(buf []byte) (int, error) {
@@ -66,14 +66,13 @@
 	return n, err
 }
 
-// scanner follows the yamux frames of one direction: a header of 12 bytes
-// with the type in the second and the length in the last four, and for frames
-// of data that many bytes.
-type scanner struct {
+// frameScanner parses the yamux frames of one direction: a header of 12 bytes with the type in the
+// second byte and the length in the last four, followed in data frames by that many bytes.
+type frameScanner struct {
 	mt   *meter
 	head [yamuxHeader]byte
-	have int
-	skip int
+	have int // bytes of the current header
+	skip int // remaining bytes of the current payload
 }
 
 const (
@@ -82,7 +81,7 @@
 	yamuxPing   = 2
 )
 
-func (sc *scanner) scan(buf []byte) {
+func (sc *frameScanner) scan(buf []byte) {
 	for len(buf) > 0 {
 		if sc.skip > 0 {
 			n := min(sc.skip, len(buf))
--- a/test/slopes/operators.go
+++ b/test/slopes/operators.go
@@ -12,8 +12,8 @@
 	"skylarkstand/io/store"
 )
 
-// measureOperators looks at what an accepted change costs the store, and what
-// a check of the whole configuration costs the operator's machine.
+// measureOperators measures the store calls of an accepted change, and the processor time that a
+// check of the whole configuration uses on the operator's machine.
 func measureOperators(re *report) error {
 	if err := measureApply(re); err != nil {
 		return err
@@ -30,7 +30,7 @@
 		}
 		to.Workspaces[0].Share = 2
 		const rounds = 10
-		began := ownProcessor()
+		began := ownProcessorTime()
 		for range rounds {
 			var mis declaration.Mistakes
 			if err := declaration.CheckChange(from, to); err != nil && !errors.As(err, &mis) {
@@ -39,14 +39,15 @@
 			declaration.Effects(from, to)
 			declaration.Diff(from, to)
 		}
-		pts = append(pts, point{float64(count), (ownProcessor() - began) / rounds})
+		pts = append(pts, point{float64(count), (ownProcessorTime() - began) / rounds})
 	}
 	re.add("check-processor", "processor time to check a change and show its effects", "workspace", coreSeconds, pts)
 	return nil
 }
 
+// documentOf returns the document of a generation with a number of workspaces.
 func documentOf(num core.Generation, workspaces int) (*declaration.Document, error) {
-	raw, err := generation(num, workspaces)
+	raw, err := encodeGeneration(num, workspaces)
 	if err != nil {
 		return nil, err
 	}
@@ -57,7 +58,7 @@
 	return &gen.Document, nil
 }
 
-// measureApply puts changes in force, one after the other and without races.
+// measureApply applies changes one after the other, without concurrent writers.
 func measureApply(re *report) error {
 	text, err := os.ReadFile(filepath.Join("test", "demo", "landesamt.jsonc"))
 	if err != nil {
--- a/test/slopes/page.go
+++ b/test/slopes/page.go
@@ -5,17 +5,16 @@
 	"strings"
 )
 
-// recompute renews the computed cells of docs/CAPACITY.md. A computed line has
-// five cells: what, working, result, budget, verdict. The working is a sum of
-// terms that each name a slope:
+// recompute updates the computed cells of docs/CAPACITY.md. A computed line has five cells: what,
+// working, result, budget, verdict. The working is a sum of terms of these forms:
 //
 //	34 x `entry-link-memory`         slope times a count
 //	53/s x `entry-request-processor` slope times a rate
 //	`entry-link-memory` at 400       intercept and slope at a size
-//	3.2 MB                           a quantity as it is
+//	3.2 MB                           a literal quantity
 //
-// A page whose products were typed by hand would go stale in silence when
-// the slopes are measured again; this way a test notices.
+// Results that were entered by hand would silently become outdated when the slopes are measured
+// again; computed ones are compared by a test.
 func recompute(page string, slopes map[string]slope) (string, error) {
 	var sb strings.Builder
 	for line := range strings.Lines(page) {
@@ -36,6 +35,7 @@
 	return sb.String(), nil
 }
 
+// verdict compares a result with its budget.
 func verdict(res quantity, budget string) (string, error) {
 	if budget == "" || budget == "-" {
 		return "-", nil
@@ -45,7 +45,7 @@
 		return "", err
 	}
 	if bound.dim != res.dim {
-		return "", fmt.Errorf("the budget %q measures something else", budget)
+		return "", fmt.Errorf("the budget %q and the result %q have different dimensions", budget, res)
 	}
 	if res.value > bound.value {
 		return "**over**", nil
@@ -53,24 +53,26 @@
 	return "within", nil
 }
 
+// evaluate returns the sum of a working's terms.
 func evaluate(working string, slopes map[string]slope) (quantity, error) {
 	var sum quantity
 	for i, text := range strings.Split(working, " + ") {
-		qu, err := term(text, slopes)
+		qu, err := evaluateTerm(text, slopes)
 		if err != nil {
 			return sum, err
 		}
 		if i > 0 && qu.dim != sum.dim {
-			return sum, fmt.Errorf("%q adds unlike quantities", working)
+			return sum, fmt.Errorf("%q adds quantities of different dimensions", working)
 		}
 		sum.value, sum.dim = sum.value+qu.value, qu.dim
 	}
 	return sum, nil
 }
 
-func term(text string, slopes map[string]slope) (quantity, error) {
+// evaluateTerm returns the value of one term.
+func evaluateTerm(text string, slopes map[string]slope) (quantity, error) {
 	if left, size, ok := strings.Cut(text, " at "); ok {
-		sl, err := named(left, slopes)
+		sl, err := findSlope(left, slopes)
 		if err != nil {
 			return quantity{}, err
 		}
@@ -81,7 +83,7 @@
 	if !ok {
 		return parseQuantity(text)
 	}
-	sl, err := named(right, slopes)
+	sl, err := findSlope(right, slopes)
 	if err != nil {
 		return quantity{}, err
 	}
@@ -89,17 +91,18 @@
 	bare, rate := strings.CutSuffix(count, "/s")
 	if rate {
 		if dim, ok = perSecond[dim]; !ok {
-			return quantity{}, fmt.Errorf("%q can't be spent at a rate", sl.name)
+			return quantity{}, fmt.Errorf("slope %q has no dimension per second, so it can't be multiplied by a rate", sl.name)
 		}
 	}
 	num, err := parseQuantity(bare)
 	return quantity{num.value * sl.fit.slope, dim}, err
 }
 
-func named(text string, slopes map[string]slope) (slope, error) {
+// findSlope returns the slope of a name in backquotes.
+func findSlope(text string, slopes map[string]slope) (slope, error) {
 	sl, ok := slopes[strings.Trim(strings.TrimSpace(text), "`")]
 	if !ok {
-		return sl, fmt.Errorf("there is no slope %s in docs/slopes.md", text)
+		return sl, fmt.Errorf("slope %s does not exist in docs/slopes.md", text)
 	}
 	return sl, nil
 }
--- a/test/slopes/path.go
+++ b/test/slopes/path.go
@@ -15,16 +15,17 @@
 	"skylarkstand/test/fleet"
 )
 
-// rig is one engine with its agent, one entry and callers.
+// rig is one engine with its agent, one entry, and a client that sends requests to it.
 type rig struct {
 	fl           *fleet.Fleet
 	entry, agent *fleet.Process
 	cli          *http.Client
 }
 
-// wide are limits above anything that is offered here.
-var wide = map[string]any{"slots": 8192, "queue": 8192, "log-level": "warn"}
+// highLimits are agent settings with limits above any load that is offered here.
+var highLimits = map[string]any{"slots": 8192, "queue": 8192, "log-level": "warn"}
 
+// newRig starts a rig and waits for its first answer.
 func newRig(name string, engine ...string) (*rig, func(), error) {
 	fl, cleanup, err := newFleet(name)
 	if err != nil {
@@ -42,7 +43,7 @@
 }
 
 func (ri *rig) start(engine []string) error {
-	ri.fl.AgentSettings = wide
+	ri.fl.AgentSettings = highLimits
 	if err := ri.fl.StartEngine("desk-1", desk, place, append([]string{"--slots", "8192"}, engine...)...); err != nil {
 		return err
 	}
@@ -56,12 +57,12 @@
 		return fmt.Errorf("%s: %w", out, err)
 	}
 	return poll("first answer", func() (bool, error) {
-		return ri.ask(context.Background(), "#words=1", false, func() {}) == nil, nil
+		return ri.request(context.Background(), "#words=1", false, func() {}) == nil, nil
 	})
 }
 
-// ask sends a request and reads its answer; began is called at its first byte.
-func (ri *rig) ask(ctx context.Context, prompt string, stream bool, began func()) error {
+// request sends a request and reads its answer; it calls began at the first byte of the body.
+func (ri *rig) request(ctx context.Context, prompt string, stream bool, began func()) error {
 	body := fmt.Appendf(nil, `{"model":"desk","stream":%v,"messages":[{"role":"user","content":%q}]}`, stream, prompt)
 	rq, err := http.NewRequestWithContext(ctx, http.MethodPost, ri.entry.URL+"/v1/chat/completions", bytes.NewReader(body))
 	if err != nil {
@@ -86,9 +87,9 @@
 	return err
 }
 
-// offer sends requests at a rate, whatever the answers take, and returns the
-// processor time a second of entry and agent.
-func (ri *rig) offer(rate int, lasts time.Duration, stream bool) (entry, agent float64, err error) {
+// offerLoad sends requests at a rate, in an open loop that does not wait for answers, and returns the
+// processor time per second of entry and agent.
+func (ri *rig) offerLoad(rate int, lasts time.Duration, stream bool) (entry, agent float64, err error) {
 	en, err := usageOf(ri.entry)
 	if err != nil {
 		return 0, 0, err
@@ -103,14 +104,14 @@
 	for i := range int(lasts.Seconds() * float64(rate)) {
 		time.Sleep(time.Until(began.Add(time.Duration(i) * time.Second / time.Duration(rate))))
 		wg.Go(func() {
-			if ri.ask(context.Background(), "hello", stream, func() {}) != nil {
+			if ri.request(context.Background(), "hello", stream, func() {}) != nil {
 				failed.Add(1)
 			}
 		})
 	}
 	wg.Wait()
 	if failed.Load() > 0 {
-		return 0, 0, fmt.Errorf("%d requests failed at %d a second", failed.Load(), rate)
+		return 0, 0, fmt.Errorf("%d requests failed at a rate of %d requests/s", failed.Load(), rate)
 	}
 	en2, err := usageOf(ri.entry)
 	if err != nil {
@@ -120,9 +121,11 @@
 	return (en2.processor - en.processor) / lasts.Seconds(), (ag2.processor - ag.processor) / lasts.Seconds(), err
 }
 
-const offered = 4 * time.Second
+// offerTime is how long each rate is offered.
+const offerTime = 4 * time.Second
 
-// measurePath loads the whole path at three rates.
+// measurePath measures requests and tokens through entry and agent at three rates each, and open
+// streams.
 func measurePath(re *report) error {
 	if err := measureRates(re, "request", "requests with a whole answer of one token", 1, false, []int{200, 500, 1000}); err != nil {
 		return err
@@ -133,18 +136,19 @@
 	return measureStreams(re)
 }
 
+// measureRates measures the processor time of entry and agent at each rate.
 func measureRates(re *report, kind, what string, tokens int, stream bool, rates []int) error {
 	ri, cleanup, err := newRig("path-"+kind, "--first", "1ms", "--pace", "10ms", "--words", fmt.Sprint(tokens))
 	if err != nil {
 		return err
 	}
 	defer cleanup()
-	if _, _, err := ri.offer(rates[0], time.Second, stream); err != nil { // Warms connections.
+	if _, _, err := ri.offerLoad(rates[0], time.Second, stream); err != nil { // Opens connections.
 		return err
 	}
 	var entry, agent []point
 	for _, rate := range rates {
-		en, ag, err := ri.offer(rate, offered, stream)
+		en, ag, err := ri.offerLoad(rate, offerTime, stream)
 		if err != nil {
 			return err
 		}
@@ -156,7 +160,7 @@
 	return nil
 }
 
-// measureStreams holds streams open whose tokens come slowly.
+// measureStreams measures the memory of open streams, whose tokens arrive slowly.
 func measureStreams(re *report) error {
 	ri, cleanup, err := newRig("path-streams", "--first", "1ms", "--pace", "1s", "--words", "100")
 	if err != nil {
@@ -169,12 +173,12 @@
 	var entry, agent []point
 	for _, count := range []int{100, 500, 1000} {
 		for range count - int(open.Load()) {
-			go func() { _ = ri.ask(ctx, "hello", true, func() { open.Add(1) }) }()
+			go func() { _ = ri.request(ctx, "hello", true, func() { open.Add(1) }) }()
 		}
 		if err := poll("open streams", func() (bool, error) { return open.Load() >= int64(count), nil }); err != nil {
 			return err
 		}
-		time.Sleep(settle)
+		time.Sleep(settleTime)
 		en, err := usageOf(ri.entry)
 		if err != nil {
 			return err
@@ -185,7 +189,7 @@
 		}
 		entry, agent = append(entry, point{float64(count), en.resident}), append(agent, point{float64(count), ag.resident})
 	}
-	re.add("entry-stream-memory", "resident memory of an entry", "open stream", bytesOf, entry)
-	re.add("agent-stream-memory", "resident memory of an agent", "open stream", bytesOf, agent)
+	re.add("entry-stream-memory", "resident memory of an entry", "open stream", byteCount, entry)
+	re.add("agent-stream-memory", "resident memory of an agent", "open stream", byteCount, agent)
 	return nil
 }
--- a/test/slopes/quantity.go
+++ b/test/slopes/quantity.go
@@ -7,15 +7,15 @@
 	"strings"
 )
 
-// dimension is what a quantity measures.
+// dimension is the kind of a quantity, such as bytes or seconds.
 type dimension int
 
 const (
 	number dimension = iota
-	bytesOf
+	byteCount
 	bytesPerSecond
 	seconds
-	// coreSeconds is processor time; spent per second it is cores.
+	// coreSeconds is processor time; per second it becomes cores.
 	coreSeconds
 	cores
 	calls
@@ -25,18 +25,19 @@
 	goroutines
 )
 
-// unit is one way to write a dimension.
+// unit is a unit of a dimension; factor converts it into the base unit, except that of cores, see
+// String.
 type unit struct {
 	name   string
 	dim    dimension
 	factor float64
 }
 
-// units are in order of size within a dimension; the first one is the base
-// that very small quantities are written in.
+// units are in ascending order within a dimension; the first one also serves for all smaller
+// quantities.
 var units = []unit{
 	{"", number, 1},
-	{"B", bytesOf, 1}, {"KB", bytesOf, 1e3}, {"MB", bytesOf, 1e6}, {"GB", bytesOf, 1e9},
+	{"B", byteCount, 1}, {"KB", byteCount, 1e3}, {"MB", byteCount, 1e6}, {"GB", byteCount, 1e9},
 	{"B/s", bytesPerSecond, 1}, {"KB/s", bytesPerSecond, 1e3}, {"MB/s", bytesPerSecond, 1e6}, {"GB/s", bytesPerSecond, 1e9},
 	{"µs", seconds, 1e-6}, {"ms", seconds, 1e-3}, {"s", seconds, 1},
 	{"core-µs", coreSeconds, 1e-6}, {"core-ms", coreSeconds, 1e-3}, {"core-s", coreSeconds, 1},
@@ -46,9 +47,9 @@
 	{"goroutines", goroutines, 1},
 }
 
-// perSecond tells what a dimension becomes when it is spent at a rate.
+// perSecond maps a dimension to the one of its rate.
 var perSecond = map[dimension]dimension{
-	bytesOf: bytesPerSecond, coreSeconds: cores, calls: callsPerSecond, frameCount: framesPerSecond,
+	byteCount: bytesPerSecond, coreSeconds: cores, calls: callsPerSecond, frameCount: framesPerSecond,
 }
 
 // quantity is a value with its dimension, in base units.
@@ -57,7 +58,8 @@
 	dim   dimension
 }
 
-// String writes a quantity in the unit that suits its size, to three digits.
+// String formats a quantity in the unit that suits its size, with three significant digits below
+// 1,000 of that unit.
 func (qu quantity) String() string {
 	var best unit
 	for _, un := range units {
@@ -67,21 +69,23 @@
 	}
 	factor := best.factor
 	if best.name == "cores" {
-		factor = 1 // Written from two cores on, so that small shares stay in %.
+		factor = 1 // The factor of 2 in units is a threshold: less than two cores are written in %.
 	}
-	text := digits(qu.value / factor)
+	text := formatNumber(qu.value / factor)
 	return strings.TrimSpace(text + " " + best.name)
 }
 
-func digits(val float64) string {
+// formatNumber writes a number with three significant digits, or whole from 1,000 on.
+func formatNumber(val float64) string {
 	if math.Abs(val) >= 1000 {
-		return grouped(int64(math.Round(val)))
+		return formatInteger(int64(math.Round(val)))
 	}
 	rounded, _ := strconv.ParseFloat(strconv.FormatFloat(val, 'g', 3, 64), 64)
 	return strconv.FormatFloat(rounded, 'f', -1, 64)
 }
 
-func grouped(val int64) string {
+// formatInteger writes an integer with commas between groups of three digits.
+func formatInteger(val int64) string {
 	text := strconv.FormatInt(val, 10)
 	for at := len(text) - 3; at > 0 && text[at-1] != '-'; at -= 3 {
 		text = text[:at] + "," + text[at:]
@@ -89,12 +93,12 @@
 	return text
 }
 
-// parseQuantity reads what String wrote.
+// parseQuantity parses the result of String.
 func parseQuantity(text string) (quantity, error) {
 	val, name, _ := strings.Cut(strings.TrimSpace(text), " ")
 	num, err := strconv.ParseFloat(strings.ReplaceAll(val, ",", ""), 64)
 	if err != nil {
-		return quantity{}, fmt.Errorf("%q is no quantity", text)
+		return quantity{}, fmt.Errorf("%q is not a quantity: %w", text, err)
 	}
 	for _, un := range units {
 		if un.name == name {
@@ -105,5 +109,5 @@
 			return quantity{num * factor, un.dim}, nil
 		}
 	}
-	return quantity{}, fmt.Errorf("%q has an unknown unit", text)
+	return quantity{}, fmt.Errorf("quantity %q has the unknown unit %q", text, name)
 }
--- a/test/slopes/store.go
+++ b/test/slopes/store.go
@@ -17,7 +17,7 @@
 	"skylarkstand/test/fleet"
 )
 
-// measureStore counts the calls that each use makes of the platform's store.
+// measureStore measures the calls of the platform's store by entries, agents, claims and ledgers.
 func measureStore(re *report) error {
 	if err := measureEntryCalls(re); err != nil {
 		return err
@@ -36,7 +36,7 @@
 	return measureLedger(re, fl)
 }
 
-// storeCalls is a reading of the stand-in's counters.
+// storeCalls is a snapshot of the counters of the store's stand-in, or the difference of two.
 type storeCalls struct{ Reads, Writes float64 }
 
 func callsOf(fl *fleet.Fleet) (storeCalls, error) {
@@ -44,23 +44,24 @@
 	return sc, fleet.GetJSON(fl.StoreURL+"/counts", &sc)
 }
 
-// entryCase is entries spread evenly over some zones.
+// entryCase is a set of entries, evenly distributed over zones.
 type entryCase struct {
 	zones, perZone int
-	// start is the reads of all starts together, at rest the reads a second
-	// once all entries know each other.
-	start, atRest float64
-	err           error
+	// startReads is the reads of all starts together, idleRate the calls per second once all
+	// entries have discovered each other.
+	startReads, idleRate float64
+	err                  error
 }
 
 const (
-	// known is the time in which entries learn of each other and all but the
-	// readers leave the store alone: a list refresh and a watch round.
-	known  = 8 * time.Second
-	atRest = 10 * time.Second
+	// discoveryTime is the time after which entries have discovered each other and only the readers
+	// still watch the store: a refresh of the host list and a watch round.
+	discoveryTime = 8 * time.Second
+	idlePeriod    = 10 * time.Second
 )
 
-// measureEntryCalls runs all cases at the same time, because they mostly wait.
+// measureEntryCalls measures the calls of entries. It runs all cases at the same time, since they
+// mostly wait.
 func measureEntryCalls(re *report) error {
 	cases := []entryCase{
 		{zones: 1, perZone: 2}, {zones: 1, perZone: 6}, {zones: 1, perZone: 12}, {zones: 2, perZone: 2}, {zones: 4, perZone: 2},
@@ -76,11 +77,11 @@
 			return ec.err
 		}
 		if ec.zones == 1 {
-			start = append(start, point{float64(ec.perZone), ec.start})
-			idleEntries = append(idleEntries, point{float64(ec.perZone), ec.atRest})
+			start = append(start, point{float64(ec.perZone), ec.startReads})
+			idleEntries = append(idleEntries, point{float64(ec.perZone), ec.idleRate})
 		}
 		if ec.perZone == 2 {
-			idleZones = append(idleZones, point{float64(ec.zones), ec.atRest})
+			idleZones = append(idleZones, point{float64(ec.zones), ec.idleRate})
 		}
 	}
 	re.add("entry-start-reads", "reads of the store while the entries of one zone start, one after the other", "entry", calls, start)
@@ -89,6 +90,7 @@
 	return nil
 }
 
+// run starts the entries one after the other and then leaves them idle.
 func (ec *entryCase) run() error {
 	fl, cleanup, err := newFleet(fmt.Sprintf("entries-%d-%d", ec.zones, ec.perZone))
 	if err != nil {
@@ -97,7 +99,7 @@
 	defer cleanup()
 	ch := chain.New(store.New(fl.StoreURL), publish.Chain)
 	for num := range core.Generation(3) {
-		raw, err := generation(num+1, 10)
+		raw, err := encodeGeneration(num+1, 10)
 		if err != nil {
 			return err
 		}
@@ -115,19 +117,19 @@
 			return err
 		}
 	}
-	time.Sleep(known)
+	time.Sleep(discoveryTime)
 	started, err := callsOf(fl)
 	if err != nil {
 		return err
 	}
-	time.Sleep(atRest)
+	time.Sleep(idlePeriod)
 	after, err := callsOf(fl)
-	ec.start = started.Reads - before.Reads
-	ec.atRest = (after.Reads + after.Writes - started.Reads - started.Writes) / atRest.Seconds()
+	ec.startReads = started.Reads - before.Reads
+	ec.idleRate = (after.Reads + after.Writes - started.Reads - started.Writes) / idlePeriod.Seconds()
 	return err
 }
 
-// measureAgentCalls starts agents.
+// measureAgentCalls measures the calls of agents that start.
 func measureAgentCalls(re *report, fl *fleet.Fleet) error {
 	var pts []point
 	for _, count := range []int{1, 2, 4} {
@@ -151,23 +153,22 @@
 	return nil
 }
 
-// measureClaims counts the calls of operations that run at most once: one
-// after the other, and many of one service at the same time, whose claims
-// share writes.
+// measureClaims measures the calls of operations that run at most once: one after the other, and
+// many of one service at the same time, whose claims share writes.
 func measureClaims(re *report, fl *fleet.Fleet) error {
 	var reads, writes, shared []point
 	for _, count := range []int{10, 50, 200} {
-		apart, err := claimCalls(fl, count, false)
+		sequential, err := claimCalls(fl, count, false)
 		if err != nil {
 			return err
 		}
-		together, err := claimCalls(fl, count, true)
+		concurrent, err := claimCalls(fl, count, true)
 		if err != nil {
 			return err
 		}
 		num := float64(count)
-		reads, writes = append(reads, point{num, apart.Reads}), append(writes, point{num, apart.Writes})
-		shared = append(shared, point{num, together.Writes})
+		reads, writes = append(reads, point{num, sequential.Reads}), append(writes, point{num, sequential.Writes})
+		shared = append(shared, point{num, concurrent.Writes})
 	}
 	re.add("claim-reads", "reads of the store for operations that run at most once, one after the other at one agent", "operation", calls, reads)
 	re.add("claim-writes", "writes of the store for them", "operation", calls, writes)
@@ -175,25 +176,27 @@
 	return nil
 }
 
-func claimCalls(fl *fleet.Fleet, count int, together bool) (storeCalls, error) {
+// claimCalls returns the calls of a number of operations at one agent.
+func claimCalls(fl *fleet.Fleet, count int, concurrent bool) (storeCalls, error) {
 	tbl, cleanup := claim.New(core.NewDeps(), store.New(fl.StoreURL), claim.Writes(1000))
 	defer cleanup()
 	before, err := callsOf(fl)
 	if err != nil {
 		return before, err
 	}
-	if err := runClaims(tbl, count, together); err != nil {
+	if err := runClaims(tbl, count, concurrent); err != nil {
 		return before, err
 	}
 	after, err := callsOf(fl)
 	return storeCalls{after.Reads - before.Reads, after.Writes - before.Writes}, err
 }
 
-func runClaims(tbl *claim.Table, count int, together bool) error {
+// runClaims runs operations, concurrently or one after the other.
+func runClaims(tbl *claim.Table, count int, concurrent bool) error {
 	var wg sync.WaitGroup
 	errs := make([]error, count)
 	for i := range count {
-		if !together {
+		if !concurrent {
 			errs[i] = runClaim(tbl)
 			continue
 		}
@@ -203,6 +206,7 @@
 	return errors.Join(errs...)
 }
 
+// runClaim claims and finishes one operation.
 func runClaim(tbl *claim.Table) error {
 	req := claim.Request{
 		Key:    claim.Key{Workspace: "schools", Service: "subsidy", Operation: "claim", Idempotency: core.NewID()},
@@ -214,8 +218,8 @@
 	return tbl.Finish(context.Background(), req, claim.Answer{Status: 200, Body: []byte(`{}`)})
 }
 
-// measureLedger counts the calls of segments, and the size of bills in them.
-// The intercept is what a process pays once to be listed.
+// measureLedger measures the calls of segments and the size of the bills in them. The intercept of
+// the calls is the cost of listing the process, which occurs once.
 func measureLedger(re *report, fl *fleet.Fleet) error {
 	var reads, writes, bytes []point
 	ctx := context.Background()
@@ -226,7 +230,7 @@
 			return err
 		}
 		for range count {
-			led.Add(bill())
+			led.Add(newBill())
 			if err := led.Flush(ctx); err != nil {
 				return err
 			}
@@ -241,7 +245,7 @@
 	for _, count := range []int{100, 500, 1500} {
 		seg := ledger.Segment{}
 		for range count {
-			seg.Bills = append(seg.Bills, bill())
+			seg.Bills = append(seg.Bills, newBill())
 		}
 		raw, err := json.Marshal(seg)
 		if err != nil {
@@ -251,11 +255,12 @@
 	}
 	re.add("segment-reads", "reads of the store for ledger segments", "segment", calls, reads)
 	re.add("segment-writes", "writes of the store for ledger segments", "segment", calls, writes)
-	re.add("bill-size", "a segment, bills with one stage", "bill", bytesOf, bytes)
+	re.add("bill-size", "a segment, bills with one stage", "bill", byteCount, bytes)
 	return nil
 }
 
-func bill() ledger.Bill {
+// newBill returns a bill with one stage.
+func newBill() ledger.Bill {
 	return ledger.Bill{
 		Request: core.RequestID(core.NewID()), Workspace: "workspace-0001", When: time.Now(), Total: 123456, Content: ledger.Digest(nil),
 		Lines: []ledger.Line{{Target: desk.String(), Attempt: core.AttemptID(core.NewID()), Usage: core.Usage{Prompt: 1000, Generated: 379}, Cost: 123456}},
--- a/test/slopes/table.go
+++ b/test/slopes/table.go
@@ -5,25 +5,26 @@
 	"strings"
 )
 
-// slope is one measured dependence: what a size costs.
+// slope is the measured dependence of a value on a size.
 type slope struct {
 	name string
-	// what is measured, and per which unit of size.
+	// what describes the value, per the unit of the size.
 	what, per string
 	dim       dimension
 	points    []point
 	fit       fit
 }
 
+// newSlope fits a line to the points.
 func newSlope(name, what, per string, dim dimension, pts []point) slope {
 	return slope{name, what, per, dim, pts, fitLine(pts)}
 }
 
-// row writes a slope as a line of docs/slopes.md.
+// row formats a slope as a line of docs/slopes.md.
 func (sl slope) row() string {
 	sizes := make([]string, len(sl.points))
 	for i, pt := range sl.points {
-		sizes[i] = fmt.Sprintf("%s: %s", digits(pt.size), quantity{pt.value, sl.dim})
+		sizes[i] = fmt.Sprintf("%s: %s", formatNumber(pt.size), quantity{pt.value, sl.dim})
 	}
 	in := func(val float64) quantity { return quantity{val, sl.dim} }
 	return fmt.Sprintf("| `%s` | %s | %s | %s | %s | %s | %s |", sl.name, sl.what, in(sl.fit.slope), sl.per, in(sl.fit.intercept), in(sl.fit.residual), strings.Join(sizes, "; "))
@@ -31,8 +32,8 @@
 
 const tableHead = "| slope | of what | slope | per | intercept | worst residual | measured |\n| --- | --- | --- | --- | --- | --- | --- |\n"
 
-// parseSlopes reads the lines that row wrote. The page is computed from these
-// rounded figures, so that a reader can redo each product by hand.
+// parseSlopes parses the lines that row formats. docs/CAPACITY.md is computed from these rounded
+// figures, so that its readers can check each result by hand.
 func parseSlopes(text string) (map[string]slope, error) {
 	out := map[string]slope{}
 	for line := range strings.Lines(text) {
@@ -54,7 +55,7 @@
 	return out, nil
 }
 
-// cellsOf splits a line of a table, or returns nil for another line.
+// cellsOf returns the cells of a table line, or nil for any other line.
 func cellsOf(line string) []string {
 	line = strings.TrimSpace(line)
 	if len(line) < 2 || line[0] != '|' || line[len(line)-1] != '|' {
--- a/test/slopes/usage.go
+++ b/test/slopes/usage.go
@@ -8,8 +8,8 @@
 	"skylarkstand/test/fleet"
 )
 
-// usage is what a process has used: processor time in seconds since its start,
-// and resident memory in bytes.
+// usage is the resource usage of a process: processor time in seconds since its start, and resident
+// memory in bytes.
 type usage struct{ processor, resident float64 }
 
 func usageOf(pr *fleet.Process) (usage, error) {
@@ -17,8 +17,8 @@
 	return usage{us.Processor.Seconds(), float64(us.Resident)}, err
 }
 
-// ownProcessor is the processor time of this process, in seconds.
-func ownProcessor() float64 {
+// ownProcessorTime returns the processor time that this process has used, in seconds.
+func ownProcessorTime() float64 {
 	var ru syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &ru) != nil {
 		return 0
@@ -26,11 +26,11 @@
 	return float64(ru.Utime.Nano()+ru.Stime.Nano()) / float64(time.Second)
 }
 
-// heap is the live memory of this process in bytes, once what earlier sections
-// left has been collected.
-func heap() float64 {
-	time.Sleep(flight)
-	for range 3 { // Pools are emptied by the second one.
+// liveHeap returns the live heap of this process in bytes, after collecting the garbage of earlier
+// sections.
+func liveHeap() float64 {
+	time.Sleep(deliveryTime)
+	for range 3 { // A sync.Pool is emptied only by the second collection.
 		runtime.GC()
 	}
 	var ms runtime.MemStats
--- a/test/slopes/weigh.go
+++ b/test/slopes/weigh.go
@@ -13,53 +13,55 @@
 	"skylarkstand/core/spread"
 )
 
-// The sizes that the ways of handing on are weighed at.
+// Planned sizes at which strategies of propagation are compared.
 const (
-	entriesAtSize = 360
-	agentsAtSize  = 12_000
-	// subset is the entries that an agent has links with, if entries hold
-	// links to a part of the agents only: enough that a lost rack leaves some.
-	subset = 8
-	// pushes is how many peers a process of the gossip tells in a round, and
-	// gossipRound the time between rounds.
-	pushes      = 3
-	gossipRound = 0.2
+	plannedEntries = 360
+	plannedAgents  = 12_000
+	// entriesPerAgent is the number of entries that an agent is linked with if each entry links
+	// with only some of the agents: enough that some remain if a rack is lost.
+	entriesPerAgent = 8
+	// gossipFanout is the number of peers to which a process sends a notice in a round of gossip,
+	// gossipRound the time between rounds in seconds.
+	gossipFanout = 3
+	gossipRound  = 0.2
 )
 
-// way is one way for a change to reach all agents.
-type way struct {
+// strategy is a way of propagating a change to all agents.
+type strategy struct {
 	name string
-	// links is how many links a process holds, at most.
+	// links is the largest number of links of a process.
 	links int
-	// notices are the short messages with a generation's number, bodies the
-	// copies of the document that are needed.
+	// notices is the number of short messages with a generation's number, bodies that of copies of
+	// the document.
 	notices, bodies float64
 	hops            int
-	// busiest is how many bodies one process sends, at most, on the way.
+	// busiest is the largest number of bodies that a process sends.
 	busiest float64
-	// wait is time spent waiting for rounds, in seconds.
-	wait float64
+	// waitTime is the time spent waiting for rounds, in seconds.
+	waitTime float64
 }
 
-// costs are what the slopes say of one message.
+// costs are the measured costs of one message: the sizes of a body and a notice in bytes, and the
+// processor time to adopt and to send a body in seconds.
 type costs struct{ body, notice, adopt, send float64 }
 
-func ways() []way {
-	all := entriesAtSize + agentsAtSize
-	rounds, told := gossip(all)
+// strategies returns the current strategy and the ones it is compared with.
+func strategies() []strategy {
+	all := plannedEntries + plannedAgents
+	rounds, notices := simulateGossip(all)
 	degree := bits.Len(uint(all - 1))
-	perEntry := (subset*agentsAtSize + entriesAtSize - 1) / entriesAtSize
-	return []way{
-		{"two levels, all entries link with all agents (today)", agentsAtSize, 2 * entriesAtSize * agentsAtSize, agentsAtSize, 2, agentsAtSize, 0},
-		{fmt.Sprintf("two levels, %d entries an agent", subset), perEntry, 2 * subset * agentsAtSize, agentsAtSize, 2, float64(perEntry), 0},
-		{fmt.Sprintf("gossip over all processes, %d told a round of %g s, body on demand", pushes, gossipRound), pushes * 2, told, float64(all - 1), rounds, pushes, float64(rounds) * gossipRound},
+	perEntry := (entriesPerAgent*plannedAgents + plannedEntries - 1) / plannedEntries
+	return []strategy{
+		{"two levels, all entries link with all agents (today)", plannedAgents, 2 * plannedEntries * plannedAgents, plannedAgents, 2, plannedAgents, 0},
+		{fmt.Sprintf("two levels, %d entries an agent", entriesPerAgent), perEntry, 2 * entriesPerAgent * plannedAgents, plannedAgents, 2, float64(perEntry), 0},
+		{fmt.Sprintf("gossip over all processes, %d told a round of %g s, body on demand", gossipFanout, gossipRound), gossipFanout * 2, notices, float64(all - 1), rounds, gossipFanout, float64(rounds) * gossipRound},
 		{"hypercube over all processes (HyperCast)", degree, float64(all - 1), float64(all - 1), degree, float64(degree), 0},
 	}
 }
 
-// gossip plays rounds in which each process that has the change tells a few
-// others at random, until all have it, and counts rounds and notices.
-func gossip(all int) (rounds int, told float64) {
+// simulateGossip simulates rounds in which each process that has the change sends a notice to
+// gossipFanout random processes, until all have it. It returns the numbers of rounds and notices.
+func simulateGossip(all int) (rounds int, notices float64) {
 	rnd := rand.New(rand.NewPCG(1, 2))
 	has := make([]bool, all)
 	holders := []int{0}
@@ -67,8 +69,8 @@
 	for len(holders) < all {
 		rounds++
 		for range len(holders) {
-			for range pushes {
-				told++
+			for range gossipFanout {
+				notices++
 				if to := rnd.IntN(all); !has[to] {
 					has[to] = true
 					holders = append(holders, to)
@@ -76,13 +78,13 @@
 			}
 		}
 	}
-	return rounds, told
+	return rounds, notices
 }
 
-// weighSpread writes the comparison at the planned size. Times are a sum of
-// what was measured: an adoption on each hop, the bodies that the busiest
-// process sends one after the other, and the rounds waited for.
-func (re *report) weighSpread(workspaces float64) string {
+// compareStrategies formats the comparison at the planned size. Times are sums of measured costs: an
+// adoption on each hop, the bodies that the busiest process sends one after the other, and the rounds
+// waited for.
+func (re *report) compareStrategies(workspaces float64) string {
 	at := func(name string, size float64) float64 {
 		for _, sl := range re.slopes {
 			if sl.name == name {
@@ -97,25 +99,25 @@
 		send: by("hand-on-processor-100"), notice: noticeBytes,
 	}
 	var sb strings.Builder
-	fmt.Fprintf(&sb, "## Ways to hand a change on to %d entries and %s agents\n\n", entriesAtSize, grouped(agentsAtSize))
+	fmt.Fprintf(&sb, "## Ways to hand a change on to %d entries and %s agents\n\n", plannedEntries, formatInteger(plannedAgents))
 	fmt.Fprintf(&sb, "Computed for %g workspaces, from the measured costs of messages: a body of %s, a notice\nof %s, %s to adopt a body and %s to send one.\n\n", workspaces,
-		quantity{co.body, bytesOf}, quantity{co.notice, bytesOf}, quantity{co.adopt, coreSeconds}, quantity{co.send, coreSeconds})
+		quantity{co.body, byteCount}, quantity{co.notice, byteCount}, quantity{co.adopt, coreSeconds}, quantity{co.send, coreSeconds})
 	sb.WriteString("| way | links a process | notices | bodies | bytes in all | hops | bodies of the busiest | processor time of the busiest | time |\n| --- | --- | --- | --- | --- | --- | --- | --- | --- |\n")
-	for _, wa := range ways() {
+	for _, wa := range strategies() {
 		busiest := wa.busiest * co.send
-		took := float64(wa.hops)*co.adopt + busiest + wa.wait
-		fmt.Fprintf(&sb, "| %s | %s | %s | %s | %s | %d | %s | %s | %s |\n", wa.name, digits(float64(wa.links)), digits(wa.notices), digits(wa.bodies),
-			quantity{wa.bodies*co.body + wa.notices*co.notice, bytesOf}, wa.hops, digits(wa.busiest), quantity{busiest, coreSeconds}, quantity{took, seconds})
+		took := float64(wa.hops)*co.adopt + busiest + wa.waitTime
+		fmt.Fprintf(&sb, "| %s | %s | %s | %s | %s | %d | %s | %s | %s |\n", wa.name, formatNumber(float64(wa.links)), formatNumber(wa.notices), formatNumber(wa.bodies),
+			quantity{wa.bodies*co.body + wa.notices*co.notice, byteCount}, wa.hops, formatNumber(wa.busiest), quantity{busiest, coreSeconds}, quantity{took, seconds})
 	}
 	return sb.String()
 }
 
-// weighPeers tells how many links entries hold among themselves at the
-// planned size, by core/spread.
-func weighPeers() string {
+// describePeerLinks formats the numbers of links between entries that core/spread selects at the
+// planned size.
+func describePeerLinks() string {
 	const zones, regions = 16, 5
 	var hosts []core.Host
-	for i := range entriesAtSize {
+	for i := range plannedEntries {
 		zone := i % zones
 		hosts = append(hosts, core.Host{
 			Role: core.RoleEntry, Addr: fmt.Sprintf("10.0.%d.%d:9100", i>>8, i&255),
@@ -123,22 +125,22 @@
 		})
 	}
 	held := map[string]int{}
-	total, abroad := 0, 0
+	total, crossRegion := 0, 0
 	for _, ho := range hosts {
 		for _, pe := range spread.Peers(hosts, ho) {
 			held[ho.Addr]++
 			held[pe.Addr]++
 			total++
 			if pe.Region != ho.Region {
-				abroad++
+				crossRegion++
 			}
 		}
 	}
 	counts := slices.Sorted(maps.Values(held))
 	return fmt.Sprintf("## Links between entries at %d entries, %d zones, %d regions\n\nComputed by core/spread: %s links in all, %s of them between regions; an entry holds\n%d at least, %d at the median, %d at most.\n",
-		entriesAtSize, zones, regions, grouped(int64(total)), grouped(int64(abroad)), counts[0], counts[len(counts)/2], counts[len(counts)-1])
+		plannedEntries, zones, regions, formatInteger(int64(total)), formatInteger(int64(crossRegion)), counts[0], counts[len(counts)/2], counts[len(counts)-1])
 }
 
-// noticeBytes is a notice on a link: the header of a yamux frame, and up to 14
+// noticeBytes is the size of a notice on a link: the 12-byte header of a yamux frame, and up to 14
 // bytes of the message with its length.
 const noticeBytes = 12 + 14
--- a/test/slopes/world.go
+++ b/test/slopes/world.go
@@ -22,13 +22,14 @@
 	"skylarkstand/test/fleet"
 )
 
+// place is the location, and desk the model version, of all processes that need only one.
 var (
 	place = fleet.Place{Zone: "muc-a", Region: "muc"}
 	desk  = core.ModelVersion{Model: "desk", Version: "v1"}
 )
 
-// agents are small agents in this process, each with its own listener,
-// configuration and executor, as in a process of its own.
+// agents are small agents in this process, each with its own listener, configuration and executor,
+// as if it were a separate process.
 type agents struct {
 	hosts   []core.Host
 	configs []*declaration.InForce
@@ -36,6 +37,7 @@
 	cancel  context.CancelFunc
 }
 
+// startAgents starts agents that answer with a runner.
 func startAgents(count int, ru core.Runner) (*agents, error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	ags := &agents{cancel: cancel}
@@ -50,7 +52,7 @@
 			Zone: place.Zone, Region: place.Region, Model: desk.Model, Version: desk.Version,
 		}
 		deps, inf := core.NewDeps(), declaration.NewInForce()
-		tbl, _ := claim.New(deps, nil) // No operation here runs at most once.
+		tbl, _ := claim.New(deps, nil) // Needs no store, since no operation here runs at most once.
 		ex := execute.New(deps, ho, inf, ru, tbl, execute.Slots(4096), execute.Queue(4096))
 		go func() {
 			_ = entry.New(deps, ho, inf, ex, order.NewGate(nil, ho.ID)).Serve(ctx, meteredListener{li, &ags.meter})
@@ -63,6 +65,7 @@
 // await waits until all agents have a generation in force.
 func (ags *agents) await(gen core.Generation) error { return awaitAll(ags.configs, gen) }
 
+// awaitAll waits until all configurations have reached a generation.
 func awaitAll(infs []*declaration.InForce, gen core.Generation) error {
 	limit := time.After(30 * time.Second)
 	for i, inf := range infs {
@@ -74,52 +77,53 @@
 			select {
 			case <-changed:
 			case <-limit:
-				return fmt.Errorf("%d of %d have generation %d", i, len(infs), gen)
+				return fmt.Errorf("process %d of %d does not have generation %d in force after 30 s", i+1, len(infs), gen)
 			}
 		}
 	}
 	return nil
 }
 
-// listed is a host list that never changes.
-type listed []core.Host
+// staticHosts is a host list that never changes.
+type staticHosts []core.Host
 
 // List implements [core.Hosts].
-func (li listed) List(context.Context) ([]core.Host, error) { return li, nil }
+func (li staticHosts) List(context.Context) ([]core.Host, error) { return li, nil }
 
-// startPools runs entries' sides of links in this process.
+// startPools runs the entry side of links in this process, one pool per entry.
 func startPools(count int, hosts []core.Host) ([]*agent.Pool, []*declaration.InForce, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(context.Background())
 	var pools []*agent.Pool
 	var infs []*declaration.InForce
 	for range count {
 		inf := declaration.NewInForce()
-		po := agent.New(core.NewDeps(), inf, listed(hosts))
+		po := agent.New(core.NewDeps(), inf, staticHosts(hosts))
 		go func() { _ = po.Serve(ctx) }()
 		pools, infs = append(pools, po), append(infs, inf)
 	}
 	return pools, infs, cancel
 }
 
-// awaitLinks waits until pools' links with these agents stand.
+// awaitLinks waits until a number of links to these agents are established.
 func (ags *agents) awaitLinks(count int) error {
 	err := poll("links", func() (bool, error) { return ags.meter.conns.Load() >= int64(count), nil })
-	time.Sleep(flight) // The greetings of the last links.
+	time.Sleep(deliveryTime) // For the Hello frames of the last links.
 	return err
 }
 
-// flight is what messages over loopback take at most, work included.
-const flight = 200 * time.Millisecond
+// deliveryTime is the longest time that a message over loopback takes, with its processing.
+const deliveryTime = 200 * time.Millisecond
 
+// poll calls fn until it returns true, for 20 s at most.
 func poll(what string, fn func() (bool, error)) error {
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
 	return fleet.Poll(ctx, what, fn)
 }
 
-// generation returns an encoded configuration with so many workspaces, shaped
-// like those of today: each with one key, five models and a cascade.
-func generation(num core.Generation, workspaces int) ([]byte, error) {
+// encodeGeneration returns an encoded configuration with a number of workspaces, shaped like the
+// current ones: each with one key, five models and a cascade.
+func encodeGeneration(num core.Generation, workspaces int) ([]byte, error) {
 	gen := &declaration.Generation{Number: num}
 	gen.Audit = declaration.Audit{Who: "slopes", Why: "measure", When: time.Unix(int64(num), 0).UTC(), Base: num - 1}
 	doc := &gen.Document
@@ -147,7 +151,7 @@
 	return gen.Encode()
 }
 
-// newFleet starts the platform's stand-ins.
+// newFleet starts a fleet with the platform's stand-ins.
 func newFleet(name string) (*fleet.Fleet, func(), error) {
 	fl, cleanup, err := fleet.New("bin", filepath.Join("out", "slopes", name))
 	if err != nil {
@@ -177,30 +181,30 @@
 	return rs.Body.Close()
 }
 
-// words is a runner whose answers have a number of one-word pieces.
-type words struct{ count atomic.Int64 }
+// tokenRunner is a runner whose answers consist of count events with one token each.
+type tokenRunner struct{ count atomic.Int64 }
 
 // Run implements [core.Runner].
-func (wo *words) Run(context.Context, *core.Attempt) (core.Answer, error) {
-	return &wordsAnswer{left: int(wo.count.Load())}, nil
+func (wo *tokenRunner) Run(context.Context, *core.Attempt) (core.Answer, error) {
+	return &tokenAnswer{remaining: int(wo.count.Load())}, nil
 }
 
-type wordsAnswer struct{ left int }
+type tokenAnswer struct{ remaining int }
 
-// word has the size of one event with one token.
-var word = []byte(`data: {"id":"chatcmpl-1","choices":[{"index":0,"delta":{"content":"w1 "}}]}` + "\n\n")
+// tokenEvent has the size of an event with one token.
+var tokenEvent = []byte(`data: {"id":"chatcmpl-1","choices":[{"index":0,"delta":{"content":"w1 "}}]}` + "\n\n")
 
-func (wa *wordsAnswer) Next() ([]byte, error) {
-	if wa.left == 0 {
+func (wa *tokenAnswer) Next() ([]byte, error) {
+	if wa.remaining == 0 {
 		return nil, io.EOF
 	}
-	wa.left--
-	return word, nil
+	wa.remaining--
+	return tokenEvent, nil
 }
-func (wa *wordsAnswer) Usage() core.Usage   { return core.Usage{Prompt: 10, Generated: 10} }
-func (wa *wordsAnswer) Status() int         { return http.StatusOK }
-func (wa *wordsAnswer) ContentType() string { return "text/event-stream" }
-func (wa *wordsAnswer) Close()              {}
+func (wa *tokenAnswer) Usage() core.Usage   { return core.Usage{Prompt: 10, Generated: 10} }
+func (wa *tokenAnswer) Status() int         { return http.StatusOK }
+func (wa *tokenAnswer) ContentType() string { return "text/event-stream" }
+func (wa *tokenAnswer) Close()              {}
 
-// ReplayOf tells that no answer is a stored one.
-func (wa *wordsAnswer) ReplayOf() core.AttemptID { return "" }
+// ReplayOf returns the empty id, since no answer is a stored one.
+func (wa *tokenAnswer) ReplayOf() core.AttemptID { return "" }
