--- a/test/measure/apply.go
+++ b/test/measure/apply.go
@@ -19,29 +19,29 @@
 	"skylarkstand/test/fleet"
 )
 
-// shape is one user's zones and upstreams, with two entries a zone.
-type shape struct {
+// deployment is one user's zones and number of agents, with entriesPerZone entries in each zone.
+type deployment struct {
 	user   string
 	places []fleet.Place
 	agents int
 }
 
-var shapes = []shape{
+var deployments = []deployment{
 	{"landesamt", []fleet.Place{{Zone: "muc-a", Region: "muc"}, {Zone: "muc-b", Region: "muc"}, {Zone: "nue-a", Region: "nue"}}, 21},
 	{"association", []fleet.Place{{Zone: "sapporo-a", Region: "doo-central"}, {Zone: "otaru-b", Region: "doo-central"}, {Zone: "kushiro-a", Region: "doto-east"}}, 15},
 }
 
+// applies is how many changes are measured.
 const (
 	entriesPerZone = 2
 	applies        = 100
 )
 
-// measureApply takes the time from an accepted write until the last process of
-// today's sizes has it in force, without the delay between regions, which
-// loopback does not have.
+// measureApply measures the time from an accepted write until the last process has it in force, at
+// the current sizes of deployments. Loopback has no delay between regions, so the figure excludes it.
 func measureApply() error {
-	for _, sh := range shapes {
-		hist, err := measureShape(sh)
+	for _, sh := range deployments {
+		hist, err := measureDeployment(sh)
 		if err != nil {
 			return err
 		}
@@ -50,13 +50,14 @@
 	return nil
 }
 
-func measureShape(sh shape) (*hdrhistogram.Histogram, error) {
+// measureDeployment returns the times of all changes, in microseconds.
+func measureDeployment(sh deployment) (*hdrhistogram.Histogram, error) {
 	fl, cleanup, err := fleet.New("bin", filepath.Join("out", "measure", sh.user))
 	if err != nil {
 		return nil, err
 	}
 	defer cleanup()
-	if err := startShape(fl, sh); err != nil {
+	if err := startDeployment(fl, sh); err != nil {
 		return nil, err
 	}
 	raw, err := os.ReadFile(filepath.Join("test", "demo", "landesamt.jsonc"))
@@ -74,14 +75,15 @@
 		if err != nil {
 			return nil, err
 		}
-		if i > 0 { // The first waits for links that are still being made.
+		if i > 0 { // The first change also waits until the links are established.
 			_ = hist.RecordValue(took.Microseconds())
 		}
 	}
 	return hist, nil
 }
 
-func startShape(fl *fleet.Fleet, sh shape) error {
+// startDeployment starts the platform's stand-ins, the agents and the entries.
+func startDeployment(fl *fleet.Fleet, sh deployment) error {
 	if err := fl.StartPlatform(nil); err != nil {
 		return err
 	}
@@ -101,6 +103,8 @@
 	return nil
 }
 
+// applyOnce applies a document and returns the time from its acceptance until it is in force at all
+// processes.
 func applyOnce(pub *publish.Publisher, fl *fleet.Fleet, doc declaration.Document, base core.Generation) (time.Duration, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
@@ -110,13 +114,13 @@
 	}
 	began := time.Now()
 	deps := core.NewDeps()
-	ask := func(ctx context.Context, addr string, gen core.Generation) error {
+	awaitGeneration := func(ctx context.Context, addr string, gen core.Generation) error {
 		_, err := peer.Await(ctx, deps, addr, gen)
 		return err
 	}
-	rep := inforce.Follow(ctx, fl.Hosts(), res.After.Number, ask, func(inforce.Zone) {})
+	rep := inforce.Follow(ctx, fl.Hosts(), res.After.Number, awaitGeneration, func(inforce.Zone) {})
 	if len(rep.Missing) > 0 {
-		return 0, fmt.Errorf("not in force within a minute at %v", rep.Missing)
+		return 0, fmt.Errorf("generation %d is not in force after one minute at %v", res.After.Number, rep.Missing)
 	}
 	return time.Since(began), nil
 }
--- a/test/measure/main.go
+++ b/test/measure/main.go
@@ -1,16 +1,15 @@
-// Measure prints the project's figures, one a line:
+// Measure measures the project's figures and prints them, one per line:
 //
 //	figure <name> <value> <unit> bound <bound> ok|short
 //
-// Each section starts the processes that it needs on loopback and ends them.
-// Figures of pure decisions come from the tests named TestFigures…, which
-// print the same form; `make measure` runs both. A figure that falls short
-// does not fail the run.
+// Each section starts the processes that it needs on loopback and stops them. Figures of decision
+// logic alone come from the tests named TestFigures…, which print lines of the same form;
+// `make measure` runs both. A figure that misses its bound is marked short and does not fail the run.
 //
 // # Usage
 //
 //	go run ./test/measure          # all sections
-//	go run ./test/measure path     # one
+//	go run ./test/measure path     # one section
 package main
 
 import (
@@ -20,7 +19,7 @@
 	"skylarkstand/test/figure"
 )
 
-// section measures one area and prints its figures.
+// section is a group of figures that are measured together.
 type section struct {
 	name string
 	run  func() error
--- a/test/measure/path.go
+++ b/test/measure/path.go
@@ -9,8 +9,8 @@
 	"skylarkstand/test/fleet"
 )
 
-// measurePath compares the whole path with a direct call of the same engine,
-// in one run.
+// measurePath compares requests through entry and agent with direct requests to the same engine, in
+// one run.
 func measurePath() error {
 	if err := measureFirstByte(); err != nil {
 		return err
@@ -21,19 +21,21 @@
 	return measureIdle()
 }
 
+// pathRate is in requests per second.
 const (
 	pathRate = 1000
 	pathTime = 6 * time.Second
 )
 
-// measureFirstByte uses one-chunk answers, so that the path's own cost shows.
+// measureFirstByte measures the added time to the first byte and the throughput. Answers have a
+// single chunk, so that the cost of the path dominates.
 func measureFirstByte() error {
 	ri, cleanup, err := newRig("first-byte", "--first", "1ms", "--pace", "0s", "--words", "1")
 	if err != nil {
 		return err
 	}
 	defer cleanup()
-	ri.openLoop(ri.entry.URL, pathRate, time.Second, false) // Warms connections.
+	ri.openLoop(ri.entry.URL, pathRate, time.Second, false) // Opens connections.
 	ri.openLoop(ri.engine.URL, pathRate, time.Second, false)
 	direct, _, _ := ri.openLoop(ri.engine.URL, pathRate, pathTime, false)
 	through, _, failed := ri.openLoop(ri.entry.URL, pathRate, pathTime, false)
@@ -50,7 +52,8 @@
 	return nil
 }
 
-// measureTokens uses long streams.
+// measureTokens measures the added gap between tokens and the tokens per core-second with long
+// streams.
 func measureTokens() error {
 	ri, cleanup, err := newRig("tokens", "--first", "1ms", "--pace", "10ms", "--words", "100")
 	if err != nil {
@@ -76,8 +79,8 @@
 	return measureTokenBurst()
 }
 
-// measureTokenBurst lets the engine send as fast as it can: tokens then arrive
-// together and are relayed together, as in a prompt's speculative decoding.
+// measureTokenBurst measures tokens that the engine sends as fast as possible: they arrive together
+// and are relayed together, as with speculative decoding.
 func measureTokenBurst() error {
 	ri, cleanup, err := newRig("burst", "--first", "1ms", "--pace", "0s", "--words", "400")
 	if err != nil {
@@ -98,7 +101,7 @@
 	return nil
 }
 
-// pathUsage is the processor time of entry and agent together.
+// pathUsage returns the sum of the processor times of entry and agent.
 func pathUsage(ri *rig) (time.Duration, error) {
 	en, err := ri.entry.Usage()
 	if err != nil {
@@ -108,7 +111,7 @@
 	return en.Processor + ag.Processor, err
 }
 
-// measureIdle looks at processes that have nothing to do.
+// measureIdle measures processes without load.
 func measureIdle() error {
 	ri, cleanup, err := newRigWith("idle", true, nil)
 	if err != nil {
@@ -153,6 +156,7 @@
 	return nil
 }
 
+// millis returns a quantile of a histogram of microseconds, in milliseconds.
 func millis(hi *hdrhistogram.Histogram, quantile float64) float64 {
 	return float64(hi.ValueAtQuantile(quantile)) / 1000
 }
--- a/test/measure/rig.go
+++ b/test/measure/rig.go
@@ -17,8 +17,8 @@
 	"skylarkstand/test/fleet"
 )
 
-// rig is one engine with its agent and one entry, and a way to ask the
-// engine directly for comparison.
+// rig is one engine with its agent and one entry, and a client for requests through the entry or
+// directly to the engine.
 type rig struct {
 	fl     *fleet.Fleet
 	entry  *fleet.Process
@@ -27,16 +27,17 @@
 	cli    *http.Client
 }
 
-// wide are limits above anything that a measurement offers, so that the path
-// is measured and not its bounds.
-var wide = map[string]any{"slots": 8192, "queue": 8192}
+// highLimits are agent settings with limits above the load of any measurement, so that queueing and
+// refusals do not affect the results.
+var highLimits = map[string]any{"slots": 8192, "queue": 8192}
 
+// newRig starts a rig without relays.
 func newRig(name string, engineArgs ...string) (*rig, func(), error) {
 	return newRigWith(name, false, engineArgs)
 }
 
-// newRigWith puts relays before agents and the platform if asked to, so that
-// bytes on links can be counted.
+// newRigWith starts a rig. With relayed, relays before the agent and the platform count the bytes on
+// links.
 func newRigWith(name string, relayed bool, engineArgs []string) (*rig, func(), error) {
 	fl, cleanup, err := fleet.New("bin", filepath.Join("out", "measure", name))
 	if err != nil {
@@ -51,9 +52,10 @@
 	return ri, cleanup, nil
 }
 
+// start starts all processes and waits for the first answer.
 func (ri *rig) start(engineArgs []string) error {
 	fl := ri.fl
-	fl.AgentSettings = wide
+	fl.AgentSettings = highLimits
 	if err := fl.StartPlatform(nil); err != nil {
 		return err
 	}
@@ -77,12 +79,12 @@
 		}
 		time.Sleep(25 * time.Millisecond)
 	}
-	return fmt.Errorf("the entry %s gives no answer", ri.entry.URL)
+	return fmt.Errorf("the entry at %s has not answered a request after 200 tries", ri.entry.URL)
 }
 
-// ask sends one request and reads its answer; it returns the time to the first
-// byte, and calls gap with the time between two reads that brought data.
-func (ri *rig) ask(base string, stream bool, gap func(time.Duration)) (time.Duration, error) {
+// request sends one request and reads its answer. It returns the time to the first byte, and calls
+// gap after each later read with data, with the time since the read before.
+func (ri *rig) request(base string, stream bool, gap func(time.Duration)) (time.Duration, error) {
 	body := []byte(fmt.Sprintf(`{"model":"desk","stream":%v,"messages":[{"role":"user","content":"hello"}]}`, stream))
 	rq, err := http.NewRequest(http.MethodPost, base+"/v1/chat/completions", bytes.NewReader(body))
 	if err != nil {
@@ -120,8 +122,9 @@
 	}
 }
 
-// openLoop sends requests at a rate for a time, whatever the answers take, and
-// records the time from when each was due to its first byte, in microseconds.
+// openLoop sends requests at a rate for a time, without waiting for answers. It records, in
+// microseconds, the time from when each request was due to its first byte, and the gaps between
+// reads.
 func (ri *rig) openLoop(base string, rate int, lasts time.Duration, stream bool) (first, gaps *hdrhistogram.Histogram, failed int64) {
 	first, gaps = hdrhistogram.New(1, 60_000_000, 3), hdrhistogram.New(1, 60_000_000, 3)
 	var mu sync.Mutex
@@ -132,9 +135,9 @@
 		due := began.Add(time.Duration(i) * time.Second / time.Duration(rate))
 		time.Sleep(time.Until(due))
 		wg.Go(func() {
-			var own []time.Duration
+			var requestGaps []time.Duration
 			sent := time.Now()
-			d, err := ri.ask(base, stream, func(g time.Duration) { own = append(own, g) })
+			d, err := ri.request(base, stream, func(g time.Duration) { requestGaps = append(requestGaps, g) })
 			if err != nil {
 				bad.Add(1)
 				return
@@ -142,7 +145,7 @@
 			mu.Lock()
 			defer mu.Unlock()
 			_ = first.RecordValue((d + sent.Sub(due)).Microseconds())
-			for _, g := range own {
+			for _, g := range requestGaps {
 				_ = gaps.RecordValue(max(g.Microseconds(), 1))
 			}
 		})
@@ -151,8 +154,8 @@
 	return first, gaps, bad.Load()
 }
 
-// closedLoop asks with a number of callers for a time and returns answers a
-// second.
+// closedLoop sends requests for a time from a number of concurrent callers, each of which waits for
+// its answer. It returns the answers per second and the number of failed requests.
 func (ri *rig) closedLoop(base string, callers int, lasts time.Duration, stream bool) (float64, int64) {
 	var done, bad atomic.Int64
 	var wg sync.WaitGroup
@@ -160,7 +163,7 @@
 	for range callers {
 		wg.Go(func() {
 			for time.Since(began) < lasts {
-				if _, err := ri.ask(base, stream, nil); err != nil {
+				if _, err := ri.request(base, stream, nil); err != nil {
 					bad.Add(1)
 					continue
 				}
@@ -172,7 +175,7 @@
 	return float64(done.Load()) / time.Since(began).Seconds(), bad.Load()
 }
 
-// storeCounts reads how often the stand-in store was called.
+// storeCounts returns the numbers of calls of the store's stand-in.
 func storeCounts(fl *fleet.Fleet) (reads, writes int64, err error) {
 	rs, err := http.Get(fl.StoreURL + "/counts")
 	if err != nil {
