--- a/test/eventqueue/eventqueue.go
+++ b/test/eventqueue/eventqueue.go
@@ -1,4 +1,4 @@
-// Package eventqueue runs the events of simulations in tests in the order of their
+// Package eventqueue runs the events of discrete-event simulations in tests, in the order of their
 // virtual times.
 //
 // # Usage
@@ -13,28 +13,30 @@
 	"time"
 )
 
-// Queue is ready to use in its zero value. It belongs to one goroutine.
+// Queue is a queue of events ordered by time. The zero value is ready to use. It is not safe for
+// concurrent use.
 type Queue struct{ evs events }
 
-// At has a function run at a time, which it is given. Events may add further ones.
+// At schedules a function, which is called with its time. Events may schedule further events.
 func (qu *Queue) At(when time.Time, run func(at time.Time)) {
 	heap.Push(&qu.evs, event{when, run})
 }
 
-// Run runs events until there are none.
+// Run runs events until the queue is empty.
 func (qu *Queue) Run() {
 	for len(qu.evs) > 0 {
 		qu.next()
 	}
 }
 
-// RunBefore runs the events before a time.
+// RunBefore runs events whose time is before end, and keeps the others.
 func (qu *Queue) RunBefore(end time.Time) {
 	for len(qu.evs) > 0 && qu.evs[0].at.Before(end) {
 		qu.next()
 	}
 }
 
+// next removes the earliest event and runs it.
 func (qu *Queue) next() {
 	ev := heap.Pop(&qu.evs).(event)
 	ev.run(ev.at)
@@ -45,7 +47,7 @@
 	run func(time.Time)
 }
 
-// events implements heap.Interface.
+// events is a min-heap by time. It implements heap.Interface.
 type events []event
 
 func (evs events) Len() int           { return len(evs) }
