--- a/test/figure/figure.go
+++ b/test/figure/figure.go
@@ -1,5 +1,4 @@
-// Package figure prints measured figures in the one form that `make measure`
-// collects.
+// Package figure prints measured figures in the format that `make measure` collects.
 //
 // # Usage
 //
@@ -10,17 +9,17 @@
 
 import "fmt"
 
-// AtMost prints a figure whose bound is an upper one.
+// AtMost prints a figure with an upper bound.
 func AtMost(name string, val float64, unit string, bound float64) {
-	line(name, val, unit, bound, val <= bound)
+	printBounded(name, val, unit, bound, val <= bound)
 }
 
-// AtLeast prints a figure whose bound is a lower one.
+// AtLeast prints a figure with a lower bound.
 func AtLeast(name string, val float64, unit string, bound float64) {
-	line(name, val, unit, bound, val >= bound)
+	printBounded(name, val, unit, bound, val >= bound)
 }
 
-func line(name string, val float64, unit string, bound float64, ok bool) {
+func printBounded(name string, val float64, unit string, bound float64, ok bool) {
 	mark := "short"
 	if ok {
 		mark = "ok"
@@ -28,12 +27,12 @@
 	fmt.Printf("figure %s %.4g %s bound %g %s\n", name, val, unit, bound, mark)
 }
 
-// Plain prints a figure that has no bound, such as a baseline.
+// Plain prints a figure without a bound, such as a baseline.
 func Plain(name string, val float64, unit string) {
 	fmt.Printf("figure %s %.4g %s bound none ok\n", name, val, unit)
 }
 
-// Missing tells that figures of a section could not be measured.
+// Missing prints that the figures of a section could not be measured, and why.
 func Missing(section string, err error) {
 	fmt.Printf("# section %s was not measured: %v\n", section, err)
 }
