--- a/test/property/property.go
+++ b/test/property/property.go
@@ -1,6 +1,5 @@
-// Package property runs a package's property tests with one seed, so that a
-// change gets the same verdict on every day, and with others when asked:
-// `make soak` draws a seed and prints it.
+// Package property runs a package's property tests with a fixed seed, so that repeated runs of the
+// same code have the same result. Flags override the seed: `make soak` draws one and prints it.
 //
 // # Usage
 //
@@ -13,14 +12,14 @@
 	"os"
 	"testing"
 
-	// The flags of rapid must be known before they are set.
+	// Registers the flags of rapid, which must exist before Main sets them.
 	_ "pgregory.net/rapid"
 )
 
-// Setting is a flag of rapid with the value it has unless one is given.
+// Setting is the default value of a flag of rapid, used unless the command line sets the flag.
 type Setting struct{ Name, Value string }
 
-// Main runs the tests of a package with a fixed seed and further settings.
+// Main runs the tests of a package with a fixed seed and further settings, and exits.
 func Main(m *testing.M, seed string, more ...Setting) {
 	flag.Parse()
 	given := map[string]bool{}
