--- a/docs/schema/generate/main.go
+++ b/docs/schema/generate/main.go
@@ -1,6 +1,6 @@
 // Generate writes the JSON schemas in docs/schema from the Go structs, with
-// their comments as descriptions. It is run from the root of the repository by
-// scripts/generate.
+// their comments as descriptions. scripts/generate runs it from the root of the
+// repository.
 //
 // # Usage
 //
@@ -67,17 +67,17 @@
 		}
 	}
 	sc := rf.Reflect(val)
-	defaults(sc, reflect.ValueOf(val))
-	rename(sc)
+	setDefaults(sc, reflect.ValueOf(val))
+	renameDescriptions(sc)
 	for _, def := range sc.Definitions {
-		rename(def)
+		renameDescriptions(def)
 	}
 	return sc, nil
 }
 
-// rename has descriptions begin with the name that operators write, in place
-// of the Go field's.
-func rename(sc *jsonschema.Schema) {
+// renameDescriptions makes descriptions begin with the JSON key instead of the name of the Go
+// field.
+func renameDescriptions(sc *jsonschema.Schema) {
 	for pair := sc.Properties.Oldest(); pair != nil; pair = pair.Next() {
 		first, rest, ok := strings.Cut(pair.Value.Description, " ")
 		if ok && strings.EqualFold(first, strings.ReplaceAll(pair.Key, "-", "")) {
@@ -86,7 +86,7 @@
 	}
 }
 
-// durationPattern is what time.ParseDuration takes, without signs.
+// durationPattern matches what time.ParseDuration accepts, without signs.
 const durationPattern = `^([0-9]+(\.[0-9]+)?(ns|us|ms|s|m|h))+$`
 
 func mapType(ty reflect.Type) *jsonschema.Schema {
@@ -96,9 +96,8 @@
 	return nil
 }
 
-// defaults notes the default of each field that has one. Such a field need not
-// be given.
-func defaults(sc *jsonschema.Schema, val reflect.Value) {
+// setDefaults records the default of each field that has one and makes the field optional.
+func setDefaults(sc *jsonschema.Schema, val reflect.Value) {
 	for i := range val.NumField() {
 		if val.Field(i).IsZero() {
 			continue
--- a/docs/schema/schema.go
+++ b/docs/schema/schema.go
@@ -1,7 +1,6 @@
-// Package schema holds the generated JSON schemas of what operators write: the
-// settings of both roles, the configuration and the mix of a load. They are generated from the Go
-// structs by docs/schema/generate and built into the program, so that a check
-// and the documentation cannot differ.
+// Package schema embeds the generated JSON schemas of the files that operators write: the settings
+// of both roles, the configuration and the mix of the load command. docs/schema/generate generates
+// them from the Go structs, so that validation and documentation cannot differ.
 //
 // # Usage
 //
@@ -10,7 +9,7 @@
 
 import "embed"
 
-// Files holds entry.json, agent.json, configuration.json and load.json.
+// Files contains entry.json, agent.json, configuration.json and load.json.
 //
 //go:embed *.json
 var Files embed.FS
--- a/load/chart/chart.go
+++ b/load/chart/chart.go
@@ -1,7 +1,7 @@
-// Chart draws the CSV of `skylarkstand load` as an SVG: the median and the
-// 99th percentile of whole answers over the time at which their requests were
-// due. It is a program of its own because the drawing library loads its fonts
-// at start, which would cost each agent about four megabytes.
+// Chart plots the CSV of `skylarkstand load` as an SVG: the median and the
+// 99th percentile latency of whole responses over the time at which their
+// requests were due. It is a separate program because the plotting library
+// loads its fonts at start, which would cost each agent about four megabytes.
 //
 // # Usage
 //
@@ -27,13 +27,13 @@
 )
 
 const (
-	// maxSlices of time are shown at most; more of them blur.
+	// maxSlices bounds the slices of time on the chart; more would be unreadable.
 	maxSlices = 120
-	// minSlice is in seconds; in less there are too few answers for a
-	// percentile.
+	// minSlice is the smallest width of a slice in seconds; a smaller one has too
+	// few responses for a percentile.
 	minSlice = 1.0
-	// slowShare is the percentile that is drawn beside the median.
-	slowShare = 0.99
+	// tailQuantile is plotted beside the median.
+	tailQuantile = 0.99
 
 	width  = 24 * vg.Centimeter
 	height = 12 * vg.Centimeter
@@ -46,10 +46,10 @@
 	}
 }
 
-// series is the whole answers of one kind of request.
+// series holds the whole responses of one kind of request.
 type series struct {
-	name    string
-	answers []plotter.XY
+	name      string
+	responses []plotter.XY
 }
 
 func draw(rd io.Reader, wr io.Writer) error {
@@ -64,11 +64,11 @@
 	pl.Legend.Top = true
 	slice := sliceWidth(list)
 	for i, se := range list {
-		median, slow := se.lines(slice)
-		for j, pts := range []plotter.XYs{median, slow} {
+		median, tail := se.lines(slice)
+		for j, pts := range []plotter.XYs{median, tail} {
 			ln, err := plotter.NewLine(pts)
 			if err != nil {
-				return eris.Wrap(err, "draw chart")
+				return eris.Wrapf(err, "plot series %q", se.name)
 			}
 			ln.Color, ln.Dashes = plotutil.Color(i), plotutil.Dashes(j)
 			pl.Add(ln)
@@ -77,13 +77,13 @@
 	}
 	to, err := pl.WriterTo(width, height, "svg")
 	if err != nil {
-		return eris.Wrap(err, "draw chart")
+		return eris.Wrap(err, "render chart as SVG")
 	}
 	_, err = to.WriteTo(wr)
 	return eris.Wrap(err, "write chart")
 }
 
-// read returns the whole answers of a CSV by kind, times in seconds and
+// read returns the whole responses in a CSV by kind, with times in seconds and
 // latencies in milliseconds.
 func read(rd io.Reader) ([]series, error) {
 	rows, err := csv.NewReader(rd).ReadAll()
@@ -91,7 +91,7 @@
 		return nil, eris.Wrap(err, "the input is not the CSV of skylarkstand load")
 	}
 	if len(rows) == 0 {
-		return nil, eris.New("the input is empty; give the CSV of skylarkstand load")
+		return nil, eris.New("the input is empty; pass the CSV of skylarkstand load on standard input")
 	}
 	due, name := slices.Index(rows[0], load.ColumnDue), slices.Index(rows[0], load.ColumnName)
 	outcome, total := slices.Index(rows[0], load.ColumnOutcome), slices.Index(rows[0], load.ColumnTotal)
@@ -105,47 +105,48 @@
 		}
 		at, err := strconv.ParseFloat(row[due], 64)
 		if err != nil {
-			return nil, eris.Wrap(err, load.ColumnDue)
+			return nil, eris.Wrapf(err, "parse column %s", load.ColumnDue)
 		}
 		took, err := strconv.ParseFloat(row[total], 64)
 		if err != nil {
-			return nil, eris.Wrap(err, load.ColumnTotal)
+			return nil, eris.Wrapf(err, "parse column %s", load.ColumnTotal)
 		}
 		i := slices.IndexFunc(out, func(se series) bool { return se.name == row[name] })
 		if i < 0 {
 			i = len(out)
 			out = append(out, series{name: row[name]})
 		}
-		out[i].answers = append(out[i].answers, plotter.XY{X: at / 1000, Y: took})
+		out[i].responses = append(out[i].responses, plotter.XY{X: at / 1000, Y: took})
 	}
 	return out, nil
 }
 
+// sliceWidth returns the width of a slice in seconds.
 func sliceWidth(list []series) float64 {
 	var last float64
 	for _, se := range list {
-		for _, xy := range se.answers {
+		for _, xy := range se.responses {
 			last = max(last, xy.X)
 		}
 	}
 	return max(minSlice, last/maxSlices)
 }
 
-// lines returns the median and the slow answers, a point a slice of time.
-func (se series) lines(slice float64) (median, slow plotter.XYs) {
-	cut := map[int][]float64{}
-	for _, xy := range se.answers {
-		cut[int(xy.X/slice)] = append(cut[int(xy.X/slice)], xy.Y)
+// lines returns the median and the tail latencies, with one point per slice of time.
+func (se series) lines(slice float64) (median, tail plotter.XYs) {
+	buckets := map[int][]float64{}
+	for _, xy := range se.responses {
+		buckets[int(xy.X/slice)] = append(buckets[int(xy.X/slice)], xy.Y)
 	}
 	for i := range maxSlices + 1 {
-		all := cut[i]
+		all := buckets[i]
 		if len(all) == 0 {
 			continue
 		}
 		slices.Sort(all)
 		at := float64(i) * slice
 		median = append(median, plotter.XY{X: at, Y: all[len(all)/2]})
-		slow = append(slow, plotter.XY{X: at, Y: all[int(slowShare*float64(len(all)-1))]})
+		tail = append(tail, plotter.XY{X: at, Y: all[int(tailQuantile*float64(len(all)-1))]})
 	}
-	return median, slow
+	return median, tail
 }
--- a/load/chart/chart_test.go
+++ b/load/chart/chart_test.go
@@ -7,7 +7,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestChartShowsWholeAnswersByKind(t *testing.T) {
+func TestChartPlotsWholeResponsesByKind(t *testing.T) {
 	var sb strings.Builder
 	err := draw(strings.NewReader("due-ms,name,outcome,total-ms\n10,quick,whole,40\n900,quick,whole,60\n1500,quick,whole,50\n20,claim,not-run,1\n"), &sb)
 	assert.NilError(t, err)
@@ -15,7 +15,7 @@
 	assert.Assert(t, !strings.Contains(sb.String(), "claim"))
 }
 
-func TestChartRefusesAnotherFile(t *testing.T) {
+func TestChartRejectsCSVWithoutItsColumns(t *testing.T) {
 	err := draw(strings.NewReader("time,value\n1,2\n"), &strings.Builder{})
 	assert.ErrorContains(t, err, "columns are missing")
 }
--- a/load/client.go
+++ b/load/client.go
@@ -16,16 +16,17 @@
 	"skylarkstand/core"
 )
 
-// client sends tries over HTTP.
+// client sends attempts over HTTP.
 type client struct{ http *http.Client }
 
+// maxConns is the number of idle connections that the client keeps, in total and per host.
 const maxConns = 4096
 
 func newClient() *client {
 	return &client{&http.Client{Transport: &http.Transport{MaxIdleConns: maxConns, MaxIdleConnsPerHost: maxConns}}}
 }
 
-// call is one request with what stays the same over its tries.
+// call is one request with the values that all its attempts share, and the latest pin.
 type call struct {
 	kind    *Request
 	entry   string
@@ -66,13 +67,14 @@
 	return ca.entry + "/v1/services/" + string(ca.kind.Service) + "/" + string(ca.kind.Operation)
 }
 
-// try sends a call once. The context carries what is left of its deadline.
-func (cl *client) try(ctx context.Context, ca *call, left time.Duration) Attempt {
+// send sends a call once. The context ends at the call's deadline; left is the time until then,
+// which the request carries in a header.
+func (cl *client) send(ctx context.Context, ca *call, left time.Duration) Attempt {
 	rq, err := http.NewRequestWithContext(ctx, http.MethodPost, ca.url(), bytes.NewReader(ca.body))
 	if err != nil {
 		return Attempt{Outcome: Unsent}
 	}
-	rq.GetBody = nil // The transport's own silent retries would hide a fault.
+	rq.GetBody = nil // The transport would otherwise retry silently and hide a fault.
 	hd := rq.Header
 	hd.Set("Authorization", "Bearer "+ca.kind.Key)
 	hd.Set("Content-Type", "application/json")
@@ -90,7 +92,7 @@
 	began := time.Now()
 	rs, err := cl.http.Do(rq)
 	if err != nil {
-		return Attempt{Outcome: unanswered(err)}
+		return Attempt{Outcome: transportOutcome(err)}
 	}
 	defer rs.Body.Close()
 	rd := bufio.NewReader(rs.Body)
@@ -102,13 +104,14 @@
 	if strings.HasPrefix(rs.Header.Get("Content-Type"), "text/event-stream") {
 		at.readEvents(rd)
 	} else {
-		at.readWhole(rd, rs.StatusCode)
+		at.readBody(rd, rs.StatusCode)
 	}
 	return at
 }
 
-// unanswered tells a request that never left from one whose answer broke off.
-func unanswered(err error) Outcome {
+// transportOutcome distinguishes a request that was never sent from one whose response was cut
+// off.
+func transportOutcome(err error) Outcome {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
 		return Unsent
@@ -124,7 +127,7 @@
 	} `json:"error"`
 }
 
-func (at *Attempt) readWhole(rd io.Reader, status int) {
+func (at *Attempt) readBody(rd io.Reader, status int) {
 	raw, err := io.ReadAll(rd)
 	switch {
 	case err != nil:
@@ -132,11 +135,11 @@
 	case status == http.StatusOK:
 		at.Outcome = Whole
 	default:
-		at.fail(raw)
+		at.parseFailure(raw)
 	}
 }
 
-// readEvents reads a stream. It is whole with its end mark only.
+// readEvents reads a stream. The response is whole only if the stream ends with [DONE].
 func (at *Attempt) readEvents(rd io.Reader) {
 	at.Outcome = Cut
 	failing := false
@@ -147,14 +150,15 @@
 		case strings.HasPrefix(sc.Text(), "event: error"):
 			failing = true
 		case ok && failing:
-			at.fail([]byte(data))
+			at.parseFailure([]byte(data))
 		case ok && data == "[DONE]":
 			at.Outcome = Whole
 		}
 	}
 }
 
-func (at *Attempt) fail(raw []byte) {
+// parseFailure sets the outcome from an error body. A body that is not the API's counts as cut.
+func (at *Attempt) parseFailure(raw []byte) {
 	var fl failure
 	if json.Unmarshal(raw, &fl) != nil || fl.Error == nil {
 		at.Outcome = Cut
--- a/load/load_test.go
+++ b/load/load_test.go
@@ -23,42 +23,42 @@
 	return mix
 }
 
-// fake answers by a function, in virtual time.
+// fake is a sender that calls a function, for tests in virtual time.
 type fake func(ctx context.Context, ca *call) Attempt
 
-func (fk fake) try(ctx context.Context, ca *call, _ time.Duration) Attempt { return fk(ctx, ca) }
+func (fk fake) send(ctx context.Context, ca *call, _ time.Duration) Attempt { return fk(ctx, ca) }
 
-func TestRetryHonoursWhatTheAnswerSays(t *testing.T) {
+func TestRetryFollowsOutcomeAndRetryAfter(t *testing.T) {
 	for _, sc := range []struct {
 		testName string
 		at       Attempt
-		tries    int
+		attempts int
 		left     time.Duration
 		wait     time.Duration
 		again    bool
 	}{
-		{"whole answer", Attempt{Outcome: Whole}, 1, time.Minute, 0, false},
-		{"refused for a while", Attempt{Outcome: NotRun, RetryAfter: 2 * time.Second}, 1, time.Minute, 2 * time.Second, true},
-		{"refused for good", Attempt{Outcome: NotRun}, 1, time.Minute, 0, false},
-		{"refused beyond the deadline", Attempt{Outcome: NotRun, RetryAfter: 2 * time.Second}, 1, time.Second, 2 * time.Second, false},
+		{"whole response", Attempt{Outcome: Whole}, 1, time.Minute, 0, false},
+		{"refused with Retry-After", Attempt{Outcome: NotRun, RetryAfter: 2 * time.Second}, 1, time.Minute, 2 * time.Second, true},
+		{"refused without Retry-After", Attempt{Outcome: NotRun}, 1, time.Minute, 0, false},
+		{"Retry-After beyond the deadline", Attempt{Outcome: NotRun, RetryAfter: 2 * time.Second}, 1, time.Second, 2 * time.Second, false},
 		{"outcome unknown", Attempt{Outcome: Unknown}, 1, time.Minute, 0, false},
-		{"broken off twice", Attempt{Outcome: Cut}, 2, time.Minute, 200 * time.Millisecond, true},
-		{"tried often enough", Attempt{Outcome: Cut}, 4, time.Minute, 0, false},
+		{"cut twice", Attempt{Outcome: Cut}, 2, time.Minute, 200 * time.Millisecond, true},
+		{"retries used up", Attempt{Outcome: Cut}, 4, time.Minute, 0, false},
 	} {
 		t.Run(sc.testName, func(t *testing.T) {
-			wait, again := Again(sc.at, sc.tries, 3, sc.left, 0)
+			wait, again := Again(sc.at, sc.attempts, 3, sc.left, 0)
 			assert.Equal(t, wait, sc.wait)
 			assert.Equal(t, again, sc.again)
-			late, _ := Again(sc.at, sc.tries, 3, sc.left, 1)
-			assert.Assert(t, late >= wait, "a client never comes back earlier than it was asked to")
+			late, _ := Again(sc.at, sc.attempts, 3, sc.left, 1)
+			assert.Assert(t, late >= wait, "jitter must not shorten a wait: %s < %s", late, wait)
 		})
 	}
 }
 
-// An entry stands still for three seconds and then answers at once. A driver
-// that waits for answers would send little in that time and report a fine
-// median; callers who came then waited for seconds.
-func TestLatencyCountsFromTheTimeARequestWasDue(t *testing.T) {
+// An entry stalls for three seconds and then responds at once. A closed-loop load generator would
+// send few requests in that time and report a low median, although callers that arrived then
+// waited for seconds.
+func TestLatencyCountsFromDueTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		began := time.Now()
 		ru := New(quickMix(100, 6*time.Second))
@@ -74,9 +74,9 @@
 	})
 }
 
-// The entry refuses everything for a while. Clients come back when they are
-// told to, under the same request id, and none earlier.
-func TestRefusedRequestsComeBackUnderTheirIDWhenTold(t *testing.T) {
+// The entry refuses every request of the first second with Retry-After. Clients must retry under
+// the same request id, and none of them earlier than that.
+func TestRefusedRequestsRetryUnderTheirIDAfterRetryAfter(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		began := time.Now()
 		var mu sync.Mutex
@@ -96,15 +96,15 @@
 		rep := ru.Run(t.Context())
 		assert.Equal(t, rep.Count(Whole), len(refused))
 		assert.Equal(t, rep.kinds[0].attempts, 2*len(refused))
-		var sheet strings.Builder
-		assert.NilError(t, rep.WriteCSV(&sheet))
-		assert.Equal(t, strings.Count(sheet.String(), "\n"), 1+len(refused))
+		var out strings.Builder
+		assert.NilError(t, rep.WriteCSV(&out))
+		assert.Equal(t, strings.Count(out.String(), "\n"), 1+len(refused))
 	})
 }
 
-// A caller whose answer broke off in the middle has half a quote. Were it
-// counted as whole, a run would look clean that harmed people.
-func TestOutcomesAreReadTruthfully(t *testing.T) {
+// A response that is cut off in the middle is useless to its caller. Counted as whole, it would
+// hide the failure in the report.
+func TestOutcomesOfResponses(t *testing.T) {
 	for _, sc := range []struct {
 		testName, contentType string
 		status                int
@@ -112,12 +112,12 @@
 		want                  Outcome
 	}{
 		{"whole stream", "text/event-stream", 200, "data: {}\n\ndata: [DONE]\n\n", Whole},
-		{"stream without its end", "text/event-stream", 200, "data: {}\n\n", Cut},
+		{"stream without [DONE]", "text/event-stream", 200, "data: {}\n\n", Cut},
 		{"stream that ends in an error", "text/event-stream", 200, "data: {}\n\nevent: error\ndata: {\"error\":{\"code\":\"outcome-unknown\",\"ran\":\"unknown\"}}\n\n", Unknown},
-		{"whole answer", "application/json", 200, "{}", Whole},
+		{"whole response", "application/json", 200, "{}", Whole},
 		{"refused", "application/json", 503, `{"error":{"code":"overloaded","ran":"not-run"}}`, NotRun},
 		{"failed", "application/json", 502, `{"error":{"code":"upstream-failed","ran":"ran"}}`, Ran},
-		{"an answer of something else", "text/html", 502, "<html>", Cut},
+		{"response of another server", "text/html", 502, "<html>", Cut},
 	} {
 		t.Run(sc.testName, func(t *testing.T) {
 			srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -128,14 +128,14 @@
 			}))
 			defer srv.Close()
 			rq := quickMix(1, time.Second).Requests[0]
-			at := newClient().try(t.Context(), newCall(&rq, srv.URL, "id"), time.Second)
+			at := newClient().send(t.Context(), newCall(&rq, srv.URL, "id"), time.Second)
 			assert.Equal(t, at.Outcome, sc.want)
 			assert.Equal(t, at.RetryAfter, 3*time.Second)
 		})
 	}
 }
 
-func TestMixFaultsAreReportedAtOnce(t *testing.T) {
+func TestMixErrorsAreReportedTogether(t *testing.T) {
 	_, err := ParseMix([]byte(`{"entries": [], "rate": 0, "duration": "10s", "request": []}`))
 	assert.ErrorIs(t, err, ErrMix)
 	assert.Equal(t, strings.Join(strings.Split(err.Error(), "\n")[1:], "\n"), strings.TrimSpace(`
--- a/load/outcome.go
+++ b/load/outcome.go
@@ -11,61 +11,61 @@
 
 // The outcomes.
 const (
-	// Whole: the answer came with its end mark.
+	// Whole: the response has status 200 and arrived completely; a stream ended with [DONE].
 	Whole Outcome = "whole"
-	// NotRun, Ran and Unknown are the endings that an error body names.
+	// NotRun, Ran and Unknown: an error body states that the request was not run, ran and failed,
+	// or that neither is known.
 	NotRun  Outcome = "not-run"
 	Ran     Outcome = "ran"
 	Unknown Outcome = "unknown"
-	// Cut: the answer broke off without its end mark or an error.
+	// Cut: the response broke off, or ended without [DONE] or an error body.
 	Cut Outcome = "cut"
-	// Unsent: the driver had too many in flight, or could not connect.
+	// Unsent: the load generator had too many requests in flight, or could not connect.
 	Unsent Outcome = "unsent"
 )
 
-// Outcomes lists them in the order of the report.
+// Outcomes lists all outcomes in the order of the report.
 func Outcomes() []Outcome { return []Outcome{Whole, NotRun, Ran, Unknown, Cut, Unsent} }
 
-// Attempt is what one try of a request came to.
+// Attempt is the result of one attempt at a request.
 type Attempt struct {
 	Outcome Outcome
 	Code    core.Code
-	// RetryAfter is what the answer asked for, 0 if it asked for nothing.
+	// RetryAfter is the value of the Retry-After header, 0 without one.
 	RetryAfter time.Duration
-	// First is the time to the first byte of an answer.
+	// First is the time to the first byte of the response body.
 	First   time.Duration
 	Version string
 	Pin     string
 }
 
 const (
-	// firstBackOff is the wait after the first try that got no answer at all;
-	// it doubles with each.
-	firstBackOff = 100 * time.Millisecond
-	// spread lengthens waits by up to this share. Callers who were refused in
-	// one moment would otherwise all come back in one moment.
-	spread = 0.25
+	// initialBackoff is the wait after a first attempt that was cut off or not sent; it doubles
+	// with each further attempt.
+	initialBackoff = 100 * time.Millisecond
+	// maxJitter is the largest share by which a wait is lengthened. Callers that were refused at
+	// the same moment would otherwise all retry at the same moment.
+	maxJitter = 0.25
 )
 
-// Again decides whether a client sends a request again after a try, and after
-// which wait. Tries counts those made; left is what remains of the deadline;
-// draw is from 0 to 1.
+// Again returns whether a client retries a request after an attempt, and after which wait.
+// Attempts is the number made so far; left is the time left until the deadline; draw is a random
+// number from 0 to 1.
 //
-// A refusal that says when to come back is honoured to the second. One that
-// does not is final: the same request would fail again. A broken connection
-// tells nothing, so the client asks again; its idempotency key keeps that from
-// running an order twice.
-func Again(at Attempt, tries, retries int, left time.Duration, draw float64) (time.Duration, bool) {
-	if at.Outcome == Whole || tries > retries {
+// A refusal with Retry-After is retried after that many seconds, plus jitter. One without is
+// final: the same request would fail again. A broken connection leaves the outcome open, so the client retries;
+// its idempotency key prevents that an order runs twice.
+func Again(at Attempt, attempts, retries int, left time.Duration, draw float64) (time.Duration, bool) {
+	if at.Outcome == Whole || attempts > retries {
 		return 0, false
 	}
 	wait := at.RetryAfter
 	if at.Outcome == Cut || at.Outcome == Unsent {
-		wait = max(wait, firstBackOff<<(tries-1))
+		wait = max(wait, initialBackoff<<(attempts-1))
 	}
 	if wait == 0 {
 		return 0, false
 	}
-	wait += time.Duration(float64(wait) * spread * draw)
+	wait += time.Duration(float64(wait) * maxJitter * draw)
 	return wait, wait < left
 }
--- a/load/report.go
+++ b/load/report.go
@@ -13,7 +13,7 @@
 	"skylarkstand/core"
 )
 
-// Result is what became of one request.
+// Result is the result of one request over all its attempts.
 type Result struct {
 	Arrival
 	Outcome  Outcome
@@ -24,16 +24,16 @@
 	Version      string
 }
 
-// Report is what became of a mix.
+// Report holds the results of a run of a mix.
 type Report struct {
 	Results []Result
-	// Took is the time until the last request had ended.
+	// Took is the time from the start until the last request ended.
 	Took time.Duration
 
 	kinds []kindReport
 }
 
-// kindReport sums up one kind of request. Latencies are of whole answers.
+// kindReport aggregates one kind of request. It records the latencies of whole responses only.
 type kindReport struct {
 	name         string
 	outcomes     map[Outcome]int
@@ -42,10 +42,10 @@
 }
 
 const (
-	// slowest is the largest latency that is told apart.
-	slowest = time.Hour
-	// digits of a latency are kept.
-	digits = 3
+	// maxLatency bounds the histograms; a larger latency is recorded as this one.
+	maxLatency = time.Hour
+	// significantDigits is the precision of the histograms.
+	significantDigits = 3
 )
 
 func newReport(mix Mix) *Report {
@@ -53,7 +53,7 @@
 	for _, rq := range mix.Requests {
 		rep.kinds = append(rep.kinds, kindReport{
 			name: rq.Name, outcomes: map[Outcome]int{},
-			first: hdrhistogram.New(1, slowest.Microseconds(), digits), total: hdrhistogram.New(1, slowest.Microseconds(), digits),
+			first: hdrhistogram.New(1, maxLatency.Microseconds(), significantDigits), total: hdrhistogram.New(1, maxLatency.Microseconds(), significantDigits),
 		})
 	}
 	return rep
@@ -65,17 +65,17 @@
 	kr.outcomes[re.Outcome]++
 	kr.attempts += re.Attempts
 	if re.Outcome == Whole {
-		// A value out of range would be the only error; it is bounded here.
-		_ = kr.first.RecordValue(bounded(re.First))
-		_ = kr.total.RecordValue(bounded(re.Total))
+		// RecordValue fails only for a value out of range, which clampMicros prevents.
+		_ = kr.first.RecordValue(clampMicros(re.First))
+		_ = kr.total.RecordValue(clampMicros(re.Total))
 	}
 }
 
-func bounded(d time.Duration) int64 {
-	return max(1, min(d, slowest).Microseconds())
+func clampMicros(d time.Duration) int64 {
+	return max(1, min(d, maxLatency).Microseconds())
 }
 
-// Count returns how many requests ended in a way.
+// Count returns the number of requests with an outcome.
 func (rep *Report) Count(oc Outcome) int {
 	n := 0
 	for _, kr := range rep.kinds {
@@ -86,7 +86,7 @@
 
 var percentiles = []float64{50, 90, 99, 99.9, 100}
 
-// Print writes the report for people.
+// Print writes the report as text.
 func (rep *Report) Print(wr io.Writer) {
 	fmt.Fprintf(wr, "%d requests in %s, %.1f whole answers a second\n", len(rep.Results), rep.Took.Round(time.Millisecond), float64(rep.Count(Whole))/rep.Took.Seconds())
 	fmt.Fprintf(wr, "\n%-16s", "outcome")
@@ -123,7 +123,7 @@
 	fmt.Fprintln(wr)
 }
 
-// Columns of a report's CSV, which load/chart reads.
+// Columns of a report's CSV that load/chart reads.
 const (
 	ColumnDue     = "due-ms"
 	ColumnName    = "name"
@@ -131,7 +131,7 @@
 	ColumnTotal   = "total-ms"
 )
 
-// WriteCSV writes a line a request, in the order in which they ended.
+// WriteCSV writes one line per request, in the order in which the requests ended.
 func (rep *Report) WriteCSV(wr io.Writer) error {
 	cw := csv.NewWriter(wr)
 	_ = cw.Write([]string{ColumnDue, ColumnName, "session", ColumnOutcome, "code", "tries", "first-ms", ColumnTotal, "version"})
--- a/load/runner.go
+++ b/load/runner.go
@@ -11,7 +11,7 @@
 	"skylarkstand/core"
 )
 
-// Runner drives a mix.
+// Runner sends the requests of a mix and collects their results.
 type Runner struct {
 	mix      Mix
 	snd      sender
@@ -23,20 +23,20 @@
 	inFlight int
 }
 
-// sender sends a call once. It is the HTTP client, but for tests.
+// sender sends a call once. It is the HTTP client, or a fake in tests.
 type sender interface {
-	try(ctx context.Context, ca *call, left time.Duration) Attempt
+	send(ctx context.Context, ca *call, left time.Duration) Attempt
 }
 
 type sessionKey struct{ kind, session int }
 
-// Option alters a runner.
+// Option configures a runner.
 type Option func(*Runner)
 
-// WithProgress has a line written each second while the runner drives.
+// WithProgress writes a progress line to wr each second during a run.
 func WithProgress(wr io.Writer) Option { return func(ru *Runner) { ru.progress = wr } }
 
-// New returns a runner of a mix.
+// New returns a runner for a mix.
 func New(mix Mix, opts ...Option) *Runner {
 	ru := &Runner{mix: mix, snd: newClient(), pins: map[sessionKey]string{}, rep: newReport(mix)}
 	for _, opt := range opts {
@@ -45,8 +45,8 @@
 	return ru
 }
 
-// Run drives the mix to its end, or until the context ends, and returns what
-// became of the requests that fell due.
+// Run sends the requests of the mix until its end, or until the context ends, and returns the
+// results of the requests that were due.
 func (ru *Runner) Run(ctx context.Context) *Report {
 	var wg sync.WaitGroup
 	defer ru.showProgress()()
@@ -56,15 +56,15 @@
 		if !sleep(ctx, time.Until(began.Add(ar.At))) {
 			break
 		}
-		if !ru.enter() {
+		if !ru.acquireSlot() {
 			ru.record(Result{Arrival: ar, Outcome: Unsent})
 			continue
 		}
 		ca := newCall(&ru.mix.Requests[ar.Kind], ru.mix.Entries[n%len(ru.mix.Entries)], core.NewID())
 		n++
 		wg.Go(func() {
-			defer ru.leave()
-			ru.record(ru.follow(ctx, ca, ar, began.Add(ar.At)))
+			defer ru.releaseSlot()
+			ru.record(ru.sendUntilDone(ctx, ca, ar, began.Add(ar.At)))
 		})
 	}
 	wg.Wait()
@@ -72,7 +72,8 @@
 	return ru.rep
 }
 
-func (ru *Runner) enter() bool {
+// acquireSlot reports whether one more request may be in flight, and counts it.
+func (ru *Runner) acquireSlot() bool {
 	ru.mu.Lock()
 	defer ru.mu.Unlock()
 	if ru.inFlight >= ru.mix.MaxInFlight {
@@ -82,7 +83,7 @@
 	return true
 }
 
-func (ru *Runner) leave() {
+func (ru *Runner) releaseSlot() {
 	ru.mu.Lock()
 	defer ru.mu.Unlock()
 	ru.inFlight--
@@ -94,8 +95,9 @@
 	ru.rep.add(re)
 }
 
-// follow sends a request until it is answered or given up.
-func (ru *Runner) follow(ctx context.Context, ca *call, ar Arrival, due time.Time) Result {
+// sendUntilDone sends a request, with retries, until its outcome is final or its deadline has
+// passed.
+func (ru *Runner) sendUntilDone(ctx context.Context, ca *call, ar Arrival, due time.Time) Result {
 	limit := time.Duration(ca.kind.Deadline)
 	ctx, cancel := context.WithDeadline(ctx, due.Add(limit))
 	defer cancel()
@@ -107,10 +109,10 @@
 	for {
 		ca.pin = ru.pin(key)
 		sent := time.Since(due)
-		at := ru.snd.try(ctx, ca, limit-sent)
+		at := ru.snd.send(ctx, ca, limit-sent)
 		re.Attempts++
 		re.Outcome, re.Code, re.Version = at.Outcome, at.Code, at.Version
-		ru.keepPin(key, at.Pin)
+		ru.storePin(key, at.Pin)
 		wait, again := Again(at, re.Attempts, ru.mix.Retries, time.Until(due.Add(limit)), rand.Float64())
 		if !again || !sleep(ctx, wait) {
 			re.First, re.Total = sent+at.First, time.Since(due)
@@ -125,7 +127,7 @@
 	return ru.pins[key]
 }
 
-func (ru *Runner) keepPin(key sessionKey, pin string) {
+func (ru *Runner) storePin(key sessionKey, pin string) {
 	if key.session == 0 || pin == "" {
 		return
 	}
@@ -134,7 +136,7 @@
 	ru.pins[key] = pin
 }
 
-// sleep waits and reports false when the context ended first.
+// sleep waits for d. It returns false if the context ends first.
 func sleep(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
@@ -147,7 +149,7 @@
 	}
 }
 
-// showProgress writes a line a second until the returned function is called.
+// showProgress writes a progress line each second until the returned function is called.
 func (ru *Runner) showProgress() func() {
 	if ru.progress == nil {
 		return func() {}
--- a/load/schedule.go
+++ b/load/schedule.go
@@ -6,18 +6,18 @@
 	"time"
 )
 
-// Arrival is one request that falls due.
+// Arrival is one scheduled request.
 type Arrival struct {
-	// At is the time since the beginning.
+	// At is when the request is due, since the start of the run.
 	At time.Duration
 	// Kind is the index of the request in the mix.
 	Kind int
-	// Session numbers the session, 0 for one of its own.
+	// Session is the number of the session, 0 if the request has its own.
 	Session int
 }
 
-// Arrivals yields the requests of a mix in order of time. Independent callers
-// make the times between two arrivals exponential; bursts come of themselves.
+// Arrivals yields the requests of a mix in order of time. Arrivals of independent callers form a
+// Poisson process, so the times between them are exponentially distributed, which includes bursts.
 func (mix *Mix) Arrivals() iter.Seq[Arrival] {
 	return func(yield func(Arrival) bool) {
 		rnd := rand.New(rand.NewPCG(mix.Seed, mix.Seed))
@@ -25,7 +25,7 @@
 		for _, rq := range mix.Requests {
 			total += rq.Weight
 		}
-		for at := gap(rnd, mix.Rate); at < time.Duration(mix.Duration); at += gap(rnd, mix.Rate) {
+		for at := interArrivalTime(rnd, mix.Rate); at < time.Duration(mix.Duration); at += interArrivalTime(rnd, mix.Rate) {
 			ar := Arrival{At: at, Kind: mix.pick(rnd.Float64() * total)}
 			if n := mix.Requests[ar.Kind].Sessions; n > 0 {
 				ar.Session = 1 + rnd.IntN(n)
@@ -37,11 +37,12 @@
 	}
 }
 
-func gap(rnd *rand.Rand, rate float64) time.Duration {
+// interArrivalTime draws the time between two arrivals at a rate per second.
+func interArrivalTime(rnd *rand.Rand, rate float64) time.Duration {
 	return time.Duration(rnd.ExpFloat64() / rate * float64(time.Second))
 }
 
-// pick returns the kind in whose part of the weights a draw falls.
+// pick returns the kind for a draw from 0 to the sum of the weights.
 func (mix *Mix) pick(draw float64) int {
 	for i, rq := range mix.Requests {
 		if draw < rq.Weight {
