--- a/spec/billing.pml
+++ b/spec/billing.pml
@@ -1,63 +1,63 @@
-/* Who may bill, so that each request is billed once.
+/* Which process may bill, so that each request is billed exactly once.
  *
- * An entry process P files its bills in its own chain. The agents hold a copy
- * of each bill until they are told that it is durable. When an agent takes P
- * for gone it gives what it holds to a successor, which seals P's chain. After the
- * seal there is one place for all further bills of P, whoever files them: the
- * chain "takeover". An author may create entry n of it only after it has read all
- * entries below n of both chains, and files nothing that stands there.
+ * An entry process P appends its bills to its own chain. The agents hold a copy
+ * of each bill until P reports it as durable. When an agent considers P gone, it
+ * hands its copies to a successor, which seals P's chain. After the seal, all
+ * further bills of P go to one place, whichever process appends them: the chain
+ * "takeover". An author may create entry n of it only after it has read all
+ * entries below n of both chains, and appends no bill that those contain.
  *
- * The model takes the worst case throughout. Each process may stand still
- * between any two steps, P may be taken for gone at any time and wake at any
- * time, P and one successor may end at any step (a successor that stands still for ever
- * has ended for the others). A write is sent, and the store applies it at any
- * later time, also after its author ended, or never. The reply of every write
- * is lost, so that an author always settles it by reading the key and, while
- * that is absent, sends the same record again. P may have no room for a bill;
- * it takes back what the agent holds and no entry has, at any time.
+ * The model takes the worst case throughout. Each process may pause between any
+ * two steps, P may be considered gone at any time and resume at any time, P and
+ * one successor may end at any step (a successor that pauses forever is
+ * equivalent to one that ended). A write is sent, and the store applies it at any
+ * later time, also after its author ended, or never. The reply to every write
+ * is lost, so an author always resolves it by reading the key and, while that
+ * is absent, sends the same record again. P may lack the memory for a bill; at
+ * any time it reclaims the bills that the agent holds and no entry contains.
  *
- * Properties (assertions): no bill stands in two entries; an agent forgets
- * only what stands in the store; once P is gone and one successor has ended its
- * work, each bill that an agent was told of stands in the store. No process
- * waits for ever (no invalid end state).
+ * Properties (assertions): no bill is in two entries; an agent discards only
+ * copies of bills that are in the store; once P is gone and one successor has
+ * ended its work, each bill that an agent ever received is in the store. No
+ * process waits forever (no invalid end state).
  *
  * Bounds: 2 bills, one owner with a thread that settles and one that writes,
  * 2 successors, one agent. Not modelled: an agent that restarts loses its copies;
- * the floor from which chains are read is taken as their beginning.
+ * the floor from which chains are read is taken to be their beginning.
  */
-// mutation: SUCCESSOR_BLIND      a successor files without reading the takeover chain
-// mutation: NO_SEAL         a successor files without sealing the owner's chain
-// mutation: PAST_SEAL       the owner goes on in its own chain after a seal
-// mutation: OWNER_BLIND     the owner files in the takeover chain what successors filed there
-// mutation: FORGET_EARLY    an agent forgets a bill when it is settled
-// mutation: FORGET_SENT     an agent is told durable when the write was sent
-// mutation: TELL_FIRST      the agent is told before the bill waits at the owner
-// mutation: BLIND_RECLAIM   the owner takes a bill back without reading the chains
-// mutation: FRESH_NONCE     the owner takes its own unsettled write for another's
+// mutation: SUCCESSOR_BLIND  a successor appends without reading the takeover chain
+// mutation: NO_SEAL          a successor appends without sealing the owner's chain
+// mutation: PAST_SEAL        the owner continues its own chain after a seal
+// mutation: OWNER_BLIND      the owner appends to the takeover chain bills that successors appended
+// mutation: DISCARD_EARLY    an agent discards its copy when the bill is settled
+// mutation: DISCARD_SENT     a bill is reported to the agent as durable when its write was sent
+// mutation: NOTIFY_FIRST     the agent receives its copy before the bill is pending at the owner
+// mutation: BLIND_RECLAIM    the owner reclaims a bill without reading the chains
+// mutation: FRESH_NONCE      the owner mistakes its own unsettled write for another author's
 
-#define ALL   3            /* a bit for each bill */
+#define ALL   3            /* bit mask with one bit per bill */
 #define SEAL  4
 #define LEN   7
 #define OWNER 2            /* authors: successors 0 and 1, and the owner */
 
-byte own[LEN], takeover[LEN];        /* what stands in the store; 0 is absent */
-byte ownBy[LEN], takeoverBy[LEN];    /* its author, which stands for the nonce */
-byte billed;                       /* bills that stand in the store */
+byte own[LEN], takeover[LEN];        /* entries in the store; 0 is absent */
+byte ownBy[LEN], takeoverBy[LEN];    /* their authors, which model the nonce */
+byte billed;                       /* bills in the store */
 
-/* One write on its way to the store for each author. */
+/* One write in flight to the store per author. */
 bool sent[3], toTakeover[3];
 byte number[3], content[3];
 
-byte pending;   /* bills that wait at the owner */
+byte pending;   /* bills that the owner has not written yet */
 byte held;      /* copies at the agent */
-byte settled;   /* bills that the agent was ever told of */
+byte settled;   /* bills that the agent ever received */
 byte ended;     /* threads of the owner that ended */
 
-inline send(a, est, n, c) {
-	sent[a] = true; toTakeover[a] = est; number[a] = n; content[a] = c
+inline send(a, inTakeover, n, c) {
+	sent[a] = true; toTakeover[a] = inTakeover; number[a] = n; content[a] = c
 }
 
-inline forget(bills) {
+inline discard(bills) {
 	assert((bills & ~billed) == 0);
 	held = held & ~(bills)
 }
@@ -84,31 +84,31 @@
 			assert((billed & content[a] & ALL) == 0);
 			billed = billed | (content[a] & ALL)
 		:: else                 /* the key exists: the write has no effect */
-		:: true                 /* the write is lost on its way */
+		:: true                 /* the write is lost in transit */
 		fi;
 		a = 0
 	}
 	od
 }
 
-/* The owner's requests end one after the other. */
+/* The owner's requests end one after another; each settles its bill. */
 proctype Settle() {
 	byte b = 1;
 	do
 	:: b > ALL -> break
 	:: true -> break            /* the owner ends here */
 	:: b <= ALL ->
-#ifdef TELL_FIRST
+#ifdef NOTIFY_FIRST
 		atomic { held = held | b; settled = settled | b };
 		pending = pending | b;
 #else
 		if
 		:: pending = pending | b
-		:: skip                 /* there is no room for it */
+		:: skip                 /* the owner has no memory for it */
 		fi;
 		atomic {
 			settled = settled | b;
-#ifndef FORGET_EARLY
+#ifndef DISCARD_EARLY
 			held = held | b
 #endif
 		};
@@ -118,9 +118,10 @@
 	atomic { b = 0; ended++ }
 }
 
-/* The owner takes back what the agent holds. It is the writer's thread: the
- * writer does not move meanwhile, others do. Entries never change, so reading a
- * chain to its first absent entry equals reading all of it at once then. */
+/* The owner reclaims the bills that the agent holds. This runs in the writer's
+ * thread: the writer is blocked meanwhile, the other processes are not. Entries
+ * never change, so reading a chain up to its first absent entry equals reading
+ * all of it at that moment. */
 inline reclaim() {
 	atomic { (held & ~pending) != 0 -> want = held & ~pending; seen = 0 };
 #ifndef BLIND_RECLAIM
@@ -140,52 +141,52 @@
 		sealed = false; k = 0
 	};
 #endif
-	atomic { pending = pending | (want & ~seen); forget(want & seen); want = 0; seen = 0 }
+	atomic { pending = pending | (want & ~seen); discard(want & seen); want = 0; seen = 0 }
 }
 
-/* The owner's writer. */
+/* The owner's thread that appends pending bills. */
 proctype Write() {
 	byte n, batch, want, seen, k;
-	bool over, sealed;          /* over: it writes to the takeover chain */
+	bool takenOver, sealed;     /* takenOver: the owner writes to the takeover chain */
 	do
 	:: true -> break            /* the owner ends here */
 	:: reclaim()
-	:: atomic { pending != 0 -> batch = pending; send(OWNER, over, n, batch) };
-#ifdef FORGET_SENT
+	:: atomic { pending != 0 -> batch = pending; send(OWNER, takenOver, n, batch) };
+#ifdef DISCARD_SENT
 		atomic { held = held & ~batch };
 #endif
 		do
-		:: true -> goto gone
-		:: reclaim()            /* while a write is not settled */
-		:: atomic { !over && own[n] == 0 && !sent[OWNER] -> send(OWNER, over, n, batch) }
-		:: atomic { over && takeover[n] == 0 && !sent[OWNER] -> send(OWNER, over, n, batch) }
+		:: true -> goto done
+		:: reclaim()            /* while a write is unresolved */
+		:: atomic { !takenOver && own[n] == 0 && !sent[OWNER] -> send(OWNER, takenOver, n, batch) }
+		:: atomic { takenOver && takeover[n] == 0 && !sent[OWNER] -> send(OWNER, takenOver, n, batch) }
 #ifdef FRESH_NONCE
-		:: atomic { !over && own[n] != 0 && own[n] != SEAL -> n++; batch = 0; break }
+		:: atomic { !takenOver && own[n] != 0 && own[n] != SEAL -> n++; batch = 0; break }
 #else
-		:: atomic { !over && own[n] != 0 && own[n] != SEAL -> pending = pending & ~batch; n++; break }
+		:: atomic { !takenOver && own[n] != 0 && own[n] != SEAL -> pending = pending & ~batch; n++; break }
 #endif
 #ifdef PAST_SEAL
-		:: atomic { !over && own[n] == SEAL -> n++; batch = 0; break }
+		:: atomic { !takenOver && own[n] == SEAL -> n++; batch = 0; break }
 #else
-		:: atomic { !over && own[n] == SEAL -> over = true; n = 0; batch = 0; break }
+		:: atomic { !takenOver && own[n] == SEAL -> takenOver = true; n = 0; batch = 0; break }
 #endif
-		:: atomic { over && takeover[n] != 0 && takeoverBy[n] == OWNER -> pending = pending & ~batch; n++; break }
+		:: atomic { takenOver && takeover[n] != 0 && takeoverBy[n] == OWNER -> pending = pending & ~batch; n++; break }
 #ifdef OWNER_BLIND
-		:: atomic { over && takeover[n] != 0 && takeoverBy[n] != OWNER -> n++; batch = 0; break }
+		:: atomic { takenOver && takeover[n] != 0 && takeoverBy[n] != OWNER -> n++; batch = 0; break }
 #else
-		:: atomic { over && takeover[n] != 0 && takeoverBy[n] != OWNER -> batch = takeover[n]; pending = pending & ~batch; n++; break }
+		:: atomic { takenOver && takeover[n] != 0 && takeoverBy[n] != OWNER -> batch = takeover[n]; pending = pending & ~batch; n++; break }
 #endif
 		od;
-		atomic { forget(batch); batch = 0 }
+		atomic { discard(batch); batch = 0 }
 	od;
-gone:
-	atomic { n = 0; batch = 0; over = false; ended++ }
+done:
+	atomic { n = 0; batch = 0; takenOver = false; ended++ }
 }
 
 proctype Successor(byte me) {
 	byte n, want, seen;
 	do
-	:: me == 1 -> break         /* … or it stands still for ever somewhere below */
+	:: me == 1 -> break         /* it ends here, or blocks forever at a step below */
 	:: atomic { me == 0 && ended == 2 && held == 0 -> assert((settled & ~billed) == 0); break }
 	:: atomic { held != 0 -> want = held; seen = 0; n = 0 };
 		do
@@ -215,7 +216,7 @@
 		:: atomic { takeover[n] == 0 && (want & ~seen) != 0 && !sent[me] -> send(me, true, n, (want & ~seen)) }
 		:: atomic { takeover[n] == 0 && (want & ~seen) == 0 -> break }
 		od;
-		atomic { forget(want); want = 0; seen = 0; n = 0 }
+		atomic { discard(want); want = 0; seen = 0; n = 0 }
 	od
 }
 
--- a/spec/chain.pml
+++ b/spec/chain.pml
@@ -3,23 +3,23 @@
  * Two writers and one sealer each find the end of the chain and then, after any
  * pause, create the next entry under a nonce. A create takes effect only on an
  * absent key. Its reply may be lost: the write took effect, never does, or does
- * so at any later time. A writer in doubt writes the same again, and on a
- * conflict reads back and compares the nonce. Old entries are pruned, which
- * keeps their keys. The store goes down and comes back.
+ * so at any later time. A writer in doubt sends the same write again, and on a
+ * conflict reads the entry back and compares the nonce. Old entries are pruned,
+ * which keeps their keys. The store has an outage and recovers.
  *
- * Properties (assertions): an entry never changes; a writer that is told
- * "accepted" has its entry, one that is told "refused" never has; a change
- * stands once; nothing follows a seal.
+ * Properties (assertions): an entry never changes; the entry of a writer whose
+ * result is "accepted" is in the chain, that of one whose result is "refused"
+ * never is; a change is in the chain once; nothing follows a seal.
  *
  * Bounds: 3 entries, 3 writers of one change each, 2 late writes at a time, 3
  * lost replies, one outage.
  */
-// mutation: OVERWRITE       a create replaces what stands
-// mutation: ANY_NONCE       a conflict after doubt is taken for one's own write
-// mutation: FRESH_NONCE     a writer in doubt tries again under a new nonce
-// mutation: NO_READ_BACK    a writer in doubt says "refused"
-// mutation: DELETE_PRUNED   pruning removes the key
-// mutation: PASS_SEAL       a writer goes on behind a seal
+// mutation: OVERWRITE      a create replaces an existing entry
+// mutation: ANY_NONCE      a writer in doubt takes any conflict for its own write
+// mutation: FRESH_NONCE    a writer in doubt retries under a new nonce
+// mutation: NO_READ_BACK   a writer in doubt returns "refused"
+// mutation: DELETE_PRUNED  pruning removes the key
+// mutation: PASS_SEAL      a writer appends after a seal
 
 #define ENTRIES 3
 #define SEAL 3
@@ -27,27 +27,27 @@
 
 mtype = { NOTHING, ACCEPTED, REFUSED };
 
-byte cell[5];        /* the nonce that stands at an entry, 0 is absent */
-byte first[5];       /* the nonce that stood there first */
-byte stands[4];      /* where a change stands */
-mtype told[4] = NOTHING;
-byte pruned = 0;     /* entries 1..pruned are folded */
+byte cell[5];        /* the nonce of each entry, 0 is absent */
+byte first[5];       /* the first nonce that each entry had */
+byte entryOf[4];     /* the entry number of each change */
+mtype result[4] = NOTHING;   /* the result of each writer */
+byte pruned = 0;     /* entries 1..pruned are pruned */
 byte losses = 3;
 bool storeUp = true;
 chan late = [2] of { byte, byte };
 
 inline effect(n, nonce) {
 	assert(first[n] == 0 || first[n] == nonce);
-	assert(told[change(nonce)] != REFUSED);
-	assert(stands[change(nonce)] == 0 || stands[change(nonce)] == n);
+	assert(result[change(nonce)] != REFUSED);
+	assert(entryOf[change(nonce)] == 0 || entryOf[change(nonce)] == n);
 	assert(n == 1 || change(first[n-1]) != SEAL);
 	cell[n] = nonce;
 	first[n] = nonce;
-	stands[change(nonce)] = n
+	entryOf[change(nonce)] = n
 }
 
-/* land is a create that reaches the store. */
-inline land(n, nonce) {
+/* apply executes a create that reaches the store. */
+inline apply(n, nonce) {
 	if
 #ifdef OVERWRITE
 	:: true -> effect(n, nonce)
@@ -78,10 +78,10 @@
 	}
 	do
 	:: atomic { storeUp && cell[n] == 0 ->
-		effect(n, nonce); assert(first[n] == nonce); told[me] = ACCEPTED; goto done }
+		effect(n, nonce); assert(first[n] == nonce); result[me] = ACCEPTED; goto done }
 	:: atomic { storeUp && losses > 0 -> losses--; doubt = true;
 		if
-		:: land(n, nonce)
+		:: apply(n, nonce)
 		:: skip
 		:: nfull(late) -> late!n,nonce
 		fi;
@@ -89,22 +89,22 @@
 		nonce = nonce + 4;
 #endif
 #ifdef NO_READ_BACK
-		told[me] = REFUSED;
-		assert(stands[me] == 0);
+		result[me] = REFUSED;
+		assert(entryOf[me] == 0);
 		goto done
 #endif
 	   }
 	:: atomic { storeUp && cell[n] != 0 ->
 		if
-		:: cell[n] == nonce -> assert(first[n] == nonce); told[me] = ACCEPTED
+		:: cell[n] == nonce -> assert(first[n] == nonce); result[me] = ACCEPTED
 #ifdef ANY_NONCE
 		:: cell[n] != nonce && doubt -> assert(first[n] == nonce)
 #endif
-		:: cell[n] != nonce -> told[me] = REFUSED; assert(stands[me] == 0)
+		:: cell[n] != nonce -> result[me] = REFUSED; assert(entryOf[me] == 0)
 		fi;
 		goto done }
-	:: atomic { !storeUp && !doubt -> told[me] = REFUSED; assert(stands[me] == 0); goto done }
-	:: atomic { doubt -> goto done }   /* told nothing: unsettled */
+	:: atomic { !storeUp && !doubt -> result[me] = REFUSED; assert(entryOf[me] == 0); goto done }
+	:: atomic { doubt -> goto done }   /* no result: the write is unsettled */
 	od;
 done:	skip
 }
@@ -112,11 +112,11 @@
 proctype Network() {
 	byte n, nonce;
 end:	do
-	:: atomic { late?n,nonce -> land(n, nonce) }
+	:: atomic { late?n,nonce -> apply(n, nonce) }
 	od
 }
 
-/* Pruner folds all entries but the last. */
+/* Pruner prunes all entries but the last. */
 proctype Pruner() {
 end:	do
 	:: atomic { pruned + 2 <= ENTRIES && cell[pruned+1] != 0 && cell[pruned+2] != 0 ->
--- a/spec/configuration.pml
+++ b/spec/configuration.pml
@@ -1,59 +1,59 @@
 /* How an accepted configuration reaches processes, and why it never reverts.
  *
  * The store holds a chain of generations. Two processes may read it while it
- * is up, and hand generations to each other over a link that delays and
- * doubles messages. A process may restart at any time and then knows nothing;
- * while the store is down it learns from the peer alone.
+ * is up, and send generations to each other over a link that delays and
+ * duplicates messages. A process may restart at any time and then has no
+ * generation; while the store is down it receives one from the peer only.
  *
  * Properties (assertions): a process never puts a generation in force that is
- * lower than one it had in force since its start; what is in force was
- * accepted; a process that knows nothing serves nothing. In the end state each
- * process has the newest generation that any live process knew.
+ * lower than one it had in force since its start; a generation in force was
+ * accepted; a process without a generation serves nothing. In the end state each
+ * process has the newest generation that any live process had.
  *
- * Bounds: 3 generations, 2 processes, 1 restart each, a link of 2 messages a
- * way that may be doubled once each, one outage of the store.
+ * Bounds: 3 generations, 2 processes, 1 restart each, a link of 2 messages per
+ * direction that may be duplicated once each, one outage of the store.
  */
-// mutation: ADOPT_ANY      a process adopts whatever arrives
-// mutation: SERVE_EMPTY    a process serves before it knows a configuration
+// mutation: ADOPT_ANY    a process adopts any generation that arrives
+// mutation: SERVE_EMPTY  a process serves before it has a configuration
 
 #define LAST 3
 
-byte accepted = 1;      /* generations 1..accepted stand in the chain */
+byte accepted = 1;      /* generations 1..accepted are in the chain */
 bool storeUp = true;
-byte force[2];          /* in force at each process; 0 is none */
-byte highest[2];        /* the highest since the process's start */
+byte adopted[2];        /* the generation in force at each process; 0 is none */
+byte highest[2];        /* the highest in force since the process's start */
 
 chan link[2] = [2] of { byte };  /* link[p] carries messages to p */
 
 inline adopt(p, g) {
 	if
 #ifdef ADOPT_ANY
-	:: true -> force[p] = g
+	:: true -> adopted[p] = g
 #else
-	:: g > force[p] -> force[p] = g
+	:: g > adopted[p] -> adopted[p] = g
 	:: else
 #endif
 	fi;
-	assert(force[p] <= accepted);
-	assert(force[p] >= highest[p]);
-	highest[p] = force[p]
+	assert(adopted[p] <= accepted);
+	assert(adopted[p] >= highest[p]);
+	highest[p] = adopted[p]
 }
 
 proctype Process(byte p) {
 	byte g;
-	byte doubled = 1, restarts = 1, sends = 3;
+	byte duplicates = 1, restarts = 1, sends = 3;
 	do
-	:: atomic { storeUp && force[p] < accepted -> adopt(p, accepted) }
-	:: atomic { force[p] > 0 && sends > 0 && nfull(link[1-p]) -> link[1-p]!force[p]; sends-- }
+	:: atomic { storeUp && adopted[p] < accepted -> adopt(p, accepted) }
+	:: atomic { adopted[p] > 0 && sends > 0 && nfull(link[1-p]) -> link[1-p]!adopted[p]; sends-- }
 	:: atomic { link[p]?g; adopt(p, g) }
-	:: atomic { doubled > 0 && nempty(link[p]) && nfull(link[p]) -> link[p]?<g>; link[p]!g; doubled-- }
-	:: atomic { restarts > 0 -> force[p] = 0; highest[p] = 0; restarts-- }
+	:: atomic { duplicates > 0 && nempty(link[p]) && nfull(link[p]) -> link[p]?<g>; link[p]!g; duplicates-- }
+	:: atomic { restarts > 0 -> adopted[p] = 0; highest[p] = 0; restarts-- }
 #ifdef SERVE_EMPTY
-	:: atomic { restarts <= 1 -> assert(force[p] > 0) }
+	:: atomic { restarts <= 1 -> assert(adopted[p] > 0) }
 #else
-	:: atomic { force[p] > 0 -> assert(force[p] > 0) }
+	:: atomic { adopted[p] > 0 -> assert(adopted[p] > 0) }
 #endif
-	:: atomic { force[p] == accepted && accepted == LAST && empty(link[p]) -> break }
+	:: atomic { adopted[p] == accepted && accepted == LAST && empty(link[p]) -> break }
 	od
 }
 
--- a/spec/roll-out.pml
+++ b/spec/roll-out.pml
@@ -1,29 +1,31 @@
-/* How a roll-out's step and status are kept in the store, and why no entry's
- * late write undoes a verdict, and none sends to a version it must not.
+/* How the step and the status of a canary roll-out are kept in the store, and why
+ * no late write of an entry reverses a verdict, and no entry sends requests to a
+ * version after it must stop.
  *
- * Two entries decide by what they last heard of the store. A write names the
- * revision that it was decided on; it takes effect now, or much later, after its
- * writer has slept and others have written; the writer may never hear whether
- * it did. An entry may restart at any time and then knows nothing. A version is
- * good or bad; only a bad one is ever found bad, by either entry, at any time.
- * Entries cannot hear one another. Each lets a request go to the new version
- * while what it sent there keeps to a share of its own requests, plus a slack.
+ * Two entries decide by the state of the store that they last read. A write names
+ * the revision that it was decided on; it takes effect now, or much later, after
+ * its writer has paused and others have written; the writer may never learn
+ * whether it did. An entry may restart at any time and then has no state. A
+ * version is good or bad; only a bad one is ever found bad, by either entry, at
+ * any time. The entries receive nothing from each other. Each sends a request to
+ * the new version while the number it sent there stays within a share of its own
+ * requests, plus a slack.
  *
- * Properties (assertions): a final status never changes; a step is never taken
- * back, and none is taken after a final status; a version that is not bad is
- * never rolled back; an entry that found the version bad, or heard that it was
- * rolled back, or started after that, sends nothing to it; in the first step
- * the entries together keep to the share and both slacks. In the end state the
- * roll-out has a final status.
+ * Properties (assertions): a final status never changes; a step is never reverted,
+ * and none is taken after a final status; a version that is not bad is never
+ * rolled back; an entry that found the version bad, or read that it was rolled
+ * back, or started after that, sends nothing to it; in the first step the entries
+ * together stay within the share and both slacks. In the end state the roll-out
+ * has a final status.
  *
- * Bounds: 2 entries, 1 restart, 1 write of each key by each under way, 2 requests
- * of each, 2 steps, a share of a third and a slack of 1.
+ * Bounds: 2 entries, 1 restart, 1 write in flight per key and entry, 2 requests
+ * per entry, 2 steps, a share of a third and a slack of 1.
  */
-// mutation: BLIND_WRITE      a write does not name the revision it replaces
-// mutation: FINAL_AGAIN      an entry goes on writing after a final status
-// mutation: SEND_UNHEARD     an entry sends before it has heard of the store
-// mutation: SHARE_OF_HEARD   an entry counts the other's requests as its own
-// mutation: FORGET_VERDICT   an entry that found the version bad goes on sending
+// mutation: BLIND_WRITE        a write does not name the revision it replaces
+// mutation: WRITE_AFTER_FINAL  an entry continues to write after a final status
+// mutation: SEND_UNOBSERVED    an entry sends before it has read the store
+// mutation: SHARE_OF_BOTH      an entry counts the other's requests as its own
+// mutation: IGNORE_VERDICT     an entry that found the version bad continues to send
 // pan: -m400000
 // cc: -DSAFETY -DCOLLAPSE
 
@@ -38,33 +40,34 @@
 byte status = NONE, statusRev = 0;
 byte step = 0, stepRev = 0;
 bool final = false;
-byte all[2], sent[2];   /* requests of each entry, and those to the new version */
+byte all[2], sent[2];   /* requests of each entry, and those of them sent to the new version */
 byte finished = 0;
-byte restarts = 1;      /* of either entry */
+byte restarts = 1;      /* remaining restarts of either entry */
 
-/* A write under way: its value and the revision it replaces. */
+/* A write in flight: its value and the revision it replaces. */
 byte wStatus[2], wStatusPrev[2];
-bool wStatusOut[2];
+bool wStatusPending[2];
 byte wStep[2], wStepPrev[2];
-bool wStepOut[2];
+bool wStepPending[2];
 
-/* What each entry has heard and found. */
-bool heard[2], found[2], mustKnow[2];
-byte kStatus[2], kStatusRev[2], kStep[2], kStepRev[2];
+/* The state that each entry last read, and its own verdict. */
+bool observed[2], found[2], mustStop[2];
+byte seenStatus[2], seenStatusRev[2], seenStep[2], seenStepRev[2];
 
-/* compares: the store takes a write. Blind ones are bounded, for the search. */
+/* acceptsStatus and acceptsStep: the store accepts the write. The number of blind
+ * writes is bounded to keep the search finite. */
 #ifdef BLIND_WRITE
-#define comparesStatus(p) (statusRev < 4)
-#define comparesStep(p) (stepRev < 4)
+#define acceptsStatus(p) (statusRev < 4)
+#define acceptsStep(p) (stepRev < 4)
 #else
-#define comparesStatus(p) (wStatusPrev[p] == statusRev)
-#define comparesStep(p) (wStepPrev[p] == stepRev)
+#define acceptsStatus(p) (wStatusPrev[p] == statusRev)
+#define acceptsStep(p) (wStepPrev[p] == stepRev)
 #endif
 
 inline applyStatus(p) {
-	wStatusOut[p] = false;
+	wStatusPending[p] = false;
 	if
-	:: comparesStatus(p) ->
+	:: acceptsStatus(p) ->
 		assert(!final || wStatus[p] == status);
 		assert(wStatus[p] != ROLLED_BACK || bad);
 		status = wStatus[p];
@@ -75,9 +78,9 @@
 }
 
 inline applyStep(p) {
-	wStepOut[p] = false;
+	wStepPending[p] = false;
 	if
-	:: comparesStep(p) ->
+	:: acceptsStep(p) ->
 		assert(wStep[p] >= step);
 		step = wStep[p];
 		stepRev++
@@ -85,39 +88,39 @@
 	fi
 }
 
-inline hear(p) {
-	heard[p] = true;
-	kStatus[p] = status; kStatusRev[p] = statusRev;
-	kStep[p] = step; kStepRev[p] = stepRev;
+inline observe(p) {
+	observed[p] = true;
+	seenStatus[p] = status; seenStatusRev[p] = statusRev;
+	seenStep[p] = step; seenStepRev[p] = stepRev;
 	if
-	:: status == ROLLED_BACK -> mustKnow[p] = true
+	:: status == ROLLED_BACK -> mustStop[p] = true
 	:: else
 	fi
 }
 
 inline decide(p, value) {
-	wStatus[p] = value; wStatusPrev[p] = kStatusRev[p]; wStatusOut[p] = true
+	wStatus[p] = value; wStatusPrev[p] = seenStatusRev[p]; wStatusPending[p] = true
 }
 
-/* mayWrite: what is heard is not final. */
-#ifdef FINAL_AGAIN
-#define mayWrite(p) (heard[p] && statusRev < 6)
+/* mayWrite: the last status that was read is not final. */
+#ifdef WRITE_AFTER_FINAL
+#define mayWrite(p) (observed[p] && statusRev < 6)
 #else
-#define mayWrite(p) (heard[p] && kStatus[p] != COMPLETED && kStatus[p] != ROLLED_BACK)
+#define mayWrite(p) (observed[p] && seenStatus[p] != COMPLETED && seenStatus[p] != ROLLED_BACK)
 #endif
 
-#ifdef SEND_UNHEARD
-#define maySend(p) (!found[p] && kStatus[p] != ROLLED_BACK)
+#ifdef SEND_UNOBSERVED
+#define maySend(p) (!found[p] && seenStatus[p] != ROLLED_BACK)
 #else
-#ifdef FORGET_VERDICT
-#define maySend(p) (heard[p] && kStatus[p] != ROLLED_BACK)
+#ifdef IGNORE_VERDICT
+#define maySend(p) (observed[p] && seenStatus[p] != ROLLED_BACK)
 #else
-#define maySend(p) (heard[p] && !found[p] && kStatus[p] != ROLLED_BACK)
+#define maySend(p) (observed[p] && !found[p] && seenStatus[p] != ROLLED_BACK)
 #endif
 #endif
 
-/* inShare: one more request keeps to a third, plus a slack of one. */
-#ifdef SHARE_OF_HEARD
+/* inShare: with one more request the entry stays within a third, plus a slack of one. */
+#ifdef SHARE_OF_BOTH
 #define inShare(p) (3 * (sent[p] + 1) <= all[0] + all[1] + 3)
 #else
 #define inShare(p) (3 * (sent[p] + 1) <= all[p] + 3)
@@ -125,20 +128,20 @@
 
 proctype Entry(byte p) {
 	do
-	:: atomic { !heard[p] || kStatusRev[p] != statusRev || kStepRev[p] != stepRev -> hear(p) }
+	:: atomic { !observed[p] || seenStatusRev[p] != statusRev || seenStepRev[p] != stepRev -> observe(p) }
 	:: atomic { bad && !found[p] -> found[p] = true }
-	:: atomic { mayWrite(p) && !wStatusOut[p] && found[p] -> decide(p, ROLLED_BACK) }
-	:: atomic { mayWrite(p) && !wStatusOut[p] && !found[p] && kStatus[p] == NONE -> decide(p, PROGRESS) }
-	:: atomic { mayWrite(p) && !wStatusOut[p] && !found[p] && kStatus[p] == PROGRESS && kStep[p] == LAST -> decide(p, COMPLETED) }
-	:: atomic { mayWrite(p) && !wStepOut[p] && !found[p] && kStatus[p] == PROGRESS && kStep[p] < LAST ->
-		wStep[p] = kStep[p] + 1; wStepPrev[p] = kStepRev[p]; wStepOut[p] = true }
-	:: atomic { wStatusOut[p] -> applyStatus(p) }
-	:: atomic { wStepOut[p] -> applyStep(p) }
+	:: atomic { mayWrite(p) && !wStatusPending[p] && found[p] -> decide(p, ROLLED_BACK) }
+	:: atomic { mayWrite(p) && !wStatusPending[p] && !found[p] && seenStatus[p] == NONE -> decide(p, PROGRESS) }
+	:: atomic { mayWrite(p) && !wStatusPending[p] && !found[p] && seenStatus[p] == PROGRESS && seenStep[p] == LAST -> decide(p, COMPLETED) }
+	:: atomic { mayWrite(p) && !wStepPending[p] && !found[p] && seenStatus[p] == PROGRESS && seenStep[p] < LAST ->
+		wStep[p] = seenStep[p] + 1; wStepPrev[p] = seenStepRev[p]; wStepPending[p] = true }
+	:: atomic { wStatusPending[p] -> applyStatus(p) }
+	:: atomic { wStepPending[p] -> applyStep(p) }
 	:: atomic { all[p] < REQUESTS ->
 		all[p]++;
 		if
-		:: maySend(p) && kStep[p] == 0 && inShare(p) ->
-			assert(!mustKnow[p]);
+		:: maySend(p) && seenStep[p] == 0 && inShare(p) ->
+			assert(!mustStop[p]);
 			assert(!found[p]);
 			sent[p]++;
 			assert(3 * (sent[0] + sent[1]) <= all[0] + all[1] + 6)
@@ -146,10 +149,10 @@
 		fi }
 	:: atomic { restarts > 0 ->
 		restarts--;
-		heard[p] = false; found[p] = false;
-		kStatus[p] = NONE; kStatusRev[p] = 0; kStep[p] = 0; kStepRev[p] = 0;
-		mustKnow[p] = (status == ROLLED_BACK) }
-	:: atomic { final && all[p] == REQUESTS && !wStatusOut[p] && !wStepOut[p] -> break }
+		observed[p] = false; found[p] = false;
+		seenStatus[p] = NONE; seenStatusRev[p] = 0; seenStep[p] = 0; seenStepRev[p] = 0;
+		mustStop[p] = (status == ROLLED_BACK) }
+	:: atomic { final && all[p] == REQUESTS && !wStatusPending[p] && !wStepPending[p] -> break }
 	od;
 	finished++
 }
