--- a/standin/engine/answer.go
+++ b/standin/engine/answer.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// answer is one completion under way.
-type answer struct {
+// completion is one completion in progress.
+type completion struct {
 	en     *Engine
 	fa     Faults
 	id     string
@@ -17,14 +17,14 @@
 	sent   int
 }
 
-// run writes the completion and reports whether it was written whole.
-func (an *answer) run(w http.ResponseWriter, rq *http.Request, stream bool) bool {
+// run writes the completion and reports whether it was written completely.
+func (an *completion) run(w http.ResponseWriter, rq *http.Request, stream bool) bool {
 	slow := time.Duration(max(an.fa.SlowFactor, 1))
 	if !an.sleep(rq, an.en.cfg.First*slow) {
 		return false
 	}
 	if !stream {
-		return an.whole(w, rq, slow)
+		return an.writeWhole(w, rq, slow)
 	}
 	w.Header().Set("Content-Type", "text/event-stream")
 	ctl := http.NewResponseController(w)
@@ -48,7 +48,8 @@
 	return err == nil
 }
 
-func (an *answer) whole(w http.ResponseWriter, rq *http.Request, slow time.Duration) bool {
+// writeWhole writes the completion as one response and reports whether it was written completely.
+func (an *completion) writeWhole(w http.ResponseWriter, rq *http.Request, slow time.Duration) bool {
 	if !an.sleep(rq, an.en.cfg.Pace*slow*time.Duration(an.words)) {
 		return false
 	}
@@ -67,7 +68,8 @@
 	return err == nil
 }
 
-func (an *answer) sleep(rq *http.Request, d time.Duration) bool {
+// sleep waits for d. It returns false if the request ends first.
+func (an *completion) sleep(rq *http.Request, d time.Duration) bool {
 	if d == 0 {
 		return true
 	}
--- a/standin/engine/engine.go
+++ b/standin/engine/engine.go
@@ -1,8 +1,9 @@
-// Package engine stands in for a model engine: it streams tokens at a set
-// pace from a bounded number of slots, and has the faults of one.
+// Package engine is a stand-in for a model engine: it streams tokens at a
+// configured rate, runs a bounded number of requests at once, and injects the
+// faults of a real engine.
 //
-// A prompt that contains "#crash" ends the process, as the rare request does
-// that crashes every engine. A prompt with "#words=N" asks for N tokens.
+// A prompt that contains "#crash" ends the process, to simulate the rare request
+// that crashes every engine. A prompt with "#words=N" requests N tokens.
 //
 // # Usage
 //
@@ -21,33 +22,33 @@
 	"time"
 )
 
-// Config shapes an engine.
+// Config configures an engine.
 type Config struct {
 	Model string
-	// Slots run at once; further requests wait.
+	// Slots is the number of requests that run at once; further requests wait.
 	Slots int
-	// First is the time to the first token, Pace between two.
+	// First is the time to the first token, Pace the time between two tokens.
 	First, Pace time.Duration
-	// Words is the usual length of an answer, in tokens.
+	// Words is the default length of an answer, in tokens.
 	Words int
-	// ChecksFencing refuses orders with an old fencing number.
+	// ChecksFencing makes the engine refuse orders with an old fencing number.
 	ChecksFencing bool
 }
 
-// Faults is what goes wrong until the next order.
+// Faults are the injected faults, in effect until the next POST /faults.
 type Faults struct {
-	// Cross puts events of another request into streams.
+	// Cross puts events of another request into streams, and its id on unstreamed answers.
 	Cross bool `json:"cross"`
-	// CutAfter breaks streams off after so many tokens; 0 is never.
+	// CutAfter cuts streams off after this number of tokens; 0 never does.
 	CutAfter int `json:"cut-after"`
-	// SlowFactor stretches First and Pace; 0 is 1.
+	// SlowFactor multiplies First and Pace; 0 means 1.
 	SlowFactor int `json:"slow-factor"`
-	// Fail answers 500.
+	// Fail answers every request with status 500.
 	Fail bool `json:"fail"`
 }
 
-// Run is one line of the engine's journal, written when the run begins. Tag is
-// what a prompt says behind "#tag=".
+// Run is one entry of the engine's journal, added when the run begins. Tag is the
+// text after "#tag=" in the prompt.
 type Run struct {
 	Attempt string `json:"attempt"`
 	Tag     string `json:"tag,omitempty"`
@@ -55,7 +56,7 @@
 	Whole   bool   `json:"whole"`
 }
 
-// Engine is safe for concurrent use.
+// Engine serves chat completions. It is safe for concurrent use.
 type Engine struct {
 	cfg     Config
 	mux     *http.ServeMux
@@ -69,7 +70,7 @@
 	crash   func()
 }
 
-// New returns an engine.
+// New returns an engine without faults.
 func New(cfg Config) *Engine {
 	en := &Engine{cfg: cfg, mux: http.NewServeMux(), slots: make(chan struct{}, max(cfg.Slots, 1)), crash: func() { os.Exit(3) }}
 	en.mux.HandleFunc("POST /v1/chat/completions", en.complete)
@@ -114,7 +115,7 @@
 		w.WriteHeader(http.StatusInternalServerError)
 		return
 	}
-	an := &answer{en: en, fa: fa, id: rq.Header.Get("X-Request-Id"), words: en.words(cb), prompt: len(cb.Messages)/4 + 1}
+	an := &completion{en: en, fa: fa, id: rq.Header.Get("X-Request-Id"), words: en.words(cb), prompt: len(cb.Messages)/4 + 1}
 	en.mu.Lock()
 	line := len(en.journal)
 	en.journal = append(en.journal, Run{Attempt: an.id, Tag: tag(cb)})
--- a/standin/kv/kv.go
+++ b/standin/kv/kv.go
@@ -1,6 +1,6 @@
 // Package kv is a stand-in for the users' key-value store: revisions,
-// conditions, leases, watches and a history that can be dropped. It answers
-// wrongly on demand, so that failures can be brought about without the platform.
+// preconditions, leases, watches and a history that can be compacted. It fails on
+// demand, so that tests can cause failures without the platform.
 //
 // # Usage
 //
@@ -20,16 +20,16 @@
 	"time"
 )
 
-// Trouble is what the store does with calls.
+// Trouble is a fault that the store applies to all calls.
 type Trouble int
 
-// The troubles.
+// The faults.
 const (
-	// None: calls are answered.
+	// None: calls are answered normally.
 	None Trouble = iota
-	// Busy: calls are refused; nothing is done.
+	// Busy: calls are refused with 503 and have no effect.
 	Busy
-	// Lost: writes are done and not answered, reads are refused.
+	// Lost: the connection of each call is closed without a response; writes take effect.
 	Lost
 )
 
@@ -42,20 +42,20 @@
 	Tombstone bool   `json:"tombstone,omitempty"`
 }
 
-// Store implements http.Handler.
+// Store is a key-value store. It implements http.Handler and is safe for concurrent use.
 type Store struct {
 	mux *http.ServeMux
 
-	mu      sync.Mutex
-	items   map[string]item
-	history []item
-	rev     uint64
-	dropped uint64 // history up to this revision is gone
-	leases  map[int64]time.Duration
-	lease   int64
-	trouble Trouble
-	changed chan struct{}
-	writes  int
+	mu        sync.Mutex
+	items     map[string]item
+	history   []item
+	rev       uint64
+	compacted uint64 // history up to this revision is compacted
+	leases    map[int64]time.Duration
+	lease     int64
+	trouble   Trouble
+	changed   chan struct{}
+	writes    int
 }
 
 // New returns an empty store.
@@ -75,12 +75,12 @@
 
 // ServeHTTP implements http.Handler.
 func (st *Store) ServeHTTP(w http.ResponseWriter, rq *http.Request) {
-	switch st.now() {
+	switch st.currentTrouble() {
 	case Busy:
 		w.WriteHeader(http.StatusServiceUnavailable)
 	case Lost:
 		if rq.Method == http.MethodPost {
-			st.mux.ServeHTTP(&mute{ResponseWriter: w}, rq)
+			st.mux.ServeHTTP(&discardWriter{ResponseWriter: w}, rq)
 		}
 		panic(http.ErrAbortHandler)
 	default:
@@ -88,26 +88,26 @@
 	}
 }
 
-// mute swallows an answer.
-type mute struct{ http.ResponseWriter }
+// discardWriter discards a response.
+type discardWriter struct{ http.ResponseWriter }
 
-func (*mute) WriteHeader(int)             {}
-func (*mute) Write(p []byte) (int, error) { return len(p), nil }
+func (*discardWriter) WriteHeader(int)             {}
+func (*discardWriter) Write(p []byte) (int, error) { return len(p), nil }
 
-func (st *Store) now() Trouble {
+func (st *Store) currentTrouble() Trouble {
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	return st.trouble
 }
 
-// Trouble begins or ends a trouble.
+// Trouble sets the fault; None ends it.
 func (st *Store) Trouble(tr Trouble) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	st.trouble = tr
 }
 
-// Put writes a key as the operator or an upstream does.
+// Put writes a key as the operator or an upstream would.
 func (st *Store) Put(key string, value any) {
 	raw, err := json.Marshal(value)
 	if err != nil {
@@ -118,35 +118,35 @@
 	st.write(item{Key: key, Value: raw})
 }
 
-// Remove removes a key, as a lease that ends does.
+// Remove removes a key, as an expired lease would.
 func (st *Store) Remove(key string) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	st.write(item{Key: key, Tombstone: true})
 }
 
-// Compact drops the history.
+// Compact removes the history, so that a watch from an older revision gets 410.
 func (st *Store) Compact() {
 	st.mu.Lock()
 	defer st.mu.Unlock()
-	st.history, st.dropped = nil, st.rev
+	st.history, st.compacted = nil, st.rev
 }
 
-// Get returns a key's value, or nil.
+// Get returns a key's value, or nil if the key is absent.
 func (st *Store) Get(key string) []byte {
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	return st.items[key].Value
 }
 
-// Writes counts the writes of the system.
+// Writes returns the number of transactions that took effect, without Put and Remove.
 func (st *Store) Writes() int {
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	return st.writes
 }
 
-// write is called with the lock held.
+// write applies one change. The caller holds the lock.
 func (st *Store) write(it item) {
 	st.rev++
 	it.Revision = st.rev
@@ -172,14 +172,14 @@
 		w.WriteHeader(http.StatusNotFound)
 		return
 	}
-	answer(w, struct {
+	reply(w, struct {
 		item
 		CurrentRev uint64 `json:"current_rev"`
 	}{it, st.rev})
 }
 
-// page is how many items a range returns, small so that tests meet more pages.
-const page = 5
+// pageSize is the number of items that a range returns, small so that tests need several pages.
+const pageSize = 5
 
 func (st *Store) getRange(w http.ResponseWriter, rq *http.Request) {
 	st.mu.Lock()
@@ -191,21 +191,21 @@
 		}
 	}
 	slices.Sort(keys)
-	more := len(keys) > page
+	more := len(keys) > pageSize
 	out := []item{}
-	for _, key := range keys[:min(page, len(keys))] {
+	for _, key := range keys[:min(pageSize, len(keys))] {
 		out = append(out, st.items[key])
 	}
-	answer(w, map[string]any{"items": out, "has_more": more, "current_rev": st.rev})
+	reply(w, map[string]any{"items": out, "has_more": more, "current_rev": st.rev})
 }
 
 func (st *Store) getWatch(w http.ResponseWriter, rq *http.Request) {
 	after, _ := strconv.ParseUint(rq.FormValue("after"), 10, 64)
 	wait, _ := strconv.Atoi(rq.FormValue("wait_ms"))
-	over := time.After(time.Duration(wait) * time.Millisecond)
+	timeout := time.After(time.Duration(wait) * time.Millisecond)
 	for {
 		st.mu.Lock()
-		if after < st.dropped {
+		if after < st.compacted {
 			st.mu.Unlock()
 			w.WriteHeader(http.StatusGone)
 			return
@@ -219,13 +219,13 @@
 		rev, changed := st.rev, st.changed
 		st.mu.Unlock()
 		if len(events) > 0 {
-			answer(w, map[string]any{"events": events, "current_rev": rev})
+			reply(w, map[string]any{"events": events, "current_rev": rev})
 			return
 		}
 		select {
 		case <-changed:
-		case <-over:
-			answer(w, map[string]any{"events": events, "current_rev": rev})
+		case <-timeout:
+			reply(w, map[string]any{"events": events, "current_rev": rev})
 			return
 		case <-rq.Context().Done():
 			return
@@ -266,7 +266,7 @@
 		st.write(item{Key: key, Tombstone: true})
 	}
 	st.writes++
-	answer(w, map[string]any{"revision": st.rev})
+	reply(w, map[string]any{"revision": st.rev})
 }
 
 func (st *Store) postLease(w http.ResponseWriter, rq *http.Request) {
@@ -281,7 +281,7 @@
 	defer st.mu.Unlock()
 	st.lease++
 	st.leases[st.lease] = time.Duration(in.TTLMs) * time.Millisecond
-	answer(w, map[string]any{"lease_id": st.lease, "ttl_ms": in.TTLMs})
+	reply(w, map[string]any{"lease_id": st.lease, "ttl_ms": in.TTLMs})
 }
 
 func (st *Store) postKeep(w http.ResponseWriter, rq *http.Request) {
@@ -292,10 +292,10 @@
 		w.WriteHeader(http.StatusNotFound)
 		return
 	}
-	answer(w, map[string]any{"lease_id": id})
+	reply(w, map[string]any{"lease_id": id})
 }
 
-func answer(w http.ResponseWriter, value any) {
+func reply(w http.ResponseWriter, value any) {
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(value)
 }
--- a/standin/main.go
+++ b/standin/main.go
@@ -1,6 +1,6 @@
-// Standin is a small program that stands in for what surrounds skylarkstand:
-// the platform's store, host list and rating service, model engines and plain
-// services. It is for the demonstration, tests and measurements.
+// Standin is a small program that replaces the systems around skylarkstand: the
+// platform's store, host list and rating service, model engines and plain
+// services. The demonstration, tests and measurements use it.
 //
 // # Usage
 //
@@ -55,27 +55,27 @@
 	case ar.Store != nil:
 		ha = store.New()
 	case ar.Platform != nil:
-		ha = platform.New(qualities(ps, ar.Platform.Quality))
+		ha = platform.New(parseQualities(ps, ar.Platform.Quality))
 	case ar.Engine != nil:
 		en := ar.Engine
 		ha = engine.New(engine.Config{Slots: en.Slots, First: en.First, Pace: en.Pace, Words: en.Words, ChecksFencing: en.Fencing})
 	case ar.Service != nil:
 		ha = service.New(ar.Service.Takes)
 	default:
-		ps.Fail("name what to stand in for")
+		ps.Fail("a subcommand is required: store, platform, engine or service")
 	}
 	srv := &http.Server{Addr: ar.Listen, Handler: ha, ReadHeaderTimeout: 10 * time.Second}
 	fmt.Fprintln(os.Stderr, srv.ListenAndServe())
 	os.Exit(1)
 }
 
-func qualities(ps *arg.Parser, list []string) map[string]float64 {
+func parseQualities(ps *arg.Parser, list []string) map[string]float64 {
 	out := map[string]float64{}
 	for _, el := range list {
 		name, val, _ := strings.Cut(el, "=")
 		q, err := strconv.ParseFloat(val, 64)
 		if err != nil {
-			ps.Fail("write a quality as model@version=0.8")
+			ps.Fail(fmt.Sprintf("invalid --quality %q: write it as model@version=0.8", el))
 		}
 		out[name] = q
 	}
--- a/standin/platform/platform.go
+++ b/standin/platform/platform.go
@@ -1,9 +1,9 @@
-// Package platform stands in for the platform's host list and its service
+// Package platform is a stand-in for the platform's host list and its service
 // that rates answers.
 //
-// A prompt has a difficulty between 0 and 1 that depends on its text alone; a
-// version of quality q answers it well when the difficulty is below q. Ratings
-// are so the same in every run.
+// A prompt has a difficulty between 0 and 1 that depends only on its text; the
+// answer of a version of quality q is rated good if the difficulty is below q.
+// So the ratings are the same in every run.
 //
 // # Usage
 //
@@ -23,18 +23,18 @@
 	"skylarkstand/core"
 )
 
-// Faults is what goes wrong until the next order.
+// Faults are the injected faults, in effect until the next POST /faults.
 type Faults struct {
-	// ListDown refuses the host list, RatingDown the ratings.
+	// ListDown answers reads of the host list with 503, RatingDown ratings.
 	ListDown   bool `json:"list-down"`
 	RatingDown bool `json:"rating-down"`
 	// RatingSlow delays ratings, in milliseconds.
 	RatingSlow int `json:"rating-slow"`
-	// Lag delays changes of the list, in milliseconds.
+	// Lag delays changes of the host list, in milliseconds.
 	Lag int `json:"lag"`
 }
 
-// Platform is safe for concurrent use.
+// Platform serves the host list and ratings. It is safe for concurrent use.
 type Platform struct {
 	mux *http.ServeMux
 
@@ -44,10 +44,10 @@
 	faults  Faults
 }
 
-// New returns a platform. Quality is by model@version.
+// New returns a platform with an empty host list. The keys of quality are model@version.
 func New(quality map[string]float64) *Platform {
 	pl := &Platform{mux: http.NewServeMux(), quality: quality, hosts: []core.Host{}}
-	pl.mux.HandleFunc("GET /v1/hosts", pl.list)
+	pl.mux.HandleFunc("GET /v1/hosts", pl.getHosts)
 	pl.mux.HandleFunc("PUT /v1/hosts", pl.setHosts)
 	pl.mux.HandleFunc("PUT /v1/quality", pl.setQuality)
 	pl.mux.HandleFunc("POST /v1/rate", pl.rate)
@@ -58,14 +58,14 @@
 // ServeHTTP implements [http.Handler].
 func (pl *Platform) ServeHTTP(w http.ResponseWriter, rq *http.Request) { pl.mux.ServeHTTP(w, rq) }
 
-func (pl *Platform) current() Faults {
+func (pl *Platform) currentFaults() Faults {
 	pl.mu.Lock()
 	defer pl.mu.Unlock()
 	return pl.faults
 }
 
-func (pl *Platform) list(w http.ResponseWriter, _ *http.Request) {
-	if pl.current().ListDown {
+func (pl *Platform) getHosts(w http.ResponseWriter, _ *http.Request) {
+	if pl.currentFaults().ListDown {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
@@ -79,16 +79,16 @@
 	if !decode(w, rq, &hosts) {
 		return
 	}
-	set := func() {
+	apply := func() {
 		pl.mu.Lock()
 		defer pl.mu.Unlock()
 		pl.hosts = hosts
 	}
-	if lag := pl.current().Lag; lag > 0 {
-		time.AfterFunc(time.Duration(lag)*time.Millisecond, set)
+	if lag := pl.currentFaults().Lag; lag > 0 {
+		time.AfterFunc(time.Duration(lag)*time.Millisecond, apply)
 		return
 	}
-	set()
+	apply()
 }
 
 func (pl *Platform) setQuality(w http.ResponseWriter, rq *http.Request) {
@@ -119,7 +119,7 @@
 	if !decode(w, rq, &qu) {
 		return
 	}
-	fa := pl.current()
+	fa := pl.currentFaults()
 	time.Sleep(time.Duration(fa.RatingSlow) * time.Millisecond)
 	if fa.RatingDown {
 		w.WriteHeader(http.StatusServiceUnavailable)
--- a/standin/runner/runner.go
+++ b/standin/runner/runner.go
@@ -1,12 +1,12 @@
 // Package runner is a stand-in for an upstream of the users' platform, a model
-// engine or a plain service. It checks what it is asked as the platform's
-// upstreams do, and misbehaves on demand.
+// engine or a plain service. It validates requests as the platform's upstreams
+// do, and fails on demand.
 //
 // # Usage
 //
 //	ru := runner.New("i-1", "desk", "v1")
 //	srv := httptest.NewServer(ru)
-//	st.Put("servers/i-1", ru.Line(addr, "muc-a"))
+//	st.Put("servers/i-1", ru.Line(addr, "muc-a", "ready"))
 //	ru.Do(runner.Break)
 package runner
 
@@ -19,34 +19,34 @@
 	"time"
 )
 
-// Mode is how the next requests are answered.
+// Mode is how the upstream responds to requests.
 type Mode int
 
 // The modes.
 const (
-	// Answer: as asked.
+	// Answer: the request is run and answered normally.
 	Answer Mode = iota
-	// Full: refused without running.
+	// Full: the request is refused without being run.
 	Full
-	// Fail: run, and answered with an error.
+	// Fail: the request is run and answered with an error.
 	Fail
-	// Break: run, and broken off in the middle of an event.
+	// Break: the request is run, and its stream is cut off in the middle of an event.
 	Break
-	// Slow: run, with a pause before the answer.
+	// Slow: the request is run, with a delay before the answer.
 	Slow
 )
 
-// slow is the pause of a slow answer, in pieces of a stream between them.
-const slow = 300 * time.Millisecond
+// slowDelay is the delay before a slow answer, and before each event of a slow stream.
+const slowDelay = 300 * time.Millisecond
 
-// Run is a request that was run.
+// Run records a request that was run.
 type Run struct {
 	ID, Path, Method, Body, Workspace, Model, After string
 	DeadlineMs                                      int
 	Header                                          http.Header
 }
 
-// Runner implements http.Handler.
+// Runner is an upstream. It implements http.Handler and is safe for concurrent use.
 type Runner struct {
 	id, service, version string
 
@@ -55,12 +55,12 @@
 	runs []Run
 }
 
-// New returns an upstream.
+// New returns an upstream of a service and version.
 func New(id, service, version string) *Runner {
 	return &Runner{id: id, service: service, version: version}
 }
 
-// Line is the upstream's line of the list, at an address.
+// Line returns the upstream's entry in the host list, with its address.
 func (ru *Runner) Line(addr, zone, state string) map[string]any {
 	return map[string]any{
 		"service": ru.service, "address": addr, "zone": zone, "version": ru.version, "slots": 6, "state": state,
@@ -68,17 +68,17 @@
 	}
 }
 
-// ID is the upstream's id.
+// ID returns the upstream's id.
 func (ru *Runner) ID() string { return ru.id }
 
-// Do sets how requests are answered from now on.
+// Do sets how the upstream responds to all further requests.
 func (ru *Runner) Do(mo Mode) {
 	ru.mu.Lock()
 	defer ru.mu.Unlock()
 	ru.mode = mo
 }
 
-// Runs lists what was run.
+// Runs returns the requests that were run, in order.
 func (ru *Runner) Runs() []Run {
 	ru.mu.Lock()
 	defer ru.mu.Unlock()
@@ -101,7 +101,7 @@
 	ru.mu.Lock()
 	mode := ru.mode
 	if mode != Full {
-		ru.runs = append(ru.runs, run(rq, body))
+		ru.runs = append(ru.runs, newRun(rq, body))
 	}
 	ru.mu.Unlock()
 	switch mode {
@@ -122,12 +122,12 @@
 		return
 	}
 	if mode == Slow {
-		time.Sleep(slow)
+		time.Sleep(slowDelay)
 	}
 	_, _ = fmt.Fprintf(w, "%s did %s", ru.id, body)
 }
 
-func run(rq *http.Request, body []byte) Run {
+func newRun(rq *http.Request, body []byte) Run {
 	hd := rq.Header
 	ms, _ := strconv.Atoi(hd.Get("X-Skylarkstand-Deadline-Ms"))
 	return Run{
@@ -137,24 +137,24 @@
 	}
 }
 
-// events is the length of a stream.
-const events = 6
+// streamEvents is the number of events in a stream.
+const streamEvents = 6
 
-// Event returns one event of a stream.
+// Event returns event n of a stream, as written on the wire.
 func Event(n int) string { return fmt.Sprintf("id: %d\ndata: word %d\n\n", n, n) }
 
 func (ru *Runner) stream(w http.ResponseWriter, rq *http.Request, mode Mode) {
 	w.Header().Set("Content-Type", "text/event-stream")
 	after, _ := strconv.Atoi(rq.Header.Get("Last-Event-Id"))
 	ctl := http.NewResponseController(w)
-	for n := after + 1; n <= events; n++ {
+	for n := after + 1; n <= streamEvents; n++ {
 		if mode == Break && n == 3 {
 			_, _ = io.WriteString(w, Event(n)[:8])
 			_ = ctl.Flush()
 			panic(http.ErrAbortHandler)
 		}
 		if mode == Slow {
-			time.Sleep(slow)
+			time.Sleep(slowDelay)
 		}
 		_, _ = io.WriteString(w, Event(n))
 		_ = ctl.Flush()
--- a/standin/service/service.go
+++ b/standin/service/service.go
@@ -1,5 +1,5 @@
-// Package service stands in for a plain service. It runs whatever it is told
-// as often as it is told, and its journal shows each run.
+// Package service is a stand-in for a plain service. It runs every request it
+// receives, duplicates included, and its journal lists each run.
 //
 // # Usage
 //
@@ -13,14 +13,14 @@
 	"time"
 )
 
-// Run is one line of the journal.
+// Run is one entry of the journal.
 type Run struct {
 	Operation string `json:"operation"`
 	Key       string `json:"key"`
 	Attempt   string `json:"attempt"`
 }
 
-// Service is safe for concurrent use.
+// Service runs operations and records them. It is safe for concurrent use.
 type Service struct {
 	mux   *http.ServeMux
 	takes time.Duration
@@ -29,7 +29,7 @@
 	journal []Run
 }
 
-// New returns a service whose operations take a time.
+// New returns a service whose operations each take the given time.
 func New(takes time.Duration) *Service {
 	sv := &Service{mux: http.NewServeMux(), takes: takes}
 	sv.mux.HandleFunc("POST /{operation}", sv.run)
--- a/standin/store/store.go
+++ b/standin/store/store.go
@@ -1,6 +1,6 @@
-// Package store stands in for the platform's key-value service: create,
-// compare-and-swap, leases and watches over HTTP, held in memory, with faults
-// that are switched by an order.
+// Package store is an in-memory stand-in for the platform's key-value service:
+// create, compare-and-swap, leases and watches over HTTP, with faults that
+// POST /faults sets.
 //
 // # Usage
 //
@@ -20,16 +20,16 @@
 	"time"
 )
 
-// Faults is what goes wrong until the next order.
+// Faults are the injected faults, in effect until the next POST /faults.
 type Faults struct {
-	// Down refuses every call; Slow delays each, in milliseconds.
+	// Down refuses every call with 503; Slow delays each, in milliseconds.
 	Down bool `json:"down"`
 	Slow int  `json:"slow"`
 	// LoseReplies is the share of writes that take effect but whose reply is
 	// cut off.
 	LoseReplies float64 `json:"lose-replies"`
-	// WritesPerSecond and ReadsPerSecond are limits; 0 is none. A waiting
-	// watch counts as one read.
+	// WritesPerSecond and ReadsPerSecond are rate limits; 0 is no limit. A
+	// waiting watch counts as one read.
 	WritesPerSecond int `json:"writes-per-second"`
 	ReadsPerSecond  int `json:"reads-per-second"`
 }
@@ -41,25 +41,25 @@
 	lease    string
 }
 
-// Counts is what the store was asked.
+// Counts holds the numbers of calls that the store received.
 type Counts struct {
 	Reads, Writes, Watches, Limited int64
 }
 
-// Store is safe for concurrent use.
+// Store is a key-value store. It is safe for concurrent use.
 type Store struct {
 	mux *http.ServeMux
 
-	mu       sync.Mutex
-	items    map[string]*item
-	leases   map[string]*lease
-	revision uint64
-	changed  chan struct{}
-	faults   Faults
-	counts   Counts
-	second   int64
-	reads    int
-	writes   int
+	mu            sync.Mutex
+	items         map[string]*item
+	leases        map[string]*lease
+	revision      uint64
+	changed       chan struct{}
+	faults        Faults
+	counts        Counts
+	countedSecond int64
+	reads         int
+	writes        int
 }
 
 type lease struct {
@@ -70,14 +70,14 @@
 // New returns an empty store.
 func New() *Store {
 	st := &Store{mux: http.NewServeMux(), items: map[string]*item{}, leases: map[string]*lease{}, changed: make(chan struct{})}
-	st.mux.HandleFunc("GET /v1/keys/{key}", st.read(st.get))
-	st.mux.HandleFunc("GET /v1/list", st.read(st.list))
-	st.mux.HandleFunc("GET /v1/watch/{key}", st.read(st.watch))
-	st.mux.HandleFunc("PUT /v1/keys/{key}", st.write(st.put))
-	st.mux.HandleFunc("DELETE /v1/keys/{key}", st.write(st.remove))
-	st.mux.HandleFunc("POST /v1/leases", st.write(st.grant))
-	st.mux.HandleFunc("POST /v1/leases/{lease}/renew", st.write(st.renew))
-	st.mux.HandleFunc("POST /faults", st.order)
+	st.mux.HandleFunc("GET /v1/keys/{key}", st.handleRead(st.get))
+	st.mux.HandleFunc("GET /v1/list", st.handleRead(st.list))
+	st.mux.HandleFunc("GET /v1/watch/{key}", st.handleRead(st.watch))
+	st.mux.HandleFunc("PUT /v1/keys/{key}", st.handleWrite(st.put))
+	st.mux.HandleFunc("DELETE /v1/keys/{key}", st.handleWrite(st.remove))
+	st.mux.HandleFunc("POST /v1/leases", st.handleWrite(st.grant))
+	st.mux.HandleFunc("POST /v1/leases/{lease}/renew", st.handleWrite(st.renew))
+	st.mux.HandleFunc("POST /faults", st.postFaults)
 	st.mux.HandleFunc("GET /counts", st.showCounts)
 	return st
 }
@@ -92,7 +92,7 @@
 	st.faults = fa
 }
 
-func (st *Store) order(w http.ResponseWriter, rq *http.Request) {
+func (st *Store) postFaults(w http.ResponseWriter, rq *http.Request) {
 	var fa Faults
 	if json.NewDecoder(rq.Body).Decode(&fa) != nil {
 		w.WriteHeader(http.StatusBadRequest)
@@ -107,25 +107,25 @@
 	reply(w, st.counts)
 }
 
-// enter applies faults and limits to a call and reports whether it goes on.
-func (st *Store) enter(w http.ResponseWriter, write bool) (Faults, bool) {
+// admit applies faults and rate limits to a call and reports whether the call continues.
+func (st *Store) admit(w http.ResponseWriter, write bool) (Faults, bool) {
 	st.mu.Lock()
 	fa := st.faults
 	now := time.Now().Unix()
-	if now != st.second {
-		st.second, st.reads, st.writes = now, 0, 0
+	if now != st.countedSecond {
+		st.countedSecond, st.reads, st.writes = now, 0, 0
 	}
-	var over bool
+	var limited bool
 	if write {
 		st.writes++
 		st.counts.Writes++
-		over = fa.WritesPerSecond > 0 && st.writes > fa.WritesPerSecond
+		limited = fa.WritesPerSecond > 0 && st.writes > fa.WritesPerSecond
 	} else {
 		st.reads++
 		st.counts.Reads++
-		over = fa.ReadsPerSecond > 0 && st.reads > fa.ReadsPerSecond
+		limited = fa.ReadsPerSecond > 0 && st.reads > fa.ReadsPerSecond
 	}
-	if over {
+	if limited {
 		st.counts.Limited++
 	}
 	st.mu.Unlock()
@@ -136,29 +136,30 @@
 	case fa.Down:
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return fa, false
-	case over:
+	case limited:
 		w.WriteHeader(http.StatusTooManyRequests)
 		return fa, false
 	}
 	return fa, true
 }
 
-func (st *Store) read(fn http.HandlerFunc) http.HandlerFunc {
+// handleRead runs a read if it is admitted.
+func (st *Store) handleRead(fn http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, rq *http.Request) {
-		if _, ok := st.enter(w, false); ok {
+		if _, ok := st.admit(w, false); ok {
 			fn(w, rq)
 		}
 	}
 }
 
-// write runs a write, whose reply may be cut off after it took effect.
-func (st *Store) write(fn func(*http.Request, []byte) (int, any)) http.HandlerFunc {
+// handleWrite runs a write if it is admitted. Its reply may be cut off after it took effect.
+func (st *Store) handleWrite(fn func(*http.Request, []byte) (int, any)) http.HandlerFunc {
 	return func(w http.ResponseWriter, rq *http.Request) {
 		body, err := io.ReadAll(rq.Body)
 		if err != nil {
 			return
 		}
-		fa, ok := st.enter(w, true)
+		fa, ok := st.admit(w, true)
 		if !ok {
 			return
 		}
@@ -238,7 +239,8 @@
 	}
 }
 
-const maxValue = 1 << 20
+// maxValueBytes is the largest value that the store accepts.
+const maxValueBytes = 1 << 20
 
 func (st *Store) put(rq *http.Request, body []byte) (int, any) {
 	key, qu := rq.PathValue("key"), rq.URL.Query()
@@ -246,7 +248,7 @@
 	id := qu.Get("lease")
 	prev, _ := strconv.ParseUint(qu.Get("prev"), 10, 64)
 	switch {
-	case len(body) > maxValue:
+	case len(body) > maxValueBytes:
 		return http.StatusRequestEntityTooLarge, nil
 	case qu.Has("create") && it != nil,
 		!qu.Has("create") && (it == nil || it.Revision != prev),
@@ -258,7 +260,7 @@
 	}
 	st.revision++
 	st.items[key] = &item{Key: key, Value: body, Revision: st.revision, lease: id}
-	st.wake()
+	st.notifyWatches()
 	return http.StatusOK, st.items[key]
 }
 
@@ -273,11 +275,12 @@
 		return http.StatusConflict, nil
 	}
 	delete(st.items, key)
-	st.wake()
+	st.notifyWatches()
 	return http.StatusOK, struct{}{}
 }
 
-func (st *Store) wake() {
+// notifyWatches wakes all waiting watches. The caller holds the lock.
+func (st *Store) notifyWatches() {
 	close(st.changed)
 	st.changed = make(chan struct{})
 }
@@ -302,7 +305,7 @@
 	return http.StatusOK, struct{}{}
 }
 
-// expire drops lapsed leases with their keys.
+// expire removes expired leases with their keys. The caller holds the lock.
 func (st *Store) expire() {
 	now := time.Now()
 	for id, le := range st.leases {
@@ -313,7 +316,7 @@
 		for key, it := range st.items {
 			if it.lease == id {
 				delete(st.items, key)
-				st.wake()
+				st.notifyWatches()
 			}
 		}
 	}
