--- a/load/outcome.go
+++ b/load/outcome.go
@@ -53,8 +53,8 @@
 // number from 0 to 1.
 //
 // A refusal with Retry-After is retried after that many seconds, plus jitter. One without is
-// final: the same request would fail again. A broken connection leaves the outcome open, so the client retries;
-// its idempotency key prevents that an order runs twice.
+// final: the same request would fail again. A broken connection leaves the outcome open, so the
+// client retries; its idempotency key prevents that an order runs twice.
 func Again(at Attempt, attempts, retries int, left time.Duration, draw float64) (time.Duration, bool) {
 	if at.Outcome == Whole || attempts > retries {
 		return 0, false
