--- a/test/fleet/addr_test.go
+++ b/test/fleet/addr_test.go
@@ -10,11 +10,11 @@
 	"gotest.tools/v3/assert"
 )
 
-// Two programs of tests come to the same ports at one moment. Each looks whether
-// an address is free before its process listens there; were both given the same,
-// one process would end at its start with "address already in use", and a test
-// fail that has nothing to do with it.
-func TestNoTwoProgramsAreGivenOneAddress(t *testing.T) {
+// Two test programs allocate from the same ports at the same time. Each checks that an
+// address is free before its process listens on it; if both got the same address, one
+// process would exit at its start with "address already in use" and fail an unrelated
+// test.
+func TestProgramsGetDistinctAddresses(t *testing.T) {
 	one, two := addrs{block: 7}, addrs{block: 7}
 	t.Cleanup(func() {
 		for _, li := range append(one.held, two.held...) {
@@ -26,22 +26,22 @@
 		for _, ad := range []*addrs{&one, &two} {
 			addr, err := ad.get()
 			assert.NilError(t, err)
-			assert.Assert(t, !seen[addr], addr)
+			assert.Assert(t, !seen[addr], "%s was allocated twice", addr)
 			seen[addr] = true
 		}
 	}
 }
 
-// A program starts processes while it looks for free addresses. A process that is
-// just being started must not hold an address that another one is given: that one
-// would end at its start, and a test fail that has nothing to do with it.
+// A program starts processes while it allocates addresses. A process that is being
+// started must not hold an address that another process gets: that process would exit
+// at its start and fail an unrelated test.
 func TestAddressIsFreeWhileProcessesStart(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	var wg sync.WaitGroup
 	for range 4 {
 		wg.Go(func() {
 			for ctx.Err() == nil {
-				_ = exec.Command("true").Run() // Only that it starts matters.
+				_ = exec.Command("true").Run() // Only the start matters, not the result.
 			}
 		})
 	}
--- a/test/fleet/client.go
+++ b/test/fleet/client.go
@@ -10,17 +10,17 @@
 	"strings"
 )
 
-// Reply is what a caller got.
+// Reply is the response to a request, or the part of it that arrived.
 type Reply struct {
 	Status int
 	Header http.Header
 	Body   []byte
-	// Whole tells that a stream came with its end mark, or that a whole
-	// answer was read to its end.
+	// Whole is set when a stream arrived with its end marker, or when another response
+	// has status 200 and its body was read to the end.
 	Whole bool
-	// Text is a chat answer's text.
+	// Text is the text of a completion.
 	Text string
-	// Error is the typed error, if that is what came.
+	// Error is the product's typed error, if the response has one.
 	Error struct {
 		Code       string  `json:"code"`
 		Ran        string  `json:"ran"`
@@ -29,7 +29,7 @@
 	}
 }
 
-// Chat asks for a completion.
+// Chat requests a completion.
 func Chat(url, key, model, prompt string, stream bool, header map[string]string) (*Reply, error) {
 	body, err := chatBody(model, prompt, stream)
 	if err != nil {
@@ -49,7 +49,7 @@
 	return Post(url+"/v1/services/"+path, key, body, map[string]string{"Idempotency-Key": idempotency})
 }
 
-// Post sends a request and reads the whole reply.
+// Post sends a request and reads the response to its end.
 func Post(url, key string, body []byte, header map[string]string) (*Reply, error) {
 	rq, err := newPost(url, key, body, header)
 	if err != nil {
@@ -64,9 +64,9 @@
 }
 
 // ReadReply reads a response to its end.
-func ReadReply(rs *http.Response) *Reply { return readWatched(rs, func(int) {}) }
+func ReadReply(rs *http.Response) *Reply { return readResponse(rs, func(int) {}) }
 
-func readWatched(rs *http.Response, token func(int)) *Reply {
+func readResponse(rs *http.Response, token func(int)) *Reply {
 	re := &Reply{Status: rs.StatusCode, Header: rs.Header}
 	if strings.HasPrefix(rs.Header.Get("Content-Type"), "text/event-stream") {
 		re.readEvents(rs.Body, token)
@@ -76,8 +76,8 @@
 	return re
 }
 
-// ChatWatched streams a completion and calls token with the number of each
-// token as it arrives.
+// ChatWatched streams a completion and calls token with the number of tokens received
+// so far, for each token that arrives.
 func ChatWatched(url, key, model, prompt, id string, token func(int)) (*Reply, error) {
 	body, err := chatBody(model, prompt, true)
 	if err != nil {
@@ -92,7 +92,7 @@
 		return nil, err
 	}
 	defer rs.Body.Close()
-	return readWatched(rs, token), nil
+	return readResponse(rs, token), nil
 }
 
 func newPost(url, key string, body []byte, header map[string]string) (*http.Request, error) {
@@ -107,7 +107,7 @@
 			rq.Header.Set(name, val)
 		}
 	}
-	rq.GetBody = nil // The client's own silent retries would hide a fault.
+	rq.GetBody = nil // Prevents the client's own silent retries, which would hide a fault.
 	return rq, nil
 }
 
@@ -160,15 +160,15 @@
 	}
 }
 
-// String describes a reply in a line.
+// String describes the reply in one line.
 func (re *Reply) String() string {
 	if re.Error.Code != "" {
-		return fmt.Sprintf("%d %s (%s), come back in %.0f s: %s", re.Status, re.Error.Code, re.Error.Ran, re.Error.RetryAfter, re.Error.Message)
+		return fmt.Sprintf("%d %s (%s), retry after %.0f s: %s", re.Status, re.Error.Code, re.Error.Ran, re.Error.RetryAfter, re.Error.Message)
 	}
 	return fmt.Sprintf("%d from %s, whole %v, %d words", re.Status, re.Header.Get("Skylarkstand-Version"), re.Whole, len(strings.Fields(re.Text)))
 }
 
-// GetJSON reads a stand-in's page, such as a journal.
+// GetJSON decodes a JSON resource of a stand-in, such as its journal.
 func GetJSON(url string, out any) error {
 	rs, err := http.Get(url)
 	if err != nil {
@@ -178,7 +178,7 @@
 	return json.NewDecoder(rs.Body).Decode(out)
 }
 
-// Order posts a stand-in's fault order.
+// Order posts a fault order to a stand-in.
 func Order(url, body string) error {
 	rs, err := http.Post(url, "application/json", strings.NewReader(body))
 	if err != nil {
--- a/test/fleet/fleet.go
+++ b/test/fleet/fleet.go
@@ -1,13 +1,13 @@
 // Package fleet runs skylarkstand and its stand-ins as separate processes on
-// loopback, for the demonstration, the whole-path tests and the measurements.
+// loopback, for the demo, the end-to-end tests and the measurements.
 //
 // # Usage
 //
 //	fl, cleanup, err := fleet.New(binDir, logDir)
 //	defer cleanup()
 //	err = fl.StartPlatform(map[string]float64{"desk@v1": 0.8})
-//	err = fl.StartEngine("desk-1", core.ModelVersion{Model: "desk", Version: "v1"}, fleet.Zone{…})
-//	err = fl.StartEntry("entry-1", zone)
+//	err = fl.StartEngine("desk-1", core.ModelVersion{Model: "desk", Version: "v1"}, fleet.Place{Zone: "muc-a", Region: "muc"})
+//	entry, err := fl.StartEntry("entry-1", fleet.Place{Zone: "muc-a", Region: "muc"}, nil)
 package fleet
 
 import (
@@ -34,7 +34,8 @@
 	Region core.Region
 }
 
-// Fleet is a set of processes. Its methods may be called from one goroutine.
+// Fleet is a set of processes. Its methods are not safe for concurrent use, except
+// Start, Process and Command.
 type Fleet struct {
 	bin, dir string
 
@@ -43,19 +44,20 @@
 	hosts []core.Host
 
 	StoreURL, PlatformURL string
-	// AgentSettings are added to the settings of agents started from now on.
+	// AgentSettings are added to the settings of agents that are started afterwards.
 	AgentSettings map[string]any
-	// Relayed puts a relay before each agent and each entry's platform.
+	// Relayed puts a relay in front of each agent, and between each entry and its store
+	// and host list.
 	Relayed bool
 	relays  map[string]*Relay
 	cleanup []func()
 }
 
-// PinSecret is the entries' secret for tokens.
+// PinSecret is the secret with which the entries sign session tokens.
 const PinSecret = "fleet"
 
-// New returns an empty fleet of the programs in bin, with logs and settings in
-// dir. The clean-up kills what still runs.
+// New returns an empty fleet that runs the programs in bin and writes logs and settings
+// to dir. The cleanup function kills the processes that still run.
 func New(bin, dir string) (*Fleet, func(), error) {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return nil, nil, eris.Wrap(err, "fleet")
@@ -64,7 +66,7 @@
 	return fl, fl.killAll, nil
 }
 
-// Start runs a program of the fleet.
+// Start starts a program of the fleet, with its output in a log file.
 func (fl *Fleet) Start(name, program string, args ...string) (*Process, error) {
 	logFile, err := os.OpenFile(filepath.Join(fl.dir, name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
@@ -92,19 +94,19 @@
 		return nil, err
 	}
 	pr.URL = "http://" + addr
-	return pr, fl.await(pr, probe)
+	return pr, fl.awaitReady(pr, probe)
 }
 
 const startLimit = 15 * time.Second
 
-// await polls until a process answers, or has ended.
-func (fl *Fleet) await(pr *Process, probe string) error {
+// awaitReady polls until a process answers, or has ended.
+func (fl *Fleet) awaitReady(pr *Process, probe string) error {
 	ctx, cancel := context.WithTimeout(context.Background(), startLimit)
 	defer cancel()
 	return Poll(ctx, "start of "+pr.Name, func() (bool, error) {
 		select {
 		case <-pr.done:
-			return false, eris.Errorf("%s ended at its start; see %s.log", pr.Name, pr.Name)
+			return false, eris.Errorf("%s exited during startup; see %s.log", pr.Name, pr.Name)
 		default:
 		}
 		rs, err := http.Get(pr.URL + probe)
@@ -125,13 +127,13 @@
 		}
 		select {
 		case <-ctx.Done():
-			return eris.Errorf("%s: not within the limit", what)
+			return eris.Errorf("timed out waiting: %s", what)
 		case <-time.After(20 * time.Millisecond):
 		}
 	}
 }
 
-// StartPlatform runs the stand-ins for the store, the host list and ratings.
+// StartPlatform starts the stand-ins for the store, the host list and the rater.
 func (fl *Fleet) StartPlatform(quality map[string]float64) error {
 	addr, err := Addr()
 	if err != nil {
@@ -157,7 +159,7 @@
 	return nil
 }
 
-// StartEngine runs an engine with its agent and lists it.
+// StartEngine starts an engine with its agent and adds it to the host list.
 func (fl *Fleet) StartEngine(id string, mv core.ModelVersion, pl Place, args ...string) error {
 	addr, err := Addr()
 	if err != nil {
@@ -170,7 +172,7 @@
 	return fl.StartAgent(id, mv, pl, eng.URL)
 }
 
-// StartService runs a plain service with its agent and lists it.
+// StartService starts a plain service with its agent and adds it to the host list.
 func (fl *Fleet) StartService(id string, sv core.ServiceID, pl Place, args ...string) error {
 	addr, err := Addr()
 	if err != nil {
@@ -183,15 +185,15 @@
 	return fl.startAgent(id, pl, core.Host{Service: sv}, map[string]any{"service-url": svc.URL, "service": sv})
 }
 
-// StartAgent runs an agent beside an upstream that runs already, or that no
-// request will reach, and lists it.
+// StartAgent starts an agent beside an upstream that is already running, or that no
+// request will reach, and adds it to the host list.
 func (fl *Fleet) StartAgent(id string, mv core.ModelVersion, pl Place, engineURL string) error {
 	return fl.startAgent(id, pl, core.Host{Model: mv.Model, Version: mv.Version}, map[string]any{
 		"engine": engineURL, "model": mv.Model, "version": mv.Version,
 	})
 }
 
-// Hosts returns the list as it was last published.
+// Hosts returns the host list as last published.
 func (fl *Fleet) Hosts() []core.Host { return fl.hosts }
 
 func (fl *Fleet) startAgent(id string, pl Place, ho core.Host, set map[string]any) error {
@@ -215,7 +217,7 @@
 		return err
 	}
 	pr.Addr = listen
-	if listen, err = fl.relayed(id, listen); err != nil {
+	if listen, err = fl.relayTo(id, listen); err != nil {
 		return err
 	}
 	ho.Role, ho.ID, ho.Addr, ho.Zone, ho.Region = core.RoleAgent, core.UpstreamID(id), listen, pl.Zone, pl.Region
@@ -223,7 +225,7 @@
 	return fl.PublishHosts()
 }
 
-// StartEntry runs an entry. It is ready once it knows a configuration.
+// StartEntry starts an entry. It becomes ready once it has received a configuration.
 func (fl *Fleet) StartEntry(name string, pl Place, extra map[string]any) (*Process, error) {
 	listen, err := Addr()
 	if err != nil {
@@ -239,7 +241,7 @@
 		"pin-secret": PinSecret, "ledger-pace": "200ms",
 	}
 	for _, to := range []string{"store", "hosts"} {
-		addr, err := fl.relayed(name+"-"+to, strings.TrimPrefix(set[to].(string), "http://"))
+		addr, err := fl.relayTo(name+"-"+to, strings.TrimPrefix(set[to].(string), "http://"))
 		if err != nil {
 			return nil, err
 		}
@@ -259,8 +261,9 @@
 	return pr, fl.PublishHosts()
 }
 
-// relayed returns the address of a relay to an address, or the address itself.
-func (fl *Fleet) relayed(name, addr string) (string, error) {
+// relayTo starts a relay to addr and returns its address, or returns addr if the fleet
+// isn't relayed.
+func (fl *Fleet) relayTo(name, addr string) (string, error) {
 	if !fl.Relayed {
 		return addr, nil
 	}
@@ -273,13 +276,13 @@
 	return re.Addr, nil
 }
 
-// Relay returns the relay before an agent, by its id, or before an entry's
-// store or host list, as in "entry-1-store".
+// Relay returns the relay in front of an agent, by the agent's id, or between an entry
+// and its store or host list, by a name such as "entry-1-store".
 func (fl *Fleet) Relay(name string) *Relay { return fl.relays[name] }
 
-// StartGateway starts a gateway before a store at an address, and waits until it
-// is ready. The settings are added to the least that it needs; none in extra
-// takes another's place.
+// StartGateway starts a gateway that uses the store at an address, and waits until it is
+// ready. The settings in extra are added to the required ones, and replace those of the
+// same name.
 func (fl *Fleet) StartGateway(name, store string, pl Place, extra map[string]any) (*Process, error) {
 	set := map[string]any{
 		"store": store, "zone": pl.Zone, "regions": map[core.Zone]core.Region{pl.Zone: pl.Region},
@@ -305,7 +308,7 @@
 	}
 	pr.Addr = set["listen"].(string)
 	pr.URL = "http://" + set["readiness"].(string)
-	return pr, fl.await(pr, "/ready")
+	return pr, fl.awaitReady(pr, "/ready")
 }
 
 func (fl *Fleet) writeSettings(name string, set map[string]any) (string, error) {
@@ -317,7 +320,7 @@
 	return path, eris.Wrap(os.WriteFile(path, raw, 0o600), name)
 }
 
-// PublishHosts sends the fleet's hosts to the list.
+// PublishHosts publishes the fleet's hosts in the host list.
 func (fl *Fleet) PublishHosts() error {
 	raw, err := json.Marshal(fl.hosts)
 	if err != nil {
@@ -334,13 +337,13 @@
 	return rs.Body.Close()
 }
 
-// Command runs an operators' command to its end and returns its output.
+// Command runs an operator command to its end and returns its output.
 func (fl *Fleet) Command(args ...string) (string, error) {
 	out, err := exec.Command(filepath.Join(fl.bin, "skylarkstand"), args...).CombinedOutput()
 	return string(out), err
 }
 
-// Process returns a process by name, or nil.
+// Process returns the process with a name, or nil.
 func (fl *Fleet) Process(name string) *Process {
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
--- a/test/fleet/process.go
+++ b/test/fleet/process.go
@@ -5,17 +5,18 @@
 	"syscall"
 )
 
-// Process is one running program.
+// Process is a started program.
 type Process struct {
 	Name string
-	// URL is where it answers HTTP; Addr its links.
+	// URL is the base URL of its HTTP server, Addr the address of its other listener: an
+	// agent's links, an entry's peer listener, a gateway's listener for callers.
 	URL, Addr string
 	cmd       *exec.Cmd
 	done      chan struct{}
 	err       error
 }
 
-// Kill ends a process without warning; Freeze and Resume pause it.
+// Kill kills the process and waits until it has ended.
 func (pr *Process) Kill() {
 	pr.signal(syscall.SIGKILL)
 	<-pr.done
@@ -24,7 +25,7 @@
 // Freeze pauses the process.
 func (pr *Process) Freeze() { pr.signal(syscall.SIGSTOP) }
 
-// Resume ends a pause.
+// Resume continues a process that Freeze has paused.
 func (pr *Process) Resume() { pr.signal(syscall.SIGCONT) }
 
 func (pr *Process) signal(sig syscall.Signal) {
@@ -41,22 +42,22 @@
 	}
 }
 
-// PID returns the process's id.
+// PID returns the process id.
 func (pr *Process) PID() int { return pr.cmd.Process.Pid }
 
-// Terminate asks for a planned stop without waiting for it.
+// Terminate requests a planned stop and does not wait for it.
 func (pr *Process) Terminate() { pr.signal(syscall.SIGTERM) }
 
-// Hangup tells the process that its settings have changed.
+// Hangup sends SIGHUP, which makes the process reload its settings.
 func (pr *Process) Hangup() { pr.signal(syscall.SIGHUP) }
 
-// Wait waits for the end and returns the error of a bad exit.
+// Wait waits until the process has ended and returns the error of a failed exit.
 func (pr *Process) Wait() error {
 	<-pr.done
 	return pr.err
 }
 
-// Stop ends the process as planned and returns the error of a bad exit.
+// Stop requests a planned stop, waits for it and returns the error of a failed exit.
 func (pr *Process) Stop() error {
 	pr.Terminate()
 	return pr.Wait()
--- a/test/fleet/relay.go
+++ b/test/fleet/relay.go
@@ -8,30 +8,29 @@
 	"github.com/rotisserie/eris"
 )
 
-// Relay passes TCP connections on to an address, until it is told to cut or to
-// hold them.
+// Relay forwards TCP connections to an address. Cut breaks them and Hold stalls them.
 type Relay struct {
 	Addr   string
 	li     net.Listener
 	target string
 
-	passed atomic.Int64
+	forwarded atomic.Int64
 
-	mu    sync.Mutex
-	free  *sync.Cond
-	held  bool
-	cut   bool
-	conns map[net.Conn]bool
+	mu      sync.Mutex
+	resumed *sync.Cond
+	stalled bool
+	cut     bool
+	conns   map[net.Conn]bool
 }
 
-// NewRelay returns a relay to an address and its clean-up.
+// NewRelay returns a relay to an address, and its cleanup function.
 func NewRelay(target string) (*Relay, func(), error) {
 	li, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, nil, eris.Wrap(err, "relay")
 	}
 	re := &Relay{Addr: li.Addr().String(), li: li, target: target, conns: map[net.Conn]bool{}}
-	re.free = sync.NewCond(&re.mu)
+	re.resumed = sync.NewCond(&re.mu)
 	go re.serve()
 	return re, func() {
 		li.Close()
@@ -45,11 +44,11 @@
 		if err != nil {
 			return
 		}
-		go re.pass(in)
+		go re.forward(in)
 	}
 }
 
-func (re *Relay) pass(in net.Conn) {
+func (re *Relay) forward(in net.Conn) {
 	re.mu.Lock()
 	cut := re.cut
 	re.mu.Unlock()
@@ -73,12 +72,12 @@
 	for {
 		n, err := from.Read(buf)
 		re.mu.Lock()
-		for re.held {
-			re.free.Wait()
+		for re.stalled {
+			re.resumed.Wait()
 		}
 		re.mu.Unlock()
 		if n > 0 {
-			re.passed.Add(int64(n))
+			re.forwarded.Add(int64(n))
 			if _, werr := to.Write(buf[:n]); werr != nil {
 				err = werr
 			}
@@ -95,32 +94,32 @@
 	}
 }
 
-// Passed returns the bytes that were passed on, in both directions.
-func (re *Relay) Passed() int64 { return re.passed.Load() }
+// Passed returns the number of bytes forwarded, in both directions together.
+func (re *Relay) Passed() int64 { return re.forwarded.Load() }
 
 // Cut breaks all connections and refuses new ones until Restore.
 func (re *Relay) Cut() {
 	re.mu.Lock()
 	defer re.mu.Unlock()
-	re.cut, re.held = true, false
-	re.free.Broadcast()
+	re.cut, re.stalled = true, false
+	re.resumed.Broadcast()
 	for conn := range re.conns {
 		conn.Close()
 	}
 }
 
-// Hold lets nothing through, without closing a connection, until Restore: the
-// path is gone and nobody says so.
+// Hold stalls all connections without closing them until Restore, like a network path
+// that silently drops packets.
 func (re *Relay) Hold() {
 	re.mu.Lock()
 	defer re.mu.Unlock()
-	re.held = true
+	re.stalled = true
 }
 
-// Restore passes everything on again.
+// Restore ends Cut and Hold: the relay forwards again.
 func (re *Relay) Restore() {
 	re.mu.Lock()
 	defer re.mu.Unlock()
-	re.cut, re.held = false, false
-	re.free.Broadcast()
+	re.cut, re.stalled = false, false
+	re.resumed.Broadcast()
 }
--- a/test/fleet/usage.go
+++ b/test/fleet/usage.go
@@ -11,7 +11,7 @@
 	"github.com/rotisserie/eris"
 )
 
-// Usage is what a process has used: processor time since its start, and
+// Usage is the processor time that a process has consumed since its start, and its
 // resident memory in bytes.
 type Usage struct {
 	Processor time.Duration
@@ -19,16 +19,16 @@
 }
 
 const (
-	// clockTick is the kernel's unit of processor time in /proc, 100 a second
-	// on every platform that Go runs on under Linux.
+	// clockTick is the kernel's unit of processor time in /proc: 100 per second on every
+	// platform that Go supports under Linux.
 	clockTick = 10 * time.Millisecond
-	// The fields of /proc/PID/stat behind the name that hold the time spent in
-	// the program and in the kernel, and of statm that holds resident pages.
+	// Indexes of the fields of /proc/PID/stat, counted after the name, with the time in
+	// user and in kernel mode, and of the field of statm with the resident pages.
 	userTicks, systemTicks = 11, 12
 	residentPages          = 1
 )
 
-// Usage reads what the process has used.
+// Usage reads the process's usage from /proc.
 func (pr *Process) Usage() (Usage, error) {
 	var us Usage
 	stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pr.PID()))
