--- a/test/gateway/soak_test.go
+++ b/test/gateway/soak_test.go
@@ -19,17 +19,16 @@
 	"skylarkstand/test/fleet"
 )
 
-// The soak runs gateways as separate processes, breaks what is around them at
-// random, and checks from what callers and upstreams see that no promise was
-// broken. By hand:
+// The soak test runs gateways as separate processes, injects random faults around them,
+// and checks by what callers and upstreams observed that no promise was broken. By hand:
 //
 //	go test ./test/gateway -run Soak -soak-seeds 50 -soak-first 1000 -timeout 30m
 var (
-	soakSeeds = flag.Int("soak-seeds", 2, "how many seeds the soak plays")
+	soakSeeds = flag.Int("soak-seeds", 2, "number of seeds that the soak test runs")
 	soakFirst = flag.Uint64("soak-first", 1, "the first seed")
 )
 
-// regressions are the seeds that ever failed, each with its cause.
+// regressions are all seeds that have failed, each with its cause.
 var regressions = []uint64{}
 
 func TestSoak(t *testing.T) {
@@ -43,35 +42,35 @@
 }
 
 const (
-	soakTime    = 6 * time.Second
-	soakCallers = 10
-	soakSteps   = 20
-	askLimit    = 6 * time.Second
+	soakDuration   = 6 * time.Second
+	soakCallers    = 10
+	soakFaults     = 20
+	requestTimeout = 6 * time.Second
 )
 
-// told is what a caller was told of one request.
-type told struct {
+// exchange is one request of a caller and the response to it.
+type exchange struct {
 	id, kind, body string
-	got
+	response
 }
 
-// beaten is a world whose parts are broken at random.
-type beaten struct {
-	*world
+// soakFixture is a fixture into which random faults are injected.
+type soakFixture struct {
+	*fixture
 	rnd    *rand.Rand
-	relays []*fleet.Relay // before the upstreams
-	stores []*fleet.Relay // before the store, one a gateway
+	relays []*fleet.Relay // in front of the upstreams
+	stores []*fleet.Relay // in front of the store, one per gateway
 
-	mu      sync.Mutex
-	asked   []told
-	version int
-	starts  int
-	ended   []*fleet.Process
+	mu         sync.Mutex
+	exchanges  []exchange
+	version    int
+	starts     int
+	terminated []*fleet.Process
 }
 
 func soak(t *testing.T, seed uint64) {
-	be := newBeaten(t, seed)
-	ctx, cancel := context.WithTimeout(t.Context(), soakTime)
+	be := newSoakFixture(t, seed)
+	ctx, cancel := context.WithTimeout(t.Context(), soakDuration)
 	defer cancel()
 	var wg sync.WaitGroup
 	for i := range soakCallers {
@@ -81,18 +80,18 @@
 			be.caller(ctx, i, rand.New(rand.NewPCG(seed, uint64(i)+10)))
 		}()
 	}
-	for range soakSteps {
-		be.harm()
+	for range soakFaults {
+		be.injectFault()
 		time.Sleep(time.Duration(50+be.rnd.IntN(250)) * time.Millisecond)
 	}
-	be.calm()
+	be.healAll()
 	wg.Wait()
 	be.check()
 }
 
-func newBeaten(t *testing.T, seed uint64) *beaten {
+func newSoakFixture(t *testing.T, seed uint64) *soakFixture {
 	t.Helper()
-	be := &beaten{world: newWorld(t, 0), rnd: rand.New(rand.NewPCG(seed, 1)), version: 10}
+	be := &soakFixture{fixture: newFixture(t, 0), rnd: rand.New(rand.NewPCG(seed, 1)), version: 10}
 	for _, ru := range append(append([]*runner.Runner{}, be.desks...), be.lms...) {
 		re, cleanup, err := fleet.NewRelay(be.addrs[ru.ID()])
 		assert.NilError(t, err)
@@ -113,8 +112,8 @@
 	return be
 }
 
-// start starts a gateway at new addresses in the place of one that has ended.
-func (be *beaten) start(i int) {
+// start starts a gateway at new addresses as the replacement of gateway i.
+func (be *soakFixture) start(i int) {
 	be.mu.Lock()
 	be.starts++
 	name := fmt.Sprint("gateway-", i, "-", be.starts)
@@ -128,14 +127,14 @@
 	be.gws[i] = gw
 }
 
-func (be *beaten) gateway(i int) *fleet.Process {
+func (be *soakFixture) gateway(i int) *fleet.Process {
 	be.mu.Lock()
 	defer be.mu.Unlock()
 	return be.gws[i]
 }
 
-// caller sends requests until the context ends, over kept connections.
-func (be *beaten) caller(ctx context.Context, n int, rnd *rand.Rand) {
+// caller sends requests over persistent connections until the context ends.
+func (be *soakFixture) caller(ctx context.Context, n int, rnd *rand.Rand) {
 	cl := &http.Client{Transport: &http.Transport{}}
 	defer cl.CloseIdleConnections()
 	kinds := []string{"claim", "lookup", "draft"}
@@ -143,23 +142,23 @@
 		kind := kinds[rnd.IntN(len(kinds))]
 		id := fmt.Sprintf("c%d-%d", n, i)
 		body := strings.Repeat(id+" ", 1+rnd.IntN(200))
-		re := be.one(cl, be.gateway(rnd.IntN(len(be.stores))), id, kind, body)
+		re := be.post(cl, be.gateway(rnd.IntN(len(be.stores))), id, kind, body)
 		be.mu.Lock()
-		be.asked = append(be.asked, told{id, kind, body, re})
+		be.exchanges = append(be.exchanges, exchange{id, kind, body, re})
 		be.mu.Unlock()
 		time.Sleep(time.Duration(rnd.IntN(20)) * time.Millisecond)
 	}
 }
 
-func (be *beaten) one(cl *http.Client, gw *fleet.Process, id, kind, body string) got {
-	ctx, cancel := context.WithTimeout(context.Background(), askLimit)
+func (be *soakFixture) post(cl *http.Client, gw *fleet.Process, id, kind, body string) response {
+	ctx, cancel := context.WithTimeout(context.Background(), requestTimeout)
 	defer cancel()
 	rq, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+gw.Addr+"/"+kind+"/"+id, strings.NewReader(body))
 	if err != nil {
-		return got{err: err}
+		return response{err: err}
 	}
 	rq.Host = "a.example"
-	// Without this the client would send again by itself.
+	// Prevents the client from retrying by itself.
 	rq.GetBody = nil
 	rq.Header.Set("X-Skylarkstand-Attempt-Id", id)
 	rq.Header.Set("X-Skylarkstand-Key", "key-1")
@@ -170,15 +169,15 @@
 	}
 	rs, err := cl.Do(rq)
 	if err != nil {
-		return got{err: err}
+		return response{err: err}
 	}
 	defer rs.Body.Close()
 	data, err := io.ReadAll(rs.Body)
-	return got{rs.StatusCode, string(data), rs.Header, err}
+	return response{rs.StatusCode, string(data), rs.Header, err}
 }
 
-// harm breaks something, and mends something that was broken before.
-func (be *beaten) harm() {
+// injectFault injects or heals one random fault.
+func (be *soakFixture) injectFault() {
 	modes := []runner.Mode{runner.Fail, runner.Full, runner.Break, runner.Slow, runner.Answer}
 	all := append(append([]*runner.Runner{}, be.desks...), be.lms...)
 	re, st := be.relays[be.rnd.IntN(len(be.relays))], be.stores[be.rnd.IntN(len(be.stores))]
@@ -219,13 +218,13 @@
 		}
 		be.start(gw)
 		be.mu.Lock()
-		be.ended = append(be.ended, old)
+		be.terminated = append(be.terminated, old)
 		be.mu.Unlock()
 	}
 }
 
-// calm mends everything.
-func (be *beaten) calm() {
+// healAll heals all faults.
+func (be *soakFixture) healAll() {
 	for _, re := range append(append([]*fleet.Relay{}, be.relays...), be.stores...) {
 		re.Restore()
 	}
@@ -235,18 +234,18 @@
 	}
 }
 
-// check holds what callers were told against what upstreams ran.
-func (be *beaten) check() {
+// check compares what callers received with what upstreams ran.
+func (be *soakFixture) check() {
 	t := be.t
 	be.configure(be.version+1, "key-1", "key-last")
 	for i := range be.gws {
-		be.until("service after the faults", func() bool {
-			re := be.one(http.DefaultClient, be.gateway(i), fmt.Sprint("last-", i), "lookup", "x")
+		be.waitFor(fmt.Sprint("service of gateway ", i, " after the faults"), func() bool {
+			re := be.post(http.DefaultClient, be.gateway(i), fmt.Sprint("last-", i), "lookup", "x")
 			return re.err == nil && re.status == http.StatusOK
 		})
 	}
-	for _, gw := range be.ended {
-		assert.NilError(t, gw.Wait(), "a planned stop ends well")
+	for _, gw := range be.terminated {
+		assert.NilError(t, gw.Wait(), "exit of a gateway after a planned stop")
 	}
 	ran := map[string][]runner.Run{}
 	for _, ru := range append(append([]*runner.Runner{}, be.desks...), be.lms...) {
@@ -255,36 +254,36 @@
 		}
 	}
 	answered := 0
-	for _, te := range be.asked {
+	for _, te := range be.exchanges {
 		for _, run := range ran[te.id] {
-			assert.Equal(t, run.Body, te.body, "%s: another body", te.id)
+			assert.Equal(t, run.Body, te.body, "%s: the upstream received another body", te.id)
 			assert.Equal(t, run.Workspace, "school")
 		}
 		if te.kind == "claim" {
-			assert.Assert(t, len(ran[te.id]) <= 1, "%s ran %d times", te.id, len(ran[te.id]))
+			assert.Assert(t, len(ran[te.id]) <= 1, "the claim %s ran %d times", te.id, len(ran[te.id]))
 		}
 		if te.status == http.StatusServiceUnavailable && te.kind == "claim" {
-			assert.Equal(t, len(ran[te.id]), 0, "%s was told that it had not run: %s", te.id, te.got.body)
+			assert.Equal(t, len(ran[te.id]), 0, "the claim %s ran, although its caller received 503: %s", te.id, te.response.body)
 		}
 		if te.status == http.StatusOK && te.err == nil {
 			answered++
 			te.checkAnswer(t)
 		}
 		if te.status == http.StatusOK && te.err != nil {
-			assert.Assert(t, te.kind != "draft" || strings.HasPrefix(stream(), te.got.body), "%s: %q", te.id, te.got.body)
+			assert.Assert(t, te.kind != "draft" || strings.HasPrefix(stream(), te.response.body), "%s: the cut stream is not a prefix of the complete one: %q", te.id, te.response.body)
 		}
 	}
-	assert.Assert(t, answered > len(be.asked)/10, "%d of %d were answered", answered, len(be.asked))
-	t.Logf("%d requests, %d answered, %d starts", len(be.asked), answered, be.starts)
+	assert.Assert(t, answered > len(be.exchanges)/10, "only %d of %d requests were answered; want more than a tenth", answered, len(be.exchanges))
+	t.Logf("%d requests, %d answered, %d gateway starts", len(be.exchanges), answered, be.starts)
 }
 
-// checkAnswer checks that a whole answer is the upstream's to this request.
-func (te told) checkAnswer(t *testing.T) {
+// checkAnswer checks that a complete answer is the upstream's answer to this request.
+func (te exchange) checkAnswer(t *testing.T) {
 	t.Helper()
 	assert.Equal(t, te.header.Get("X-Skylarkstand-Attempt-Id"), te.id)
 	if te.kind == "draft" {
-		assert.Equal(t, te.got.body, stream(), te.id)
+		assert.Equal(t, te.response.body, stream(), "%s: the stream is not the complete one", te.id)
 		return
 	}
-	assert.Assert(t, strings.HasSuffix(te.got.body, " did "+te.body), "%s: %q", te.id, te.got.body)
+	assert.Assert(t, strings.HasSuffix(te.response.body, " did "+te.body), "%s: not the answer to this request: %q", te.id, te.response.body)
 }
--- a/test/gateway/world_test.go
+++ b/test/gateway/world_test.go
@@ -1,5 +1,5 @@
-// Package gateway_test plays requests through gateways as separate processes,
-// before stand-ins of the users' store and upstreams.
+// Package gateway_test sends requests through gateways that run as separate processes in
+// front of stand-ins for the users' store and upstreams.
 package gateway_test
 
 import (
@@ -21,7 +21,7 @@
 	"skylarkstand/test/fleet"
 )
 
-// bin holds the program, built once.
+// bin is the directory of the program under test, which TestMain builds once.
 var bin string
 
 func TestMain(m *testing.M) {
@@ -32,7 +32,7 @@
 		err = build.Run()
 	}
 	if err != nil {
-		fmt.Fprintln(os.Stderr, "build:", err)
+		fmt.Fprintln(os.Stderr, "cannot build the program under test:", err)
 		os.Exit(1)
 	}
 	bin = dir
@@ -41,8 +41,8 @@
 	os.Exit(code)
 }
 
-// world is a store, upstreams and gateways.
-type world struct {
+// fixture is a store, upstreams and gateways.
+type fixture struct {
 	t     *testing.T
 	st    *kv.Store
 	fl    *fleet.Fleet
@@ -50,20 +50,20 @@
 	desks []*runner.Runner
 	lms   []*runner.Runner
 	seq   int
-	// store is the store's address, addrs those of the upstreams.
+	// store is the store's address, addrs the upstreams' addresses by id.
 	store string
 	addrs map[string]string
 }
 
 type object = map[string]any
 
-// newWorld starts two upstreams of each of two services and so many gateways.
-func newWorld(t *testing.T, gateways int) *world {
+// newFixture starts two upstreams of each of two services, and a number of gateways.
+func newFixture(t *testing.T, gateways int) *fixture {
 	t.Helper()
 	fl, cleanup, err := fleet.New(bin, t.TempDir())
 	assert.NilError(t, err)
 	t.Cleanup(cleanup)
-	wo := &world{t: t, st: kv.New(), fl: fl, addrs: map[string]string{}}
+	wo := &fixture{t: t, st: kv.New(), fl: fl, addrs: map[string]string{}}
 	srv := httptest.NewServer(wo.st)
 	t.Cleanup(func() {
 		srv.CloseClientConnections()
@@ -84,8 +84,8 @@
 	return wo
 }
 
-// upstream starts an upstream and lists it.
-func (wo *world) upstream(id, service, version string) *runner.Runner {
+// upstream starts an upstream and adds it to the list in the store.
+func (wo *fixture) upstream(id, service, version string) *runner.Runner {
 	wo.t.Helper()
 	ru := runner.New(id, service, version)
 	srv := httptest.NewServer(ru)
@@ -98,8 +98,8 @@
 	return ru
 }
 
-// configure writes a configuration with the keys of one workspace.
-func (wo *world) configure(version int, keys ...string) {
+// configure writes a configuration with the given API keys of the workspace school.
+func (wo *fixture) configure(version int, keys ...string) {
 	rt := func(name, prefix, kind, service string, more object) object {
 		out := object{
 			"name": name, "host": "a.example", "prefix": prefix, "route_type": kind, "service": service,
@@ -124,39 +124,42 @@
 	})
 }
 
-// ask is a request through one gateway.
-type ask struct {
+// request is a request to one gateway.
+type request struct {
 	gateway         int
 	path, key, body string
 	model           string
 	header          http.Header
 }
 
-// got is its answer.
-type got struct {
+// response is the response to a request.
+type response struct {
 	status int
 	body   string
 	header http.Header
-	// err is set when the answer was not whole.
+	// err is set if the response did not arrive completely.
 	err error
 }
 
-// askAlone is ask for goroutines of a test.
-func (wo *world) askAlone(as ask) got { return wo.send(as, "alone") }
+// sendConcurrently sends a request with the id "alone". Unlike send, it may be called from
+// several goroutines at once.
+func (wo *fixture) sendConcurrently(as request) response { return wo.sendAs(as, "alone") }
 
-func (wo *world) ask(as ask) got {
+// send sends a request with an id of its own and returns the response.
+func (wo *fixture) send(as request) response {
 	wo.t.Helper()
 	wo.seq++
-	return wo.send(as, fmt.Sprint("r", wo.seq))
+	return wo.sendAs(as, fmt.Sprint("r", wo.seq))
 }
 
-func (wo *world) send(as ask, id string) got {
+// sendAs sends a request with an id.
+func (wo *fixture) sendAs(as request, id string) response {
 	if as.key == "" {
 		as.key = "key-1"
 	}
 	rq, err := http.NewRequestWithContext(wo.t.Context(), http.MethodPost, "http://"+wo.gws[as.gateway].Addr+as.path, strings.NewReader(as.body))
 	if err != nil {
-		return got{err: err}
+		return response{err: err}
 	}
 	rq.Host = "a.example"
 	for name, vals := range as.header {
@@ -172,15 +175,15 @@
 	}
 	rs, err := http.DefaultClient.Do(rq)
 	if err != nil {
-		return got{err: err}
+		return response{err: err}
 	}
 	defer rs.Body.Close()
 	data, err := io.ReadAll(rs.Body)
-	return got{rs.StatusCode, string(data), rs.Header, err}
+	return response{rs.StatusCode, string(data), rs.Header, err}
 }
 
-// runs counts the runs of upstreams.
-func runs(rus []*runner.Runner) int {
+// countRuns returns the number of runs of upstreams.
+func countRuns(rus []*runner.Runner) int {
 	sum := 0
 	for _, ru := range rus {
 		sum += len(ru.Runs())
@@ -188,13 +191,13 @@
 	return sum
 }
 
-// until waits for something that takes a while to spread.
-func (wo *world) until(what string, fn func() bool) {
+// waitFor polls until fn reports true, and fails the test after 20 s.
+func (wo *fixture) waitFor(what string, fn func() bool) {
 	wo.t.Helper()
-	over := time.Now().Add(20 * time.Second)
+	deadline := time.Now().Add(20 * time.Second)
 	for !fn() {
-		if time.Now().After(over) {
-			wo.t.Fatalf("%s did not come about", what)
+		if time.Now().After(deadline) {
+			wo.t.Fatalf("timed out after 20 s waiting for %s", what)
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
