--- a/test/fakestore/store.go
+++ b/test/fakestore/store.go
@@ -1,18 +1,17 @@
-// Package fakestore is the platform's key-value service in memory, with the
-// faults that the protocols over it must bear: replies lost after the write
-// took effect, writes that take effect long after their reply was lost or not
-// at all, refusals, outages, delays, limits on the rate, and callers paused at
-// any call.
+// Package fakestore is an in-memory implementation of the platform's key-value service
+// that injects the faults that the protocols over it must tolerate: replies lost after
+// the write took effect, writes that take effect long after their reply was lost or not
+// at all, refusals, outages, delays, rate limits, and callers paused at any call.
 //
-// Which call meets which fault is drawn from a seed and the number of the
-// call, so that a run repeats. Time is the clock of package time: inside
-// testing/synctest it is virtual, and the waiting costs nothing.
+// A seeded generator draws the fault of each call in the order of the calls, so that a
+// run is reproducible. The store uses the clock of package time: inside testing/synctest
+// it is virtual, and waiting costs nothing.
 //
 // # Usage
 //
 //	st := fakestore.New(fakestore.Seed(7), fakestore.With(fakestore.Faults{LoseReply: 0.2}))
 //	st.Set(fakestore.Faults{Down: true})
-//	st.Land()                       // held late writes take effect now
+//	st.Land()                                       // apply the late writes now
 //	st.Before(func(op fakestore.Op) { <-resume })   // pause a caller
 package fakestore
 
@@ -28,49 +27,49 @@
 	"skylarkstand/core"
 )
 
-// Faults is what goes wrong until the next Set. Shares are from 0 to 1.
+// Faults are the faults to inject until the next Set. Shares are from 0 to 1.
 type Faults struct {
-	// Down refuses each call.
+	// Down refuses every call.
 	Down bool
 	// Refuse is the share of calls that are refused without effect.
 	Refuse float64
-	// LoseReply is the share of writes that take effect and whose reply is
-	// lost; LoseWrite of those that never take effect, with the same error.
+	// LoseReply is the share of writes that take effect but whose reply is lost,
+	// LoseWrite the share of writes that never take effect; both return the same error.
 	LoseReply, LoseWrite float64
-	// Late is the share of writes whose reply is lost and that take effect
-	// LateBy afterwards, if their condition holds then. With a LateBy of 0
-	// they are held until Land.
+	// Late is the share of writes whose reply is lost and that take effect LateBy later,
+	// if their condition holds then. If LateBy is 0, they are held until Land.
 	Late   float64
 	LateBy time.Duration
-	// Latency is the time that each call takes.
+	// Latency is the duration of each call.
 	Latency time.Duration
-	// WritesPerSecond refuses the writes above it; 0 is no limit.
+	// WritesPerSecond is the number of writes per second above which writes are refused;
+	// 0 means no limit.
 	WritesPerSecond int
 }
 
-// Op is one call, as Before sees it.
+// Op describes a call to the function that Before sets.
 type Op struct {
 	Name string
 	Key  string
 }
 
-// Counts is what the store was asked. Refused calls count as well.
+// Counts are the numbers of calls. Reads and Writes include refused calls.
 type Counts struct{ Reads, Writes, Refused int }
 
 // Store implements [core.Store].
 type Store struct {
-	mu      sync.Mutex
-	rnd     *rand.Rand
-	faults  Faults
-	before  func(Op)
-	items   map[string]core.Item
-	leases  map[core.LeaseID]*lease
-	rev     core.Revision
-	held    []func()
-	changed chan struct{}
-	counts  Counts
-	second  int64
-	writes  int
+	mu             sync.Mutex
+	rnd            *rand.Rand
+	faults         Faults
+	before         func(Op)
+	items          map[string]core.Item
+	leases         map[core.LeaseID]*lease
+	rev            core.Revision
+	lateWrites     []func()
+	changed        chan struct{}
+	counts         Counts
+	currentSecond  int64
+	writesInSecond int
 }
 
 type lease struct {
@@ -79,15 +78,15 @@
 	keys    []string
 }
 
-// Option changes a Store at construction.
+// Option configures a Store in New.
 type Option func(*Store)
 
-// Seed sets what the faults are drawn from.
+// Seed sets the seed of the generator that draws the faults.
 func Seed(seed uint64) Option {
 	return func(st *Store) { st.rnd = rand.New(rand.NewPCG(seed, seed)) }
 }
 
-// With sets the faults to begin with.
+// With sets the initial faults.
 func With(fa Faults) Option { return func(st *Store) { st.faults = fa } }
 
 // New returns an empty store without faults.
@@ -107,36 +106,36 @@
 	st.faults = fa
 }
 
-// Before sets what is called in the caller's goroutine ahead of each call; a
-// function that blocks is a caller that is paused there.
+// Before sets a function that runs in the caller's goroutine before each call; a
+// function that blocks pauses the caller there.
 func (st *Store) Before(fn func(Op)) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	st.before = fn
 }
 
-// Counts returns what was asked so far.
+// Counts returns the numbers of calls so far.
 func (st *Store) Counts() Counts {
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	return st.counts
 }
 
-// Land lets the held late writes take effect, as far as their conditions hold,
-// and returns how many were held.
+// Land applies the held late writes whose conditions still hold, and returns how many
+// writes were held.
 func (st *Store) Land() int {
 	st.mu.Lock()
 	defer st.mu.Unlock()
-	held := st.held
-	st.held = nil
+	held := st.lateWrites
+	st.lateWrites = nil
 	for _, fn := range held {
 		fn()
 	}
 	return len(held)
 }
 
-// enter counts a call and lets it wait, or refuses it.
-func (st *Store) enter(ctx context.Context, op Op, write bool) error {
+// begin counts a call, and delays or refuses it according to the faults.
+func (st *Store) begin(ctx context.Context, op Op, write bool) error {
 	st.mu.Lock()
 	fa, before := st.faults, st.before
 	refuse := fa.Down || fa.Refuse > 0 && st.rnd.Float64() < fa.Refuse
@@ -166,16 +165,16 @@
 
 func (st *Store) overRate(fa Faults) bool {
 	now := time.Now().Unix()
-	if now != st.second {
-		st.second, st.writes = now, 0
+	if now != st.currentSecond {
+		st.currentSecond, st.writesInSecond = now, 0
 	}
-	st.writes++
-	return fa.WritesPerSecond > 0 && st.writes > fa.WritesPerSecond
+	st.writesInSecond++
+	return fa.WritesPerSecond > 0 && st.writesInSecond > fa.WritesPerSecond
 }
 
-// write runs a write with the fault that is drawn for it.
+// write executes a write with the fault that is drawn for it.
 func (st *Store) write(ctx context.Context, op Op, effect func() (core.Revision, error)) (core.Revision, error) {
-	if err := st.enter(ctx, op, true); err != nil {
+	if err := st.begin(ctx, op, true); err != nil {
 		return 0, err
 	}
 	st.mu.Lock()
@@ -188,15 +187,15 @@
 	case draw < fa.LoseReply+fa.LoseWrite:
 		return 0, core.ErrUncertain
 	case draw < fa.LoseReply+fa.LoseWrite+fa.Late:
-		st.later(fa.LateBy, func() { _, _ = effect() })
+		st.applyLate(fa.LateBy, func() { _, _ = effect() })
 		return 0, core.ErrUncertain
 	}
 	return effect()
 }
 
-func (st *Store) later(by time.Duration, fn func()) {
+func (st *Store) applyLate(by time.Duration, fn func()) {
 	if by == 0 {
-		st.held = append(st.held, fn)
+		st.lateWrites = append(st.lateWrites, fn)
 		return
 	}
 	time.AfterFunc(by, func() {
@@ -206,7 +205,7 @@
 	})
 }
 
-// put is called with the lock held.
+// put stores a value under the next revision. The caller must hold st.mu.
 func (st *Store) put(key string, val []byte) core.Revision {
 	st.rev++
 	st.items[key] = core.Item{Key: key, Value: slices.Clone(val), Revision: st.rev}
@@ -221,12 +220,12 @@
 
 // Get implements [core.Store].
 func (st *Store) Get(ctx context.Context, key string) (core.Item, error) {
-	if err := st.enter(ctx, Op{"get", key}, false); err != nil {
+	if err := st.begin(ctx, Op{"get", key}, false); err != nil {
 		return core.Item{}, err
 	}
 	st.mu.Lock()
 	defer st.mu.Unlock()
-	st.lapse()
+	st.expireLeases()
 	it, ok := st.items[key]
 	if !ok {
 		return core.Item{}, core.ErrNotFound
@@ -236,12 +235,12 @@
 
 // List implements [core.Store].
 func (st *Store) List(ctx context.Context, prefix string) ([]core.Item, error) {
-	if err := st.enter(ctx, Op{"list", prefix}, false); err != nil {
+	if err := st.begin(ctx, Op{"list", prefix}, false); err != nil {
 		return nil, err
 	}
 	st.mu.Lock()
 	defer st.mu.Unlock()
-	st.lapse()
+	st.expireLeases()
 	var its []core.Item
 	for key, it := range st.items {
 		if strings.HasPrefix(key, prefix) {
@@ -255,7 +254,7 @@
 // Create implements [core.Store].
 func (st *Store) Create(ctx context.Context, key string, val []byte, le core.LeaseID) (core.Revision, error) {
 	return st.write(ctx, Op{"create", key}, func() (core.Revision, error) {
-		st.lapse()
+		st.expireLeases()
 		if _, ok := st.items[key]; ok {
 			return 0, core.ErrConflict
 		}
@@ -273,7 +272,7 @@
 // Swap implements [core.Store].
 func (st *Store) Swap(ctx context.Context, key string, prev core.Revision, val []byte) (core.Revision, error) {
 	return st.write(ctx, Op{"swap", key}, func() (core.Revision, error) {
-		st.lapse()
+		st.expireLeases()
 		if it, ok := st.items[key]; !ok || it.Revision != prev {
 			return 0, core.ErrConflict
 		}
@@ -300,7 +299,7 @@
 
 // Watch implements [core.Store].
 func (st *Store) Watch(ctx context.Context, key string, after core.Revision) (core.Item, error) {
-	if err := st.enter(ctx, Op{"watch", key}, false); err != nil {
+	if err := st.begin(ctx, Op{"watch", key}, false); err != nil {
 		return core.Item{}, err
 	}
 	for {
@@ -337,7 +336,7 @@
 // Renew implements [core.Store].
 func (st *Store) Renew(ctx context.Context, id core.LeaseID) error {
 	_, err := st.write(ctx, Op{"renew", string(id)}, func() (core.Revision, error) {
-		st.lapse()
+		st.expireLeases()
 		ls := st.leases[id]
 		if ls == nil {
 			return 0, core.ErrNotFound
@@ -348,9 +347,8 @@
 	return err
 }
 
-// lapse removes what hangs on leases that ran out. It is called with the lock
-// held.
-func (st *Store) lapse() {
+// expireLeases removes expired leases and their keys. The caller must hold st.mu.
+func (st *Store) expireLeases() {
 	now := time.Now()
 	for id, ls := range st.leases {
 		if now.Before(ls.expires) {
