--- a/test/demo/hog.go
+++ b/test/demo/hog.go
@@ -10,42 +10,42 @@
 )
 
 const (
-	hogCallers = 300
-	// hogDeadline is below what 300 requests at once take, so that some cannot
-	// be served in time and are told so at once.
-	hogDeadline = "200ms"
-	questions   = 20
+	noisyCallers = 300
+	// noisyDeadline is shorter than 300 concurrent requests take, so that some cannot be
+	// served in time and must be refused immediately.
+	noisyDeadline = "200ms"
+	quietRequests = 20
 )
 
-// hog lets one workspace send hundreds of requests at once, while another asks
-// its usual questions.
-func (de *demo) hog() error {
-	fmt.Printf("\nThe workspace districts sends %d requests at once that must be answered in %s;\nmeanwhile the schools ask %d questions:\n", hogCallers, hogDeadline, questions)
+// noisyNeighbour sends hundreds of concurrent requests of one workspace, while another
+// workspace sends its usual requests one after the other.
+func (de *demo) noisyNeighbour() error {
+	fmt.Printf("\nThe workspace districts sends %d concurrent requests with a deadline of %s;\nmeanwhile the workspace schools sends %d requests:\n", noisyCallers, noisyDeadline, quietRequests)
 	var mu sync.Mutex
 	var wg sync.WaitGroup
-	kinds := map[string]int{}
-	for i := range hogCallers {
+	outcomes := map[string]int{}
+	for i := range noisyCallers {
 		wg.Go(func() {
-			re, err := fleet.Chat(de.one.URL, "districts-key", "desk", fmt.Sprintf("flood %d", i), false, map[string]string{"Skylarkstand-Deadline": hogDeadline})
+			re, err := fleet.Chat(de.entry1.URL, "districts-key", "desk", fmt.Sprintf("flood %d", i), false, map[string]string{"Skylarkstand-Deadline": noisyDeadline})
 			mu.Lock()
 			defer mu.Unlock()
 			switch {
 			case err != nil:
-				kinds["no reply"]++
+				outcomes["no reply"]++
 			case re.Whole:
-				kinds["answered"]++
-				de.whole++
+				outcomes["answered"]++
+				de.complete++
 			case re.Error.Ran == "not-run" && re.Error.RetryAfter > 0:
-				kinds["refused, not run, told when to come back"]++
+				outcomes["refused, not run, with a time to retry"]++
 			default:
-				kinds[fmt.Sprintf("%s, ran: %s", re.Error.Code, re.Error.Ran)]++
+				outcomes[fmt.Sprintf("%s, ran: %s", re.Error.Code, re.Error.Ran)]++
 			}
 		})
 	}
-	whole, took := 0, make([]time.Duration, questions)
-	for i := range questions {
+	whole, took := 0, make([]time.Duration, quietRequests)
+	for i := range quietRequests {
 		began := time.Now()
-		re, err := de.ask(de.one, "desk", fmt.Sprintf("usual question %d", i), true)
+		re, err := de.send(de.entry1, "desk", fmt.Sprintf("usual question %d", i), true)
 		if err != nil {
 			return err
 		}
@@ -56,7 +56,7 @@
 	}
 	wg.Wait()
 	slices.Sort(took)
-	de.expect(whole == questions, "schools: %d of %d answered whole, half of them within %s", whole, questions, took[questions/2].Round(time.Millisecond))
-	de.expect(kinds["no reply"] == 0, "districts: %v", kinds)
+	de.expect(whole == quietRequests, "schools: %d of %d answered completely, half of them within %s", whole, quietRequests, took[quietRequests/2].Round(time.Millisecond))
+	de.expect(outcomes["no reply"] == 0, "districts: %v", outcomes)
 	return nil
 }
--- a/test/demo/main.go
+++ b/test/demo/main.go
@@ -1,6 +1,6 @@
-// Demo runs a small fleet on loopback and shows what callers get: streamed
-// answers, a cascade, an operation that runs at most once, the loss of an
-// agent in the middle, and the bills. It exits non-zero when a promise broke.
+// Demo runs a small fleet on loopback and shows what callers receive: streamed answers, a
+// cascade, an operation that runs at most once, refusals, an evacuation, the loss of an
+// agent, a roll-out that is halted, and the bills. It exits non-zero if a check fails.
 //
 // # Usage
 //
@@ -8,6 +8,7 @@
 package main
 
 import (
+	"errors"
 	"fmt"
 	"os"
 	"path/filepath"
@@ -30,29 +31,32 @@
 	de := &demo{fl: fl}
 	if err := de.run(); err != nil {
 		fmt.Println("demo:", err)
-		de.broken++
+		de.failed++
 	}
 	cleanup()
-	if de.broken > 0 {
-		fmt.Printf("\n%d promise(s) BROKEN; logs are in %s\n", de.broken, dir)
+	if de.failed > 0 {
+		fmt.Printf("\n%d check(s) BROKEN; logs are in %s\n", de.failed, dir)
 		os.Exit(1)
 	}
 	fmt.Println("\nAll promises held.")
 }
 
 type demo struct {
-	fl     *fleet.Fleet
-	broken int
-	whole  int
-	one    *fleet.Process
-	two    *fleet.Process
+	fl *fleet.Fleet
+	// failed is the number of failed checks.
+	failed int
+	// complete is the number of complete answers so far, each of which must be billed.
+	complete int
+	entry1   *fleet.Process
+	entry2   *fleet.Process
 }
 
+// expect prints the outcome of a check and counts it if it failed.
 func (de *demo) expect(ok bool, format string, args ...any) {
 	mark := "ok    "
 	if !ok {
 		mark = "BROKEN"
-		de.broken++
+		de.failed++
 	}
 	fmt.Printf("  %s %s\n", mark, fmt.Sprintf(format, args...))
 }
@@ -61,7 +65,7 @@
 	if err := de.start(); err != nil {
 		return err
 	}
-	steps := []func() error{de.chat, de.cascade, de.atMostOnce, de.refusals, de.zones, de.order, de.hog, de.killAgent, de.rollOut, de.stop, de.bill}
+	steps := []func() error{de.chat, de.cascade, de.atMostOnce, de.refusals, de.zones, de.order, de.noisyNeighbour, de.killAgent, de.rollOut, de.stop, de.bill}
 	for _, step := range steps {
 		if err := step(); err != nil {
 			return err
@@ -71,7 +75,7 @@
 }
 
 func (de *demo) start() error {
-	fmt.Println("Starting the platform's stand-ins, three engines, a plain service and two entries …")
+	fmt.Println("Starting stand-ins for the platform, three engines, a plain service and two entries …")
 	muc, nue := fleet.Place{Zone: "muc-a", Region: "muc"}, fleet.Place{Zone: "nue-a", Region: "nue"}
 	desk, drafter := core.ModelVersion{Model: "desk", Version: "v1"}, core.ModelVersion{Model: "drafter", Version: "v1"}
 	fl := de.fl
@@ -81,8 +85,8 @@
 		func() error { return fl.StartEngine("desk-2", desk, muc) },
 		func() error { return fl.StartEngine("drafter-1", drafter, muc, "--words", "60") },
 		func() error { return fl.StartService("subsidy-1", "subsidy", muc) },
-		func() (err error) { de.one, err = fl.StartEntry("entry-1", muc, nil); return },
-		func() (err error) { de.two, err = fl.StartEntry("entry-2", nue, nil); return },
+		func() (err error) { de.entry1, err = fl.StartEntry("entry-1", muc, nil); return },
+		func() (err error) { de.entry2, err = fl.StartEntry("entry-2", nue, nil); return },
 	} {
 		if err == nil {
 			err = start()
@@ -99,9 +103,9 @@
 	return de.ready()
 }
 
-// ready waits until both entries answer.
+// ready waits until both entries answer, for up to 10 s.
 func (de *demo) ready() error {
-	for _, pr := range []*fleet.Process{de.one, de.two} {
+	for _, pr := range []*fleet.Process{de.entry1, de.entry2} {
 		deadline := time.Now().Add(10 * time.Second)
 		for {
 			re, err := fleet.Chat(pr.URL, "schools-key", "drafter", "ready?", false, nil)
@@ -109,11 +113,11 @@
 				return err
 			}
 			if re.Status == 200 {
-				de.whole++
+				de.complete++
 				break
 			}
 			if time.Now().After(deadline) {
-				return fmt.Errorf("%s is not ready: %s", pr.Name, re)
+				return fmt.Errorf("%s is not ready after 10 s: %s", pr.Name, re)
 			}
 			time.Sleep(50 * time.Millisecond)
 		}
@@ -121,18 +125,19 @@
 	return nil
 }
 
-func (de *demo) ask(pr *fleet.Process, model, prompt string, stream bool) (*fleet.Reply, error) {
+// send requests a completion for the workspace schools and counts complete answers.
+func (de *demo) send(pr *fleet.Process, model, prompt string, stream bool) (*fleet.Reply, error) {
 	re, err := fleet.Chat(pr.URL, "schools-key", model, prompt, stream, nil)
 	if err == nil && re.Whole {
-		de.whole++
+		de.complete++
 	}
 	return re, err
 }
 
 func (de *demo) chat() error {
 	fmt.Println("\nA quick question, streamed through either entry:")
-	for _, pr := range []*fleet.Process{de.one, de.two} {
-		re, err := de.ask(pr, "desk", "Which lamp replaces a T8 tube?", true)
+	for _, pr := range []*fleet.Process{de.entry1, de.entry2} {
+		re, err := de.send(pr, "desk", "Which lamp replaces a T8 tube?", true)
 		if err != nil {
 			return err
 		}
@@ -143,18 +148,18 @@
 
 func (de *demo) cascade() error {
 	fmt.Println("\nTwelve questions to the cascade desk -> drafter; hard ones go on to the drafter:")
-	by := map[string]int{}
+	versions := map[string]int{}
 	for i := range 12 {
-		re, err := de.ask(de.one, "quick", fmt.Sprintf("question %d", i), i%2 == 0)
+		re, err := de.send(de.entry1, "quick", fmt.Sprintf("question %d", i), i%2 == 0)
 		if err != nil {
 			return err
 		}
 		if !re.Whole {
 			de.expect(false, "question %d: %s", i, re)
 		}
-		by[re.Header.Get("Skylarkstand-Version")]++
+		versions[re.Header.Get("Skylarkstand-Version")]++
 	}
-	de.expect(by["desk@v1"] > 0 && by["drafter@v1"] > 0, "answered by %v", by)
+	de.expect(versions["desk@v1"] > 0 && versions["drafter@v1"] > 0, "answered by %v", versions)
 	return nil
 }
 
@@ -164,9 +169,9 @@
 	got := make([]*fleet.Reply, 6)
 	for i := range got {
 		wg.Go(func() {
-			pr := de.one
+			pr := de.entry1
 			if i%2 == 1 {
-				pr = de.two
+				pr = de.entry2
 			}
 			got[i], _ = fleet.Call(pr.URL, "schools-key", "subsidy/claim", "school-17-2026", []byte(`{"lamps":120}`))
 		})
@@ -174,26 +179,26 @@
 	wg.Wait()
 	for _, re := range got {
 		if re == nil {
-			return fmt.Errorf("a call got no reply")
+			return errors.New("a call of subsidy/claim got no reply; see the logs of the entries")
 		}
 		if re.Whole {
-			de.whole++
+			de.complete++
 		}
 	}
-	again, err := fleet.Call(de.two.URL, "schools-key", "subsidy/claim", "school-17-2026", []byte(`{"lamps":120}`))
+	retried, err := fleet.Call(de.entry2.URL, "schools-key", "subsidy/claim", "school-17-2026", []byte(`{"lamps":120}`))
 	if err != nil {
 		return err
 	}
-	if again.Whole {
-		de.whole++
+	if retried.Whole {
+		de.complete++
 	}
 	var runs []struct{ Operation, Key string }
 	if err := fleet.GetJSON(de.fl.Process("subsidy-1-service").URL+"/journal", &runs); err != nil {
 		return err
 	}
 	de.expect(len(runs) == 1, "the service ran the claim %d time(s)", len(runs))
-	de.expect(again.Status == 200, "asked again later: %d %s", again.Status, strings.TrimSpace(string(again.Body)))
-	other, err := fleet.Call(de.one.URL, "schools-key", "subsidy/claim", "school-17-2026", []byte(`{"lamps":7}`))
+	de.expect(retried.Status == 200, "sent again later: %d %s", retried.Status, strings.TrimSpace(string(retried.Body)))
+	other, err := fleet.Call(de.entry1.URL, "schools-key", "subsidy/claim", "school-17-2026", []byte(`{"lamps":7}`))
 	if err != nil {
 		return err
 	}
@@ -202,13 +207,13 @@
 }
 
 func (de *demo) refusals() error {
-	fmt.Println("\nRequests that are refused, and are not billed:")
+	fmt.Println("\nRequests that are refused and not billed:")
 	for _, rq := range []struct{ key, model, code string }{
 		{"districts-key", "drafter", "not-allowed"},
 		{"nobody", "desk", "unauthorized"},
 		{"schools-key", "dsek", "unknown-model"},
 	} {
-		re, err := fleet.Chat(de.one.URL, rq.key, rq.model, "hello", false, nil)
+		re, err := fleet.Chat(de.entry1.URL, rq.key, rq.model, "hello", false, nil)
 		if err != nil {
 			return err
 		}
@@ -227,34 +232,34 @@
 func (de *demo) killAgent() error {
 	fmt.Println("\nForty questions while the agent desk-1 is killed in the middle:")
 	var mu sync.Mutex
-	kinds := map[string]int{}
+	outcomes := map[string]int{}
 	var wg sync.WaitGroup
 	for i := range 40 {
 		if i == 20 {
 			de.fl.Process("desk-1").Kill()
 		}
 		wg.Go(func() {
-			re, err := fleet.Chat(de.one.URL, "schools-key", "desk", fmt.Sprintf("kill %d", i), true, nil)
+			re, err := fleet.Chat(de.entry1.URL, "schools-key", "desk", fmt.Sprintf("kill %d", i), true, nil)
 			mu.Lock()
 			defer mu.Unlock()
 			switch {
 			case err != nil:
-				kinds["no reply"]++
+				outcomes["no reply"]++
 			case re.Whole && len(strings.Fields(re.Text)) == 16:
-				kinds["whole answer"]++
-				de.whole++
+				outcomes["whole answer"]++
+				de.complete++
 			case re.Whole:
-				kinds["cut answer that looks whole"]++
+				outcomes["cut answer that looks complete"]++
 			case re.Error.Ran != "":
-				kinds["told: "+re.Error.Ran]++
+				outcomes["failed, ran: "+re.Error.Ran]++
 			default:
-				kinds["cut without a word"]++
+				outcomes["cut without an error"]++
 			}
 		})
 		time.Sleep(3 * time.Millisecond)
 	}
 	wg.Wait()
-	de.expect(kinds["cut answer that looks whole"]+kinds["cut without a word"]+kinds["no reply"] == 0, "%v", kinds)
+	de.expect(outcomes["cut answer that looks complete"]+outcomes["cut without an error"]+outcomes["no reply"] == 0, "%v", outcomes)
 	return nil
 }
 
@@ -262,9 +267,9 @@
 	fmt.Println("\nA planned stop with a long answer in flight:")
 	var wg sync.WaitGroup
 	var re *fleet.Reply
-	wg.Go(func() { re, _ = de.ask(de.one, "drafter", "a long draft #words=600 ", true) })
+	wg.Go(func() { re, _ = de.send(de.entry1, "drafter", "a long draft #words=600 ", true) })
 	time.Sleep(300 * time.Millisecond)
-	err := de.one.Stop()
+	err := de.entry1.Stop()
 	wg.Wait()
 	de.expect(re != nil && re.Whole && len(strings.Fields(re.Text)) == 600, "the answer in flight: %v", re)
 	de.expect(err == nil, "entry-1 ended with %v", errText(err))
@@ -295,6 +300,6 @@
 		}
 	}
 	de.expect(err == nil, "no request is billed twice")
-	de.expect(bills == de.whole, "%d whole answers, %d bills", de.whole, bills)
+	de.expect(bills == de.complete, "%d complete answers, %d bills", de.complete, bills)
 	return nil
 }
--- a/test/demo/rollout.go
+++ b/test/demo/rollout.go
@@ -15,25 +15,25 @@
 )
 
 const (
-	// rollOutShare is the share of new sessions that get the new version.
+	// rollOutShare is the percentage of new sessions that get the new version.
 	rollOutShare = 20
-	// rollOutCallers bounds the callers of the step. About 25 of the bad
-	// version's answers settle it, so this is several times what is needed.
-	rollOutCallers = 1500
-	// exposedAtMost is how many callers the bad version may reach.
-	exposedAtMost = 100
+	// rollOutSessions limits the sessions of the step. The guard needs about 25 answers of
+	// the bad version to halt it, so this is several times what is needed.
+	rollOutSessions = 1500
+	// maxExposed is the number of sessions that the bad version may reach.
+	maxExposed = 100
 )
 
-// rollOut rolls a version out that answers much worse than the stable one, and
-// asks until the guard has halted it.
+// rollOut rolls out a version that answers much worse than the stable one, and sends
+// requests until the guard has halted it.
 func (de *demo) rollOut() error {
-	fmt.Printf("\ndesk@v2 is rolled out to %d %% of new sessions, and answers badly:\n", rollOutShare)
+	fmt.Printf("\ndesk@v2 is rolled out to %d %% of new sessions, and its answers are bad:\n", rollOutShare)
 	if err := de.startRollOut(); err != nil {
 		return err
 	}
 	first, last, reached := 0, 0, 0
-	for i := 1; i <= rollOutCallers && !de.halted(); i++ {
-		version, err := de.newSession(de.one, i)
+	for i := 1; i <= rollOutSessions && !de.halted(); i++ {
+		version, err := de.newSession(de.entry1, i)
 		if err != nil {
 			return err
 		}
@@ -46,17 +46,17 @@
 		}
 	}
 	de.expect(de.halted(), "the guard has halted desk@v2")
-	de.expect(reached > 0 && reached <= exposedAtMost, "it reached %d callers, the first was caller %d, the last caller %d", reached, first, last)
-	if err := de.awaitHalt(de.two, last); err != nil {
+	de.expect(reached > 0 && reached <= maxExposed, "it reached %d sessions, the first was session %d, the last session %d", reached, first, last)
+	if err := de.awaitHalt(de.entry2, last); err != nil {
 		return err
 	}
 	after := 0
 	for i := range 60 {
-		pr := de.one
+		pr := de.entry1
 		if i%2 == 1 {
-			pr = de.two
+			pr = de.entry2
 		}
-		version, err := de.newSession(pr, rollOutCallers+i)
+		version, err := de.newSession(pr, rollOutSessions+i)
 		if err != nil {
 			return err
 		}
@@ -64,7 +64,7 @@
 			after++
 		}
 	}
-	de.expect(after == 0, "of 60 more callers at both entries, %d were given desk@v2", after)
+	de.expect(after == 0, "of 60 more sessions at both entries, %d got desk@v2", after)
 	return de.showHalt()
 }
 
@@ -102,24 +102,24 @@
 	return de.awaitRollOut()
 }
 
-// awaitRollOut asks until a caller is given the new version: its engine is
-// linked and the configuration in force.
+// awaitRollOut starts sessions until one gets the new version, for up to 10 s: then its
+// engine is linked and the configuration is in force.
 func (de *demo) awaitRollOut() error {
 	deadline := time.Now().Add(10 * time.Second)
 	for i := 0; ; i++ {
-		version, err := de.newSession(de.one, -i)
+		version, err := de.newSession(de.entry1, -i)
 		if err != nil || version == "desk@v2" {
 			return err
 		}
 		if time.Now().After(deadline) {
-			return fmt.Errorf("no caller was given desk@v2 within 10 s")
+			return fmt.Errorf("no session got desk@v2 within 10 s; see the logs of desk-v2 and the entries")
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
 }
 
-// awaitHalt asks in a session that was given the new version, without its pin,
-// until the entry gives it the stable one: the halt has come to it.
+// awaitHalt repeats a session that got the new version, without its pin, until the entry
+// gives it the stable version, for up to 5 s: then the entry has received the halt.
 func (de *demo) awaitHalt(pr *fleet.Process, i int) error {
 	deadline := time.Now().Add(5 * time.Second)
 	for {
@@ -128,14 +128,14 @@
 			return err
 		}
 		if time.Now().After(deadline) {
-			return fmt.Errorf("the halt has not come to %s within 5 s", pr.Name)
+			return fmt.Errorf("%s has not received the halt within 5 s", pr.Name)
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
 }
 
-// newSession asks one question in a session of its own and returns the version
-// that answered.
+// newSession sends one request in session i, without a pin, and returns the version that
+// answered.
 func (de *demo) newSession(pr *fleet.Process, i int) (string, error) {
 	re, err := fleet.Chat(pr.URL, "schools-key", "desk", fmt.Sprintf("roll-out question %d #words=2 ", i), false,
 		map[string]string{"Skylarkstand-Session": fmt.Sprintf("roll-out-%d", i)})
@@ -143,17 +143,18 @@
 		return "", err
 	}
 	if re.Whole {
-		de.whole++
+		de.complete++
 	}
 	return re.Header.Get("Skylarkstand-Version"), nil
 }
 
-// halted reports whether the configuration in the store has the halt.
+// halted reports whether the configuration in the store contains the halt.
 func (de *demo) halted() bool {
 	out, err := de.fl.Command("status", "--store", de.fl.StoreURL)
 	return err == nil && strings.Contains(out, "were rated badly")
 }
 
+// showHalt prints the guard's changes from the history and stops the bad version.
 func (de *demo) showHalt() error {
 	out, err := de.fl.Command("history", "--store", de.fl.StoreURL)
 	if err != nil {
--- a/test/demo/zones.go
+++ b/test/demo/zones.go
@@ -8,30 +8,30 @@
 	"skylarkstand/test/fleet"
 )
 
-// inForceLimit is how long a change of the configuration may take to be in force.
+// inForceLimit is the time within which a configuration change must be in force.
 const inForceLimit = 8 * time.Second
 
-// zones shows a workspace that is bound to a region without an upstream, and the
-// evacuation of the only zone with upstreams.
+// zones shows the refusal of a workspace that is restricted to a region without upstreams,
+// and the evacuation of the only availability zone with upstreams.
 func (de *demo) zones() error {
-	fmt.Println("\nA workspace that is bound to region nue, where no engine stands:")
-	re, err := fleet.Chat(de.one.URL, "courts-key", "desk", "hello", false, nil)
+	fmt.Println("\nA workspace that is restricted to region nue, which has no engine:")
+	re, err := fleet.Chat(de.entry1.URL, "courts-key", "desk", "hello", false, nil)
 	if err != nil {
 		return err
 	}
 	de.expect(re.Error.Code == "no-allowed-region" && re.Error.Ran == "not-run", "%s", re)
 
-	fmt.Println("\nZone muc-a, with all engines, is evacuated and restored:")
+	fmt.Println("\nAvailability zone muc-a, with all engines, is evacuated and restored:")
 	if err := de.evacuate("--why", "power works"); err != nil {
 		return err
 	}
-	if err := de.until("turned away", func(re *fleet.Reply) bool { return !re.Whole && re.Error.Ran == "not-run" }); err != nil {
+	if err := de.waitFor("refused", func(re *fleet.Reply) bool { return !re.Whole && re.Error.Ran == "not-run" }); err != nil {
 		return err
 	}
 	if err := de.evacuate("--end", "--why", "power works are over"); err != nil {
 		return err
 	}
-	return de.until("answered", func(re *fleet.Reply) bool { return re.Whole })
+	return de.waitFor("answered", func(re *fleet.Reply) bool { return re.Whole })
 }
 
 func (de *demo) evacuate(args ...string) error {
@@ -42,12 +42,13 @@
 	return err
 }
 
-// until asks both entries until each reply is as wanted.
-func (de *demo) until(what string, wanted func(*fleet.Reply) bool) error {
+// waitFor sends requests to each entry until the reply satisfies wanted. The check fails
+// after inForceLimit.
+func (de *demo) waitFor(what string, wanted func(*fleet.Reply) bool) error {
 	began := time.Now()
-	for _, pr := range []*fleet.Process{de.one, de.two} {
+	for _, pr := range []*fleet.Process{de.entry1, de.entry2} {
 		for {
-			re, err := de.ask(pr, "desk", "Is anybody there?", false)
+			re, err := de.send(pr, "desk", "Is anybody there?", false)
 			if err != nil {
 				return err
 			}
