--- a/test/matrix/faults_test.go
+++ b/test/matrix/faults_test.go
@@ -9,111 +9,111 @@
 	"skylarkstand/test/fleet"
 )
 
-// lasts is how long a fault that heals goes on. It is above the time in which
-// a silent link is given up, so that both sides of that decision are met.
-const lasts = 1500 * time.Millisecond
+// faultDuration is how long a temporary fault lasts. It exceeds the time after which
+// a silent link is given up, so that requests meet both sides of that decision.
+const faultDuration = 1500 * time.Millisecond
 
-// faults strike and return a function that heals them.
-var faults = map[string]func(*world) func(){
-	"none":            func(*world) func() { return goOn },
-	"kill-agent":      func(wo *world) func() { return kill(wo.fl.Process(wo.agent)) },
-	"kill-upstream":   func(wo *world) func() { return kill(wo.upstream()) },
+// faults inject a fault and return a function that heals it.
+var faults = map[string]func(*fixture) func(){
+	"none":            func(*fixture) func() { return noop },
+	"kill-agent":      func(wo *fixture) func() { return kill(wo.fl.Process(wo.agent)) },
+	"kill-upstream":   func(wo *fixture) func() { return kill(wo.upstream()) },
 	"kill-entry":      killEntry,
-	"freeze-agent":    func(wo *world) func() { return freeze(wo.fl.Process(wo.agent)) },
-	"freeze-entry":    func(wo *world) func() { return freeze(wo.one) },
-	"freeze-upstream": func(wo *world) func() { return freeze(wo.upstream()) },
+	"freeze-agent":    func(wo *fixture) func() { return freeze(wo.fl.Process(wo.agent)) },
+	"freeze-entry":    func(wo *fixture) func() { return freeze(wo.entry) },
+	"freeze-upstream": func(wo *fixture) func() { return freeze(wo.upstream()) },
 	"cut-link":        cutLink,
 	"hold-link":       holdLink,
 	"region-cut":      regionCut,
 	"store-down":      storeFault(`{"down":true}`),
 	"store-slow":      storeFault(`{"slow":500}`),
 	"replies-lost":    storeFault(`{"lose-replies":0.5}`),
-	"crossed-answers": crossed,
+	"crossed-answers": crossAnswers,
 	"poison":          poison,
 	"operator-race":   operatorRace,
 }
 
 func kill(pr *fleet.Process) func() {
 	pr.Kill()
-	return goOn
+	return noop
 }
 
-func killEntry(wo *world) func() {
-	wo.dead[wo.one.Name] = true
-	return kill(wo.one)
+func killEntry(wo *fixture) func() {
+	wo.stopped[wo.entry.Name] = true
+	return kill(wo.entry)
 }
 
 func freeze(pr *fleet.Process) func() {
 	pr.Freeze()
 	return func() {
-		time.Sleep(lasts)
+		time.Sleep(faultDuration)
 		pr.Resume()
 	}
 }
 
-func cutLink(wo *world) func() {
+func cutLink(wo *fixture) func() {
 	re := wo.fl.Relay(wo.agent)
 	re.Cut()
 	return func() {
-		time.Sleep(lasts / 3)
+		time.Sleep(faultDuration / 3)
 		re.Restore()
 	}
 }
 
-func holdLink(wo *world) func() {
+func holdLink(wo *fixture) func() {
 	re := wo.fl.Relay(wo.agent)
 	re.Hold()
 	return func() {
-		time.Sleep(lasts)
+		time.Sleep(faultDuration)
 		re.Restore()
 	}
 }
 
-func regionCut(wo *world) func() {
+func regionCut(wo *fixture) func() {
 	store, hosts := wo.fl.Relay("entry-1-store"), wo.fl.Relay("entry-1-hosts")
 	store.Hold()
 	hosts.Hold()
 	return func() {
-		time.Sleep(lasts)
+		time.Sleep(faultDuration)
 		store.Restore()
 		hosts.Restore()
 	}
 }
 
-func storeFault(order string) func(*world) func() {
-	return func(wo *world) func() {
-		wo.order("store", order)
+func storeFault(body string) func(*fixture) func() {
+	return func(wo *fixture) func() {
+		wo.setFaults("store", body)
 		return func() {
-			time.Sleep(lasts)
-			wo.order("store", `{}`)
+			time.Sleep(faultDuration)
+			wo.setFaults("store", `{}`)
 		}
 	}
 }
 
-func crossed(wo *world) func() {
+func crossAnswers(wo *fixture) func() {
 	for _, id := range []string{"desk-1", "desk-2"} {
-		wo.order(id+"-engine", `{"cross":true}`)
+		wo.setFaults(id+"-engine", `{"cross":true}`)
 	}
-	as := wo.chat(wo.one, "", true)
+	as := wo.chat(wo.entry, "", true)
 	return func() { <-as.done }
 }
 
-// poison costs two engines at most, and the step may have taken one; there are
-// enough of each version to go on serving.
-func poison(wo *world) func() {
+// poison sends a request that crashes engines. It may crash two at most, and the step
+// may have taken one, so it first starts enough engines of each version to keep serving.
+func poison(wo *fixture) func() {
 	for _, id := range []string{"desk-3", "desk-4"} {
-		assert.NilError(wo.t, wo.fl.StartEngine(id, desk, muc, engineArgs...))
+		assert.NilError(wo.t, wo.fl.StartEngine(id, deskV1, muc, engineArgs...))
 	}
 	for _, id := range []string{"new-2", "new-3"} {
-		assert.NilError(wo.t, wo.fl.StartEngine(id, newest, muc, engineArgs...))
+		assert.NilError(wo.t, wo.fl.StartEngine(id, deskV2, muc, engineArgs...))
 	}
-	as := wo.crash(wo.two)
+	as := wo.crash(wo.other)
 	return func() { <-as.done }
 }
 
-// operatorRace lets two operators apply at once: one grants a workspace more,
+// operatorRace applies two changes concurrently: one adds a workspace with grants,
 // the other withdraws a version.
-func operatorRace(wo *world) func() {
+func operatorRace(wo *fixture) func() {
 	var wg sync.WaitGroup
 	for _, name := range []string{"race-one.jsonc", "race-two.jsonc"} {
 		wg.Go(func() { _, _ = wo.apply(name, 1) })
--- a/test/matrix/matrix_test.go
+++ b/test/matrix/matrix_test.go
@@ -6,10 +6,10 @@
 	"skylarkstand/test/matrix"
 )
 
-// A request is at some step when something fails: a process dies or sleeps, a
-// link or the store goes away, an operator makes a mistake. Whatever it is, the
-// caller must not get half an answer for a whole one or a lie about what ran,
-// nothing may run or be billed twice, and afterwards the system serves again.
+// A fault strikes while a request is at each step: a process dies or pauses, a link
+// or the store fails, an operator makes a mistake. The caller must not receive a
+// truncated answer that looks complete or a false statement of what ran, nothing may
+// run or be billed twice, and the system must serve again afterwards.
 func TestRequest(t *testing.T) {
 	for _, st := range matrix.RequestSteps {
 		for _, fa := range matrix.Faults {
@@ -21,7 +21,7 @@
 	}
 }
 
-// Two faults meet: the second strikes while the first lasts.
+// Two faults overlap: the second strikes while the first lasts.
 func TestPairs(t *testing.T) {
 	for _, st := range matrix.PairSteps {
 		for _, pa := range matrix.Pairs {
@@ -34,7 +34,7 @@
 }
 
 func runCell(t *testing.T, step string, names ...string) {
-	wo := newWorld(t, step)
+	wo := newFixture(t, step)
 	release := steps[step](wo)
 	var heal []func()
 	for _, name := range names {
@@ -45,14 +45,14 @@
 		heal[i]()
 	}
 	wo.check()
-	wo.checkServes()
+	wo.checkRecovery()
 }
 
-// checkServes: once the fault is over, what still stands serves again.
-func (wo *world) checkServes() {
+// checkRecovery checks that the other entry serves again once the fault has healed.
+func (wo *fixture) checkRecovery() {
 	wo.t.Helper()
-	wo.poll("the other entry serves", func() bool {
-		as := wo.chat(wo.two, "#words=1 ", true)
+	wo.poll("the other entry serves again", func() bool {
+		as := wo.chat(wo.other, "#words=1 ", true)
 		<-as.done
 		return as.reply != nil && as.reply.Whole
 	})
--- a/test/matrix/operator_test.go
+++ b/test/matrix/operator_test.go
@@ -16,39 +16,39 @@
 	"skylarkstand/test/matrix"
 )
 
-// operatorSteps bring the world to a moment of an operator's change or of a
-// planned end, and return what must be true of it once the fault has healed.
-var operatorSteps = map[string]func(*world) func(){
+// operatorSteps bring the fixture to a moment of an operator's change or of a planned
+// stop, and return the checks to run once the fault has healed.
+var operatorSteps = map[string]func(*fixture) func(){
 	"apply":    applying,
 	"roll-out": rollingOut,
 	"leave":    leaving,
 	"stop":     stopping,
 }
 
-// An operator withdraws a version, rolls one out, or stops a process as
-// planned, and something fails at that moment. The operator must be told the
-// truth about the change, a withdrawn version must not come back, a session
-// must not change its version, and a planned stop must cut nobody off.
+// A fault strikes while an operator withdraws a version, rolls one out, or stops a
+// process. The command must report the outcome of the change truthfully, a withdrawn
+// version must not return, a session must keep its version, and a planned stop must
+// not cut off any request.
 func TestOperator(t *testing.T) {
 	for _, st := range matrix.OperatorSteps {
 		for _, fa := range matrix.Faults {
 			t.Run(st.Name+"/"+fa.Name, func(t *testing.T) {
 				t.Parallel()
-				wo := newWorld(t, st.Name)
+				wo := newFixture(t, st.Name)
 				wo.agent = "desk-1"
 				after := operatorSteps[st.Name](wo)
 				faults[fa.Name](wo)()
 				after()
 				wo.check()
-				wo.checkServes()
+				wo.checkRecovery()
 			})
 		}
 	}
 }
 
 // applying withdraws version v2 while the store is slow.
-func applying(wo *world) func() {
-	wo.order("store", `{"slow":200}`)
+func applying(wo *fixture) func() {
+	wo.setFaults("store", `{"slow":200}`)
 	type result struct {
 		out string
 		err error
@@ -60,24 +60,24 @@
 	}()
 	time.Sleep(300 * time.Millisecond)
 	return func() {
-		re := <-done
-		wo.order("store", `{}`)
-		accepted := wo.accepted()
+		res := <-done
+		wo.setFaults("store", `{}`)
+		accepted := wo.withdrawalAccepted()
 		var exit *exec.ExitError
 		code := 0
-		if errors.As(re.err, &exit) {
+		if errors.As(res.err, &exit) {
 			code = exit.ExitCode()
 		}
 		switch code {
 		case 0:
-			assert.Assert(wo.t, accepted, "apply said accepted and the history does not have it: %s", re.out)
-		case 4: // Not known, and said so.
+			assert.Assert(wo.t, accepted, "apply reported that the change is accepted, but the history lacks it: %s", res.out)
+		case 4: // apply reported that the outcome is unknown.
 		default:
-			assert.Assert(wo.t, !accepted, "apply said refused and the history has it: %s", re.out)
+			assert.Assert(wo.t, !accepted, "apply reported that the change is refused, but the history has it: %s", res.out)
 		}
 		if !accepted {
 			wo.poll("the withdrawal is accepted", func() bool {
-				_, err := wo.apply("race-two.jsonc", newestBase)
+				_, err := wo.apply("race-two.jsonc", latestBase)
 				return err == nil
 			})
 		}
@@ -85,8 +85,8 @@
 	}
 }
 
-// accepted reads the history for the withdrawal by the operator of the cells.
-func (wo *world) accepted() bool {
+// withdrawalAccepted reports whether the history contains the withdrawal of desk@v2.
+func (wo *fixture) withdrawalAccepted() bool {
 	wo.t.Helper()
 	var out string
 	wo.poll("history", func() bool {
@@ -97,16 +97,16 @@
 	return strings.Contains(out, "desk@v2")
 }
 
-// checkWithdrawn: once each entry has moved a session off the version, nothing
-// starts on it again, pinned as the session is.
-func (wo *world) checkWithdrawn() {
+// checkWithdrawn checks that once each entry has moved a session off the version, no
+// work starts on it again, although the session's token pins it to that version.
+func (wo *fixture) checkWithdrawn() {
 	wo.t.Helper()
-	alive := []*fleet.Process{wo.two}
-	if !wo.dead[wo.one.Name] {
-		alive = append(alive, wo.one)
+	alive := []*fleet.Process{wo.other}
+	if !wo.stopped[wo.entry.Name] {
+		alive = append(alive, wo.entry)
 	}
 	pin := session.NewKeyring(fleet.PinSecret).Sign(session.Pin{Workspace: "schools", Session: "pinned", Versions: session.Versions{"desk": "v2"}})
-	ask := func(en *fleet.Process) *fleet.Reply {
+	chat := func(en *fleet.Process) *fleet.Reply {
 		re, err := fleet.Chat(en.URL, "schools-key", "desk", "#words=1 ", true, map[string]string{"Skylarkstand-Pin": pin})
 		if err != nil {
 			return &fleet.Reply{Header: http.Header{}}
@@ -114,25 +114,25 @@
 		return re
 	}
 	for _, en := range alive {
-		wo.poll("the withdrawal is in force at "+en.Name, func() bool { return ask(en).Header.Get("Skylarkstand-Repinned") == "true" })
+		wo.poll("the withdrawal is in force at "+en.Name, func() bool { return chat(en).Header.Get("Skylarkstand-Repinned") == "true" })
 	}
 	before := len(journal[engineRun](wo, "new-1-engine"))
 	for range 10 {
 		for _, en := range alive {
-			version := ask(en).Header.Get("Skylarkstand-Version")
-			assert.Assert(wo.t, version != "desk@v2", "a withdrawn version was served again by %s", en.Name)
+			version := chat(en).Header.Get("Skylarkstand-Version")
+			assert.Assert(wo.t, version != "desk@v2", "%s served a withdrawn version again", en.Name)
 		}
 	}
-	assert.Equal(wo.t, len(journal[engineRun](wo, "new-1-engine")), before, "work began on a withdrawn version")
+	assert.Equal(wo.t, len(journal[engineRun](wo, "new-1-engine")), before, "an engine of the withdrawn version got new work")
 }
 
-// rollingOut gives half of the new sessions to v2 and begins some.
-func rollingOut(wo *world) func() {
+// rollingOut assigns half of the new sessions to v2 and starts sessions on both versions.
+func rollingOut(wo *fixture) func() {
 	out, err := wo.apply("roll-out.jsonc", 1)
 	assert.NilError(wo.t, err, out)
-	type session struct{ id, pin, version string }
-	var sessions []session
-	ask := func(en *fleet.Process, se session) *fleet.Reply {
+	type startedSession struct{ id, pin, version string }
+	var sessions []startedSession
+	chat := func(en *fleet.Process, se startedSession) *fleet.Reply {
 		re, err := fleet.Chat(en.URL, "schools-key", "desk", "#words=1 ", true, map[string]string{"Skylarkstand-Session": se.id, "Skylarkstand-Pin": se.pin})
 		if err != nil {
 			return &fleet.Reply{}
@@ -141,8 +141,8 @@
 	}
 	seen := map[string]int{}
 	wo.poll("sessions on both versions", func() bool {
-		se := session{id: fmt.Sprintf("s%d", len(sessions))}
-		re := ask(wo.one, se)
+		se := startedSession{id: fmt.Sprintf("s%d", len(sessions))}
+		re := chat(wo.entry, se)
 		if re.Whole {
 			se.pin, se.version = re.Header.Get("Skylarkstand-Pin"), re.Header.Get("Skylarkstand-Version")
 			sessions = append(sessions, se)
@@ -152,10 +152,10 @@
 	})
 	return func() {
 		for _, se := range sessions {
-			wo.poll("session "+se.id+" goes on", func() bool {
-				re := ask(wo.two, se)
+			wo.poll("session "+se.id+" continues", func() bool {
+				re := chat(wo.other, se)
 				if re.Whole {
-					assert.Equal(wo.t, re.Header.Get("Skylarkstand-Version"), se.version, "a session changed its version")
+					assert.Equal(wo.t, re.Header.Get("Skylarkstand-Version"), se.version, "session %s changed its version", se.id)
 				}
 				return re.Whole
 			})
@@ -163,55 +163,55 @@
 	}
 }
 
-// leaving stops an agent as planned with a long answer in flight on each
-// upstream of the version.
-func leaving(wo *world) func() {
-	var flying []*asked
+// leaving terminates an agent while long answers are in flight on the upstreams of the
+// version.
+func leaving(wo *fixture) func() {
+	var inFlight []*request
 	for len(journal[engineRun](wo, "desk-1-engine")) < 2 {
-		flying = append(flying, wo.chat(wo.one, "#words=100 ", true))
+		inFlight = append(inFlight, wo.chat(wo.entry, "#words=100 ", true))
 		time.Sleep(20 * time.Millisecond)
 	}
 	agent := wo.fl.Process("desk-1")
 	agent.Terminate()
 	return func() {
-		// A few seconds are what the users grant; nothing may start after.
+		// The users allow a few seconds; no new work may start afterwards.
 		time.Sleep(3 * time.Second)
 		before := len(journal[engineRun](wo, "desk-1-engine"))
 		for range 6 {
-			<-wo.chat(wo.two, "#words=2 ", true).done
+			<-wo.chat(wo.other, "#words=2 ", true).done
 		}
-		assert.Equal(wo.t, len(journal[engineRun](wo, "desk-1-engine")), before, "a leaving upstream got new work")
-		for _, as := range flying {
+		assert.Equal(wo.t, len(journal[engineRun](wo, "desk-1-engine")), before, "a draining upstream got new work")
+		for _, as := range inFlight {
 			<-as.done
 		}
 		_ = agent.Wait()
 	}
 }
 
-// stopping stops an entry as planned with an answer and a call in flight.
-func stopping(wo *world) func() {
-	long := wo.chat(wo.one, "#words=100 ", true)
-	call := wo.call(wo.one, "stopping")
-	wo.find(long)
-	wo.one.Terminate()
+// stopping terminates an entry with a streamed answer and a service call in flight.
+func stopping(wo *fixture) func() {
+	long := wo.chat(wo.entry, "#words=100 ", true)
+	call := wo.call(wo.entry, "stopping")
+	wo.awaitStart(long)
+	wo.entry.Terminate()
 	return func() {
 		<-long.done
 		<-call.done
-		err := wo.one.Wait()
-		if wo.dead[wo.one.Name] {
+		err := wo.entry.Wait()
+		if wo.stopped[wo.entry.Name] {
 			return
 		}
-		assert.NilError(wo.t, err, "a planned stop")
-		if !wo.disturbed() {
-			assert.Assert(wo.t, long.reply != nil && long.reply.Whole, "a planned stop cut an answer off: %v", long.reply)
-			assert.Assert(wo.t, call.reply != nil && call.reply.Whole, "a planned stop cut a call off: %v", call.reply)
+		assert.NilError(wo.t, err, "exit of the entry after a planned stop")
+		if !wo.mayCutRequests() {
+			assert.Assert(wo.t, long.reply != nil && long.reply.Whole, "a planned stop cut off a streamed answer: %v", long.reply)
+			assert.Assert(wo.t, call.reply != nil && call.reply.Whole, "a planned stop cut off a service call: %v", call.reply)
 		}
-		wo.dead[wo.one.Name] = true // It takes nothing more.
+		wo.stopped[wo.entry.Name] = true // It accepts no more requests.
 	}
 }
 
-// disturbed reports whether the fault took something from the path itself.
-func (wo *world) disturbed() bool {
+// mayCutRequests reports whether the fault may itself cut off a request in flight.
+func (wo *fixture) mayCutRequests() bool {
 	name := wo.t.Name()
 	for _, fault := range []string{"none", "region-cut", "store-slow", "operator-race", "crossed-answers", "freeze-entry"} {
 		if strings.HasSuffix(name, "/"+fault) {
--- a/test/matrix/steps_test.go
+++ b/test/matrix/steps_test.go
@@ -14,9 +14,9 @@
 	"skylarkstand/test/fleet"
 )
 
-// steps bring a request to a moment and return a function that lets it go on
-// and end.
-var steps = map[string]func(*world) func(){
+// steps bring a request to a step and return a function that lets it continue to its
+// end.
+var steps = map[string]func(*fixture) func(){
 	"accepted":    accepted,
 	"queued":      queued,
 	"routed":      routed,
@@ -24,19 +24,19 @@
 	"claiming":    claiming,
 	"running":     running,
 	"sent":        sent,
-	"first-token": func(wo *world) func() { return streamed(wo, 1) },
-	"mid-stream":  func(wo *world) func() { return streamed(wo, words/3) },
+	"first-token": func(wo *fixture) func() { return streamed(wo, 1) },
+	"mid-stream":  func(wo *fixture) func() { return streamed(wo, answerWords/3) },
 	"ended":       ended,
 	"billed":      billed,
 }
 
-func goOn() {}
+func noop() {}
 
-// accepted sends half of a body and waits with the rest.
-func accepted(wo *world) func() {
+// accepted sends half of a request's body and delays the rest.
+func accepted(wo *fixture) func() {
 	wo.agent = "desk-1"
-	as := wo.newAsked(wo.one)
-	conn, err := net.Dial("tcp", strings.TrimPrefix(wo.one.URL, "http://"))
+	as := wo.newRequest(wo.entry)
+	conn, err := net.Dial("tcp", strings.TrimPrefix(wo.entry.URL, "http://"))
 	assert.NilError(wo.t, err)
 	body := fmt.Sprintf(`{"model":"desk","stream":true,"messages":[{"role":"user","content":"#tag=%s "}]}`, as.tag)
 	_, err = fmt.Fprintf(conn, "POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer schools-key\r\nX-Request-Id: %s\r\nContent-Length: %d\r\nConnection: close\r\n\r\n%s",
@@ -56,12 +56,12 @@
 	}
 }
 
-// queued fills all slots of the version with long answers first.
-func queued(wo *world) func() {
-	wo.poll("all slots busy", func() bool {
-		// Two choices do not spread a few requests evenly, so more are sent
-		// until no slot is left.
-		wo.chat(wo.one, "#words=150 ", true)
+// queued fills all slots of the version with long answers before it sends the request.
+func queued(wo *fixture) func() {
+	wo.poll("all slots are busy", func() bool {
+		// Power-of-two-choices balancing does not spread a few requests evenly, so
+		// requests are added until no slot is free.
+		wo.chat(wo.entry, "#words=150 ", true)
 		time.Sleep(100 * time.Millisecond)
 		busy := 0
 		for _, id := range []string{"desk-1", "desk-2"} {
@@ -74,18 +74,18 @@
 		return busy >= 4
 	})
 	wo.agent = "desk-1"
-	wo.chat(wo.one, "", true)
-	return goOn
+	wo.chat(wo.entry, "", true)
+	return noop
 }
 
-// routed holds the links to both agents of the version, so that the request is
-// on none of them.
-func routed(wo *world) func() {
+// routed stalls the links to both agents of the version, so that the request reaches
+// neither of them.
+func routed(wo *fixture) func() {
 	wo.agent = "desk-1"
 	for _, id := range []string{"desk-1", "desk-2"} {
 		wo.fl.Relay(id).Hold()
 	}
-	wo.chat(wo.one, "", true)
+	wo.chat(wo.entry, "", true)
 	time.Sleep(200 * time.Millisecond)
 	return func() {
 		for _, id := range []string{"desk-1", "desk-2"} {
@@ -94,14 +94,14 @@
 	}
 }
 
-// handedOver freezes both agents of the version, so that the request stands on
+// handedOver freezes both agents of the version, so that the request waits unread on
 // the link.
-func handedOver(wo *world) func() {
+func handedOver(wo *fixture) func() {
 	wo.agent = "desk-1"
 	for _, id := range []string{"desk-1", "desk-2"} {
 		wo.fl.Process(id).Freeze()
 	}
-	wo.chat(wo.one, "", true)
+	wo.chat(wo.entry, "", true)
 	time.Sleep(200 * time.Millisecond)
 	return func() {
 		for _, id := range []string{"desk-1", "desk-2"} {
@@ -110,67 +110,68 @@
 	}
 }
 
-// claiming makes the store slow, so that the claim is on its way.
-func claiming(wo *world) func() {
+// claiming slows the store down, so that the write of the claim is in flight.
+func claiming(wo *fixture) func() {
 	wo.agent = "orders-1"
-	wo.order("store", `{"slow":400}`)
-	wo.call(wo.one, "claiming")
+	wo.setFaults("store", `{"slow":400}`)
+	wo.call(wo.entry, "claiming")
 	time.Sleep(150 * time.Millisecond)
-	return func() { wo.order("store", `{}`) }
+	return func() { wo.setFaults("store", `{}`) }
 }
 
-func running(wo *world) func() {
-	as := wo.call(wo.one, "running")
-	wo.find(as)
-	return goOn
+func running(wo *fixture) func() {
+	as := wo.call(wo.entry, "running")
+	wo.awaitStart(as)
+	return noop
 }
 
-func sent(wo *world) func() {
-	as := wo.chat(wo.one, "", true)
-	wo.find(as)
-	return goOn
+func sent(wo *fixture) func() {
+	as := wo.chat(wo.entry, "", true)
+	wo.awaitStart(as)
+	return noop
 }
 
-// streamed waits until the caller has read a number of tokens.
-func streamed(wo *world, tokens int) func() {
-	as := wo.newAsked(wo.one)
+// streamed waits until the caller has received a number of tokens.
+func streamed(wo *fixture, tokens int) func() {
+	as := wo.newRequest(wo.entry)
 	reached := make(chan struct{})
 	go func() {
 		defer close(as.done)
-		as.reply, as.err = fleet.ChatWatched(wo.one.URL, "schools-key", "desk", "#tag="+as.tag+" ", as.id, func(got int) {
+		as.reply, as.err = fleet.ChatWatched(wo.entry.URL, "schools-key", "desk", "#tag="+as.tag+" ", as.id, func(got int) {
 			if got == tokens {
 				close(reached)
 			}
 		})
 	}()
-	wo.find(as)
+	wo.awaitStart(as)
 	select {
 	case <-reached:
 	case <-as.done:
-		wo.t.Fatalf("the stream ended before its token %d: %v %v", tokens, as.reply, as.err)
+		wo.t.Fatalf("the stream ended before token %d: reply %v, error %v", tokens, as.reply, as.err)
 	}
-	return goOn
+	return noop
 }
 
-func ended(wo *world) func() {
-	as := wo.chat(wo.one, "#words=5 ", true)
-	wo.find(as)
+func ended(wo *fixture) func() {
+	as := wo.chat(wo.entry, "#words=5 ", true)
+	wo.awaitStart(as)
 	<-as.done
-	return goOn
+	return noop
 }
 
-func billed(wo *world) func() {
-	as := wo.chat(wo.one, "#words=5 ", true)
-	wo.find(as)
+func billed(wo *fixture) func() {
+	as := wo.chat(wo.entry, "#words=5 ", true)
+	wo.awaitStart(as)
 	<-as.done
-	wo.poll("the bill of "+as.id, func() bool {
+	wo.poll("the bill is durable for "+as.id, func() bool {
 		bills, _ := wo.bills()
 		return bills[as.id] > 0
 	})
-	return goOn
+	return noop
 }
 
-func (wo *world) order(standin, faults string) {
+// setFaults posts a fault order, in JSON, to a stand-in.
+func (wo *fixture) setFaults(standin, body string) {
 	wo.t.Helper()
-	assert.NilError(wo.t, fleet.Order(wo.fl.Process(standin).URL+"/faults", faults))
+	assert.NilError(wo.t, fleet.Order(wo.fl.Process(standin).URL+"/faults", body))
 }
--- a/test/matrix/world_test.go
+++ b/test/matrix/world_test.go
@@ -22,7 +22,7 @@
 	"skylarkstand/test/fleet"
 )
 
-// binDir holds the programs that the cells run.
+// binDir is the directory of the programs that the cells run.
 var binDir string
 
 func TestMain(m *testing.M) {
@@ -33,27 +33,27 @@
 		err = build.Run()
 	}
 	if err != nil {
-		fmt.Fprintln(os.Stderr, "build:", err)
+		fmt.Fprintln(os.Stderr, "cannot build the programs under test:", err)
 		os.Exit(1)
 	}
 	binDir = dir
 	code := m.Run()
 	if os.Getenv("SKYLARKSTAND_MEASURE") != "" {
-		figure.Plain("fault-matrix-cells", float64(seen.cells.Load()), "cells")
-		figure.AtMost("fault-matrix-doubled-runs", float64(seen.doubledRuns.Load()), "runs", 0)
-		figure.AtMost("fault-matrix-doubled-bills", float64(seen.doubledBills.Load()), "bills", 0)
-		figure.AtMost("fault-matrix-lost-bills", float64(seen.lostBills.Load()), "bills", 0)
+		figure.Plain("fault-matrix-cells", float64(totals.cells.Load()), "cells")
+		figure.AtMost("fault-matrix-doubled-runs", float64(totals.duplicateRuns.Load()), "runs", 0)
+		figure.AtMost("fault-matrix-doubled-bills", float64(totals.duplicateBills.Load()), "bills", 0)
+		figure.AtMost("fault-matrix-lost-bills", float64(totals.lostBills.Load()), "bills", 0)
 	}
 	_ = os.RemoveAll(dir)
 	os.Exit(code)
 }
 
-// seen counts over all cells what the figures tell.
-var seen struct{ cells, doubledRuns, doubledBills, lostBills atomic.Int64 }
+// totals are the counts over all cells that the figures report.
+var totals struct{ cells, duplicateRuns, duplicateBills, lostBills atomic.Int64 }
 
-// waitLimit is far above what any step takes; reaching it means that the step
-// never comes, on however slow a machine.
-const waitLimit = 40 * time.Second
+// pollTimeout is far above the time that any step takes, even on a slow machine; when
+// it passes, the awaited state will never come.
+const pollTimeout = 40 * time.Second
 
 var (
 	muc = fleet.Place{Zone: "muc-a", Region: "muc"}
@@ -61,34 +61,34 @@
 )
 
 var (
-	newest     = core.ModelVersion{Model: "desk", Version: "v2"}
-	desk       = core.ModelVersion{Model: "desk", Version: "v1"}
-	engineArgs = []string{"--slots", "2", "--first", "250ms", "--pace", "10ms", "--words", fmt.Sprint(words)}
+	deskV2     = core.ModelVersion{Model: "desk", Version: "v2"}
+	deskV1     = core.ModelVersion{Model: "desk", Version: "v1"}
+	engineArgs = []string{"--slots", "2", "--first", "250ms", "--pace", "10ms", "--words", fmt.Sprint(answerWords)}
 )
 
-// engines are the ids of all engines that a cell may have.
-var engines = []string{"desk-1", "desk-2", "desk-3", "desk-4", "new-1", "new-2", "new-3"}
+// engineIDs are the ids of all engines that a cell may start.
+var engineIDs = []string{"desk-1", "desk-2", "desk-3", "desk-4", "new-1", "new-2", "new-3"}
 
-// words is the length of an answer; a whole one has exactly so many.
-const words = 60
+// answerWords is the number of words in a complete answer.
+const answerWords = 60
 
-// world is a fleet with what was asked of it and what came back.
-type world struct {
+// fixture is a fleet with the requests that were sent to it and their replies.
+type fixture struct {
 	t  *testing.T
 	fl *fleet.Fleet
-	// one is the entry in use, two the other one.
-	one, two *fleet.Process
-	// agent is the upstream in use, once a step has found it.
+	// entry serves the request that the fault strikes; other is the second entry.
+	entry, other *fleet.Process
+	// agent is the id of the upstream that serves the request, once a step has found it.
 	agent string
 
-	mu      sync.Mutex
-	asked   []*asked
-	dead    map[string]bool // entries that were killed
-	request int
+	mu       sync.Mutex
+	requests []*request
+	stopped  map[string]bool // entries that were killed or have ended as planned
+	sequence int
 }
 
-// asked is one request with its end.
-type asked struct {
+// request is one request with its outcome.
+type request struct {
 	id, tag, key string
 	entry        string
 	reply        *fleet.Reply
@@ -96,16 +96,16 @@
 	done         chan struct{}
 }
 
-// newWorld starts the store, two entries, two engines of one version and two
-// copies of a plain service.
-func newWorld(t *testing.T, name string) *world {
+// newFixture starts the store, two entries, two engines of the stable version, one of
+// the new version, and two instances of a plain service.
+func newFixture(t *testing.T, name string) *fixture {
 	t.Helper()
-	seen.cells.Add(1)
+	totals.cells.Add(1)
 	dir, err := os.MkdirTemp("", "cell")
 	assert.NilError(t, err)
 	fl, cleanup, err := fleet.New(binDir, dir)
 	assert.NilError(t, err)
-	wo := &world{t: t, fl: fl, dead: map[string]bool{}}
+	wo := &fixture{t: t, fl: fl, stopped: map[string]bool{}}
 	t.Cleanup(func() {
 		cleanup()
 		if t.Failed() {
@@ -117,14 +117,14 @@
 	fl.Relayed = true
 	fl.AgentSettings = map[string]any{"slots": 2, "queue": 8}
 	assert.NilError(t, fl.StartPlatform(map[string]float64{"desk@v1": 0.8, "desk@v2": 0.8}))
-	assert.NilError(t, fl.StartEngine("desk-1", desk, muc, engineArgs...))
-	assert.NilError(t, fl.StartEngine("desk-2", desk, muc, engineArgs...))
-	assert.NilError(t, fl.StartEngine("new-1", newest, muc, engineArgs...))
+	assert.NilError(t, fl.StartEngine("desk-1", deskV1, muc, engineArgs...))
+	assert.NilError(t, fl.StartEngine("desk-2", deskV1, muc, engineArgs...))
+	assert.NilError(t, fl.StartEngine("new-1", deskV2, muc, engineArgs...))
 	assert.NilError(t, fl.StartService("orders-1", "subsidy", muc, "--takes", "400ms"))
 	assert.NilError(t, fl.StartService("orders-2", "subsidy", muc, "--takes", "400ms"))
-	wo.one, err = fl.StartEntry("entry-1", muc, map[string]any{"ledger-pace": "1s"})
+	wo.entry, err = fl.StartEntry("entry-1", muc, map[string]any{"ledger-pace": "1s"})
 	assert.NilError(t, err)
-	wo.two, err = fl.StartEntry("entry-2", nue, map[string]any{"ledger-pace": "1s"})
+	wo.other, err = fl.StartEntry("entry-2", nue, map[string]any{"ledger-pace": "1s"})
 	assert.NilError(t, err)
 	out, err := wo.apply("first.jsonc", 0)
 	assert.NilError(t, err, out)
@@ -132,23 +132,23 @@
 	return wo
 }
 
-// newestBase reviews a document anew, against whatever is in force.
-const newestBase = -1
+// latestBase makes apply review a document against the generation that is in force.
+const latestBase = -1
 
-// apply puts a document of testdata in force, as reviewed against a generation.
-func (wo *world) apply(name string, base int) (string, error) {
+// apply applies a document of testdata, as reviewed against a generation.
+func (wo *fixture) apply(name string, base int) (string, error) {
 	args := []string{"apply", filepath.Join("testdata", name), "--store", wo.fl.StoreURL, "--why", "matrix", "--who", "matrix"}
-	if base != newestBase {
+	if base != latestBase {
 		args = append(args, "--base", strconv.Itoa(base))
 	}
 	return wo.fl.Command(args...)
 }
 
-// ready waits until each upstream answers through each entry.
-func (wo *world) ready() {
+// ready waits until a model and a service answer through each entry.
+func (wo *fixture) ready() {
 	wo.t.Helper()
-	for _, en := range []*fleet.Process{wo.one, wo.two} {
-		wo.poll("ready", func() bool {
+	for _, en := range []*fleet.Process{wo.entry, wo.other} {
+		wo.poll("upstreams ready through "+en.Name, func() bool {
 			chat := wo.chat(en, "#words=1 ", false)
 			call := wo.call(en, fmt.Sprintf("ready-%s-%d", en.Name, time.Now().UnixNano()))
 			<-chat.done
@@ -158,25 +158,25 @@
 	}
 }
 
-func (wo *world) poll(what string, fn func() bool) {
+func (wo *fixture) poll(what string, fn func() bool) {
 	wo.t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), waitLimit)
+	ctx, cancel := context.WithTimeout(context.Background(), pollTimeout)
 	defer cancel()
 	assert.NilError(wo.t, fleet.Poll(ctx, what, func() (bool, error) { return fn(), nil }))
 }
 
-func (wo *world) newAsked(en *fleet.Process) *asked {
+func (wo *fixture) newRequest(en *fleet.Process) *request {
 	wo.mu.Lock()
 	defer wo.mu.Unlock()
-	wo.request++
-	as := &asked{id: fmt.Sprintf("request-%d", wo.request), tag: fmt.Sprintf("t%d", wo.request), entry: en.Name, done: make(chan struct{})}
-	wo.asked = append(wo.asked, as)
+	wo.sequence++
+	as := &request{id: fmt.Sprintf("request-%d", wo.sequence), tag: fmt.Sprintf("t%d", wo.sequence), entry: en.Name, done: make(chan struct{})}
+	wo.requests = append(wo.requests, as)
 	return as
 }
 
-// chat asks the desk in the background.
-func (wo *world) chat(en *fleet.Process, extra string, stream bool) *asked {
-	as := wo.newAsked(en)
+// chat requests a completion of the model desk in the background.
+func (wo *fixture) chat(en *fleet.Process, extra string, stream bool) *request {
+	as := wo.newRequest(en)
 	go func() {
 		defer close(as.done)
 		as.reply, as.err = fleet.Chat(en.URL, "schools-key", "desk", extra+"#tag="+as.tag+" ", stream, map[string]string{"X-Request-Id": as.id})
@@ -184,10 +184,10 @@
 	return as
 }
 
-// crash sends the request that crashes engines. Its body is always the same:
-// its caller sends it again.
-func (wo *world) crash(en *fleet.Process) *asked {
-	as := wo.newAsked(en)
+// crash sends the request that crashes engines, in the background. Its body is always
+// the same, as of a caller that sends the request again.
+func (wo *fixture) crash(en *fleet.Process) *request {
+	as := wo.newRequest(en)
 	as.tag = "crash"
 	go func() {
 		defer close(as.done)
@@ -196,9 +196,9 @@
 	return as
 }
 
-// call books with an idempotency key in the background.
-func (wo *world) call(en *fleet.Process, key string) *asked {
-	as := wo.newAsked(en)
+// call calls the at-most-once operation with an idempotency key, in the background.
+func (wo *fixture) call(en *fleet.Process, key string) *request {
+	as := wo.newRequest(en)
 	as.key = key
 	go func() {
 		defer close(as.done)
@@ -216,7 +216,7 @@
 
 type serviceRun struct{ Operation, Key, Attempt string }
 
-func journal[T any](wo *world, name string) []T {
+func journal[T any](wo *fixture, name string) []T {
 	var runs []T
 	if wo.fl.Process(name) == nil {
 		return nil
@@ -225,12 +225,12 @@
 	return runs
 }
 
-// find waits until some engine or service has begun the request, and notes
-// whose upstream it is.
-func (wo *world) find(as *asked) {
+// awaitStart waits until an engine or a service has started the request, and records
+// the upstream's id in wo.agent.
+func (wo *fixture) awaitStart(as *request) {
 	wo.t.Helper()
-	wo.poll("the upstream begins "+as.id, func() bool {
-		for _, id := range engines {
+	wo.poll("an upstream starts "+as.id, func() bool {
+		for _, id := range engineIDs {
 			for _, ru := range journal[engineRun](wo, id+"-engine") {
 				if ru.Tag == as.tag {
 					wo.agent = id
@@ -250,16 +250,17 @@
 	})
 }
 
-// upstream returns the stand-in beside the agent in use.
-func (wo *world) upstream() *fleet.Process {
+// upstream returns the engine or service beside the agent in use.
+func (wo *fixture) upstream() *fleet.Process {
 	if strings.HasPrefix(wo.agent, "orders") {
 		return wo.fl.Process(wo.agent + "-service")
 	}
 	return wo.fl.Process(wo.agent + "-engine")
 }
 
-// bills reads the ledger.
-func (wo *world) bills() (map[string]int, bool) {
+// bills counts the bills of each request in the ledger, and reports whether the
+// command succeeded.
+func (wo *fixture) bills() (map[string]int, bool) {
 	out, err := wo.fl.Command("bill", "--store", wo.fl.StoreURL, "--list")
 	bills := map[string]int{}
 	for line := range strings.Lines(out) {
