--- a/test/fakestore/store.go
+++ b/test/fakestore/store.go
@@ -47,7 +47,7 @@
 	WritesPerSecond int
 }
 
-// Op describes a call to the function that Before sets.
+// Op describes one call. The function that Before sets receives it.
 type Op struct {
 	Name string
 	Key  string
--- a/test/fleet/process.go
+++ b/test/fleet/process.go
@@ -16,7 +16,7 @@
 	err       error
 }
 
-// Kill kills the process and waits until it has ended.
+// Kill sends SIGKILL and waits until the process has ended.
 func (pr *Process) Kill() {
 	pr.signal(syscall.SIGKILL)
 	<-pr.done
