--- a/core/execute/execute.go
+++ b/core/execute/execute.go
@@ -83,7 +83,7 @@
 }
 
 // ErrNoOrders is returned if the upstream accepts no orders.
-var ErrNoOrders = errors.New("execute: this upstream accepts no orders")
+var ErrNoOrders = errors.New("execute: this upstream takes no orders")
 
 // Order sends an order to the upstream, if its runner accepts orders.
 func (ex *Executor) Order(ctx context.Context, fence uint64, body []byte) error {
--- a/core/order/order.go
+++ b/core/order/order.go
@@ -28,10 +28,10 @@
 // Errors of orders. With either of them, nothing was sent to the engine.
 var (
 	// ErrOld: a newer order has been given.
-	ErrOld = errors.New("order: a newer order has been given for this upstream; this one was not sent")
+	ErrOld = errors.New("order: a newer order was given")
 	// ErrAway: the store is unavailable, so it is unknown whether the order is the newest. A
 	// delayed order does no harm, an outdated one does.
-	ErrAway = errors.New("order: the store is unavailable; the order was not sent, try again later")
+	ErrAway = errors.New("order: store away")
 )
 
 func key(id core.UpstreamID) string { return "fences/" + string(id) }
