--- a/app/config_reader.go
+++ b/app/config_reader.go
@@ -12,7 +12,7 @@
 	"skylarkstand/core/chain"
 	"skylarkstand/core/declaration"
 	"skylarkstand/core/event"
-	"skylarkstand/core/spread"
+	"skylarkstand/core/topology"
 	"skylarkstand/io/peer"
 )
 
@@ -58,7 +58,7 @@
 
 // isReader reports whether this entry reads the store itself.
 func (cr *configReader) isReader() bool {
-	return spread.Reads(*cr.hosts.Load(), cr.self, cr.inf.Fresh(time.Now(), maxReaderSilence))
+	return topology.WatchesStore(*cr.hosts.Load(), cr.self, cr.inf.Fresh(time.Now(), maxReaderSilence))
 }
 
 // Serve implements suture.Service: it accepts links from other entries and reads the store
--- a/app/gateway.go
+++ b/app/gateway.go
@@ -19,12 +19,12 @@
 	"skylarkstand/core"
 	"skylarkstand/core/canary"
 	"skylarkstand/core/event"
-	"skylarkstand/core/feed"
 	"skylarkstand/core/fleet"
-	"skylarkstand/core/mirror"
-	"skylarkstand/core/recall"
-	"skylarkstand/core/register"
+	"skylarkstand/core/prefixsync"
+	"skylarkstand/core/registration"
+	"skylarkstand/core/replica"
 	"skylarkstand/core/route"
+	"skylarkstand/core/watch"
 	"skylarkstand/io/front"
 	"skylarkstand/io/sibling"
 )
@@ -76,15 +76,15 @@
 	deps     core.Deps
 	inf      *route.InForce
 	fleet    *fleet.Fleet
-	mirror   *mirror.Mirror
-	feed     *feed.Feed
-	follower *mirror.Follower
-	reg      *register.Registrar
+	mirror   *replica.Replica
+	feed     *watch.Handler
+	follower *replica.Follower
+	reg      *registration.Registrar
 	guard    *canary.Guard
 	recorder *canary.Recorder
 	pooler   *canary.Pooler
-	sharer   *sibling.Sharer
-	recaller *recall.Recaller
+	sharer   *sibling.Gossiper
+	recaller *prefixsync.Syncer
 	gauges   *gauges
 	srv      *front.Server
 	admin    metricsPage
@@ -116,8 +116,8 @@
 
 // run serves until the context ends and then shuts down gracefully.
 func (gw *gatewayProcess) run(ctx context.Context) error {
-	gw.mirror.Subscribe(gw.feed.Changed)
-	gw.mirror.Subscribe(func([]core.Change) { gw.sharer.Changed() })
+	gw.mirror.Subscribe(gw.feed.HandleChanges)
+	gw.mirror.Subscribe(func([]core.Change) { gw.sharer.AnnounceDigest() })
 	serviceCtx, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
 	sup := newSupervisor("gateway", gw.deps)
@@ -165,8 +165,8 @@
 	ready := http.NewServeMux()
 	ready.HandleFunc("GET "+gw.set.ReadinessPath, gw.ready)
 	sibs := http.NewServeMux()
-	sibs.Handle("GET "+sibling.Path, sibling.Handler(gw.mirror, gw.follower.Doubtful))
-	sibs.Handle("GET "+sibling.ReportsPath, sibling.Reports(gw.guard))
+	sibs.Handle("GET "+sibling.ReplicaPath, sibling.ReplicaHandler(gw.mirror, gw.follower.Doubtful))
+	sibs.Handle("GET "+sibling.ReportsPath, sibling.ReportsHandler(gw.guard))
 	closeReady, err := serveOn(gw.set.Readiness, ready)
 	if err != nil {
 		return nil, err
@@ -292,6 +292,6 @@
 
 // memberRecord encodes this process's record in the list of entries.
 func memberRecord(set settings.Gateway, deps core.Deps) ([]byte, error) {
-	raw, err := json.Marshal(feed.Member{ID: deps.Self, Addr: set.Siblings, Zone: deps.Zone})
+	raw, err := json.Marshal(watch.Member{ID: deps.Self, Addr: set.Siblings, Zone: deps.Zone})
 	return raw, eris.Wrap(err, "register")
 }
--- a/app/gateway_providers.go
+++ b/app/gateway_providers.go
@@ -11,18 +11,18 @@
 	"skylarkstand/app/settings"
 	"skylarkstand/core"
 	"skylarkstand/core/canary"
-	"skylarkstand/core/feed"
 	"skylarkstand/core/fleet"
 	"skylarkstand/core/forward"
 	"skylarkstand/core/mechanism"
 	"skylarkstand/core/meter"
-	"skylarkstand/core/mirror"
-	"skylarkstand/core/recall"
-	"skylarkstand/core/register"
+	"skylarkstand/core/prefixsync"
+	"skylarkstand/core/registration"
 	"skylarkstand/core/rendezvous"
+	"skylarkstand/core/replica"
 	"skylarkstand/core/retry"
 	"skylarkstand/core/route"
 	"skylarkstand/core/warmup"
+	"skylarkstand/core/watch"
 	"skylarkstand/io/front"
 	"skylarkstand/io/logline"
 	"skylarkstand/io/metrics"
@@ -94,12 +94,12 @@
 // members provides the registered entries. Its functions are set when the feed is created, since
 // the feed depends on components that use members.
 type members struct {
-	list  func() []feed.Member
+	list  func() []watch.Member
 	count func() int
 }
 
 func newMembers() *members {
-	return &members{list: func() []feed.Member { return nil }, count: func() int { return 0 }}
+	return &members{list: func() []watch.Member { return nil }, count: func() int { return 0 }}
 }
 
 // others returns the addresses of the other entries. It excludes by address, not by id, so that a
@@ -115,8 +115,8 @@
 }
 
 // inRegion returns the entries of a region.
-func (me *members) inRegion(regions map[core.Zone]core.Region, re core.Region) []feed.Member {
-	var out []feed.Member
+func (me *members) inRegion(regions map[core.Zone]core.Region, re core.Region) []watch.Member {
+	var out []watch.Member
 	for _, mb := range me.list() {
 		if regions[mb.Zone] == re {
 			out = append(out, mb)
@@ -151,8 +151,8 @@
 // the number of entries if it is not registered.
 func (me *members) rank(self core.ProcessID, sv core.ServiceID) int {
 	list := me.list()
-	top := rendezvous.Top(string(sv), list, len(list), func(mb feed.Member) string { return string(mb.ID) })
-	at := slices.IndexFunc(top, func(mb feed.Member) bool { return mb.ID == self })
+	top := rendezvous.Top(string(sv), list, len(list), func(mb watch.Member) string { return string(mb.ID) })
+	at := slices.IndexFunc(top, func(mb watch.Member) bool { return mb.ID == self })
 	if at < 0 {
 		return len(list)
 	}
@@ -167,8 +167,8 @@
 // registered yet watches the store itself.
 func (me *members) isReader(self core.ProcessID, regions map[core.Zone]core.Region, re core.Region) bool {
 	local := me.inRegion(regions, re)
-	isSelf := func(mb feed.Member) bool { return mb.ID == self }
-	top := rendezvous.Top(string(re), local, readersPerRegion, func(mb feed.Member) string { return string(mb.ID) })
+	isSelf := func(mb watch.Member) bool { return mb.ID == self }
+	top := rendezvous.Top(string(re), local, readersPerRegion, func(mb watch.Member) string { return string(mb.ID) })
 	return !slices.ContainsFunc(local, isSelf) || slices.ContainsFunc(top, isSelf)
 }
 
@@ -176,57 +176,57 @@
 	return sibling.New(cl, func() []string { return me.others(set.Siblings) }, rand.IntN)
 }
 
-func newFollower(set settings.Gateway, deps core.Deps, mi *mirror.Mirror, st *platform.Store, si *sibling.Siblings, me *members, off mechanism.Off) *mirror.Follower {
+func newFollower(set settings.Gateway, deps core.Deps, mi *replica.Replica, st *platform.Store, si *sibling.Siblings, me *members, off mechanism.Off) *replica.Follower {
 	if off.Has(mechanism.Readers) {
-		return mirror.NewFollower(deps, mi, st, si)
+		return replica.NewFollower(deps, mi, st, si)
 	}
 	isReader := func() bool { return me.isReader(deps.Self, set.Regions, deps.Region) }
-	return mirror.NewFollower(deps, mi, st, si, mirror.Reads(isReader))
+	return replica.NewFollower(deps, mi, st, si, replica.IsReader(isReader))
 }
 
-func newForwarder(set settings.Gateway, deps core.Deps, inf *route.InForce, fl *fleet.Fleet, gu *canary.Guard, wu *warmup.Tracker, mi *mirror.Mirror, ac core.Access, sc *shutdownState, me *members, off mechanism.Off) *forward.Forwarder {
+func newForwarder(set settings.Gateway, deps core.Deps, inf *route.InForce, fl *fleet.Fleet, gu *canary.Guard, wu *warmup.Tracker, mi *replica.Replica, ac core.Access, sc *shutdownState, me *members, off mechanism.Off) *forward.Forwarder {
 	re := set.Repeats
-	slack := func() float64 { return retry.Share(re.Slack, me.count()) }
-	return forward.New(deps, ac, forward.Parts{
+	slack := func() float64 { return retry.SlackShare(re.Slack, me.count()) }
+	return forward.New(deps, ac, forward.Components{
 		InForce: inf, Fleet: fl, Canary: gu, Warmup: wu,
-		Age:      func() time.Duration { return mi.Age(time.Now()) },
-		Repeats:  forward.NewWindows(time.Duration(re.Window), re.Ratio, slack),
-		Stopping: sc.remaining, Off: off,
+		ConfigAge:      func() time.Duration { return mi.Age(time.Now()) },
+		NewRetryWindow: forward.RetryWindows(time.Duration(re.Window), re.Ratio, slack),
+		Stopping:       sc.remaining, Off: off,
 	})
 }
 
-func newFeed(deps core.Deps, la platform.Layout, inf *route.InForce, fl *fleet.Fleet, gu *canary.Guard, wu *warmup.Tracker, fo *mirror.Follower, fw *forward.Forwarder, cl *upstream.Client, me *members) *feed.Feed {
-	fd := feed.New(deps, la, feed.Parts{
+func newFeed(deps core.Deps, la platform.Layout, inf *route.InForce, fl *fleet.Fleet, gu *canary.Guard, wu *warmup.Tracker, fo *replica.Follower, fw *forward.Forwarder, cl *upstream.Client, me *members) *watch.Handler {
+	fd := watch.New(deps, la, watch.Targets{
 		InForce: inf, Fleet: fl, Canary: gu, Warmup: wu, Regions: la.Regions, Doubtful: fo.Doubtful,
-		Gone: func(ho core.Host) {
+		OnRemoved: func(ho core.Host) {
 			cl.Forget(ho.Addr)
-			fw.Gone(ho.ID)
+			fw.Forget(ho.ID)
 		},
 	})
-	me.list, me.count = fd.Members, fd.Entries
+	me.list, me.count = fd.Members, fd.EntryCount
 	return fd
 }
 
-func newRegistrar(set settings.Gateway, deps core.Deps, st *platform.Store) (*register.Registrar, error) {
+func newRegistrar(set settings.Gateway, deps core.Deps, st *platform.Store) (*registration.Registrar, error) {
 	line, err := memberRecord(set, deps)
-	return register.New(deps, st, feed.PrefixEntries+string(deps.Self), line), err
+	return registration.New(deps, st, watch.PrefixEntries+string(deps.Self), line), err
 }
 
 func newRecorder(deps core.Deps, gu *canary.Guard, st *platform.Store, la platform.Layout, me *members) *canary.Recorder {
-	return canary.NewRecorder(deps, gu, st, la, feed.PrefixSteps, func(sv core.ServiceID) int { return me.rank(deps.Self, sv) })
+	return canary.NewRecorder(deps, gu, st, la, watch.PrefixSteps, func(sv core.ServiceID) int { return me.rank(deps.Self, sv) })
 }
 
 func newPooler(gu *canary.Guard, si *sibling.Siblings) *canary.Pooler {
 	return canary.NewPooler(gu, si)
 }
 
-func newSharer(set settings.Gateway, deps core.Deps, fw *forward.Forwarder, fo *mirror.Follower, me *members) *sibling.Sharer {
+func newSharer(set settings.Gateway, deps core.Deps, fw *forward.Forwarder, fo *replica.Follower, me *members) *sibling.Gossiper {
 	local := func() []string { return me.othersInRegion(set.Siblings, set.Regions, deps.Region) }
 	isReader := func() bool { return me.isReader(deps.Self, set.Regions, deps.Region) }
 	remote := func() map[core.Region][]string { return me.byRemoteRegion(set.Regions, deps.Region) }
-	return sibling.NewSharer(deps.Self, set.Siblings, fw, fo, local, isReader, sibling.Remote(remote))
+	return sibling.NewGossiper(deps.Self, set.Siblings, fw, fo, local, isReader, sibling.RemoteEntries(remote))
 }
 
-func newRecaller(deps core.Deps, inf *route.InForce, fl *fleet.Fleet, mem core.Memory, fw *forward.Forwarder, off mechanism.Off) *recall.Recaller {
-	return recall.New(deps, inf, fl, mem, fw, recall.Without(off))
+func newRecaller(deps core.Deps, inf *route.InForce, fl *fleet.Fleet, mem core.Memory, fw *forward.Forwarder, off mechanism.Off) *prefixsync.Syncer {
+	return prefixsync.New(deps, inf, fl, mem, fw, prefixsync.Without(off))
 }
--- a/app/gauges.go
+++ b/app/gauges.go
@@ -11,7 +11,7 @@
 	"skylarkstand/core/fleet"
 	"skylarkstand/core/forward"
 	"skylarkstand/core/meter"
-	"skylarkstand/core/mirror"
+	"skylarkstand/core/replica"
 	"skylarkstand/core/route"
 	"skylarkstand/io/front"
 )
@@ -26,12 +26,12 @@
 	inf    *route.InForce
 	fleet  *fleet.Fleet
 	guard  *canary.Guard
-	mirror *mirror.Mirror
+	mirror *replica.Replica
 	fw     *forward.Forwarder
 	srv    *front.Server
 }
 
-func newGauges(deps core.Deps, inf *route.InForce, fl *fleet.Fleet, gu *canary.Guard, mi *mirror.Mirror, fw *forward.Forwarder, srv *front.Server) *gauges {
+func newGauges(deps core.Deps, inf *route.InForce, fl *fleet.Fleet, gu *canary.Guard, mi *replica.Replica, fw *forward.Forwarder, srv *front.Server) *gauges {
 	return &gauges{deps.Metrics, inf, fl, gu, mi, fw, srv}
 }
 
@@ -52,13 +52,13 @@
 func (ga *gauges) set(now time.Time) {
 	meter.InFlight.Set(ga.scope, float64(ga.srv.Flying()))
 	if tb := ga.inf.Current(); tb != nil {
-		meter.NewsAge.Set(ga.scope, ga.mirror.Age(now).Seconds())
+		meter.ReplicaAge.Set(ga.scope, ga.mirror.Age(now).Seconds())
 		meter.ConfigVersion.Set(ga.scope, float64(tb.Version))
 	}
 	for sv, share := range ga.guard.Shares() {
 		meter.RollOutShare.Set(ga.scope, share, string(sv))
 	}
-	for sv, remaining := range ga.fw.RepeatsLeft() {
+	for sv, remaining := range ga.fw.RetriesLeft() {
 		meter.RepeatsLeft.Set(ga.scope, remaining, string(sv))
 	}
 	for sv, co := range ga.fleet.Counts(now) {
--- a/app/guard_duty.go
+++ b/app/guard_duty.go
@@ -65,14 +65,14 @@
 	for {
 		changed := gd.inf.Changed()
 		if sn := gd.inf.Current(); sn != nil {
-			gd.gu.Follow(sn)
+			gd.gu.Apply(sn)
 		}
 		gd.logStale()
 		gd.sendEvidence(ctx)
 		gd.record(ctx)
 		select {
 		case <-changed:
-		case <-gd.gu.New():
+		case <-gd.gu.HaltSignal():
 		case <-tick.C:
 		case <-ctx.Done():
 			return ctx.Err()
@@ -86,16 +86,16 @@
 // sendEvidence sends the observed attempts to the homes of the roll-outs. An entry decides locally
 // if it cannot reach a home or has no address for other entries, or if the host list has no home.
 func (gd *guardService) sendEvidence(ctx context.Context) {
-	for _, ba := range gd.gu.Batches() {
+	for _, ba := range gd.gu.TakeBatches() {
 		home, ok := rollout.Home(ba.Model, *gd.hosts.Load())
 		switch {
 		case !ok || gd.self.Addr == "":
-			gd.gu.Alone(ba.Model, true)
+			gd.gu.DecideLocally(ba.Model, true)
 		case home.Addr == gd.self.Addr:
-			gd.gu.Alone(ba.Model, false)
-			gd.gu.Pool(ba)
+			gd.gu.DecideLocally(ba.Model, false)
+			gd.gu.MergeBatch(ba)
 		default:
-			gd.gu.Alone(ba.Model, !gd.send(ctx, home, ba))
+			gd.gu.DecideLocally(ba.Model, !gd.send(ctx, home, ba))
 		}
 	}
 }
@@ -116,7 +116,7 @@
 }
 
 func (gd *guardService) record(ctx context.Context) {
-	halts := gd.gu.Halts()
+	halts := gd.gu.PendingHalts()
 	if len(halts) == 0 {
 		gd.pending = false
 		clear(gd.announced)
@@ -124,7 +124,7 @@
 	for _, ha := range halts {
 		if !gd.announced[ha.Version] {
 			gd.announced[ha.Version] = true
-			event.Log(gd.deps.Log, event.RollOutHalted, "version", ha.Version.String(), "why", ha.Why, "reached", ha.Reached)
+			event.Log(gd.deps.Log, event.RollOutHalted, "version", ha.Version.String(), "why", ha.Evidence, "reached", ha.Exposed)
 			meter.RollOutsHalted.Inc(gd.deps.Metrics)
 			gd.mesh.TellHalt(ha, gd.inf.Number())
 		}
--- a/app/in_force.go
+++ b/app/in_force.go
@@ -8,7 +8,7 @@
 	"github.com/rotisserie/eris"
 
 	"skylarkstand/core"
-	"skylarkstand/core/inforce"
+	"skylarkstand/core/propagation"
 	"skylarkstand/io/hosts"
 	"skylarkstand/io/peer"
 )
@@ -25,7 +25,7 @@
 		_, err := peer.Await(ctx, deps, addr, gen)
 		return err
 	}
-	rep := inforce.Follow(ctx, hos, gen, wait, printZone)
+	rep := propagation.Follow(ctx, hos, gen, wait, printZone)
 	if len(rep.Missing) > 0 {
 		return &exitError{ExitSpreading, eris.Errorf("generation %d is accepted, and %d processes do not have it in force yet; those that are up will adopt it", gen, len(rep.Missing))}
 	}
@@ -33,7 +33,7 @@
 	return nil
 }
 
-func printZone(zo inforce.Zone) {
+func printZone(zo propagation.ZoneReport) {
 	if len(zo.Missing) > 0 {
 		fmt.Printf("  %s (%s): not in force at %v\n", zo.Zone, zo.Region, zo.Missing)
 		return
--- a/app/providers.go
+++ b/app/providers.go
@@ -83,7 +83,9 @@
 }
 
 func newCaller(set settings.Entry, deps core.Deps, page metricsPage, inf *declaration.InForce, dis *dispatch.Dispatcher, kr *session.Keyring, mesh *peer.Mesh) *caller.Server {
-	capacity := func(po admission.Pool) admission.Room { return admission.Room(dis.Room(po.Target, po.Service, po.Far)) }
+	capacity := func(po admission.Pool) admission.Capacity {
+		return admission.Capacity(dis.Room(po.Target, po.Service, po.CrossRegion))
+	}
 	gt := admission.NewGate(capacity, admission.MaxWait(time.Duration(set.MaxWait)), admission.MaxQueue(set.MaxQueue))
 	return caller.New(deps, inf, dis, kr, caller.Gate(gt),
 		caller.WithSessions(mesh), caller.Freshness(time.Duration(set.Freshness)), caller.MaxBody(set.MaxBody), caller.MaxInFlight(set.MaxInFlight), caller.Metrics(page))
@@ -104,7 +106,7 @@
 
 func newDispatcher(set settings.Entry, deps core.Deps, inf *declaration.InForce, ups core.Upstreams, po *agent.Pool, ra core.Rater, bi dispatch.Biller, gu *rollout.Guard) *dispatch.Dispatcher {
 	return dispatch.New(deps, inf, ups, ra, bi, dispatch.Guard(gu),
-		dispatch.Candidates(po), dispatch.Placement(placement.CrossingBudget(set.CrossingBudget)))
+		dispatch.Candidates(po), dispatch.Placement(placement.CrossRegionBudget(set.CrossingBudget)))
 }
 
 // newUpstreamHost returns the agent's own record in the host list.
--- a/app/readers_test.go
+++ b/app/readers_test.go
@@ -6,7 +6,7 @@
 	"gotest.tools/v3/assert"
 
 	"skylarkstand/core"
-	"skylarkstand/core/feed"
+	"skylarkstand/core/watch"
 )
 
 // Guards against a region without a reader because each entry assumes that another one is the
@@ -14,11 +14,11 @@
 func TestReadersOfARegion(t *testing.T) {
 	regions := map[core.Zone]core.Region{"muc-a": "muc", "muc-b": "muc", "nue-a": "nue"}
 	me := newMembers()
-	var all []feed.Member
+	var all []watch.Member
 	for _, id := range []core.ProcessID{"p1", "p2", "p3", "p4", "p5", "p6"} {
-		all = append(all, feed.Member{ID: id, Zone: "muc-a"}, feed.Member{ID: id + "-far", Zone: "nue-a"})
+		all = append(all, watch.Member{ID: id, Zone: "muc-a"}, watch.Member{ID: id + "-far", Zone: "nue-a"})
 	}
-	me.list = func() []feed.Member { return all }
+	me.list = func() []watch.Member { return all }
 	readers := 0
 	for _, mb := range all {
 		if regions[mb.Zone] == "muc" && me.isReader(mb.ID, regions, "muc") {
@@ -36,8 +36,8 @@
 func TestOtherEntriesExcludeOwnAddress(t *testing.T) {
 	regions := map[core.Zone]core.Region{"muc-a": "muc", "nue-a": "nue"}
 	me := newMembers()
-	me.list = func() []feed.Member {
-		return []feed.Member{{ID: "gone", Addr: "one", Zone: "muc-a"}, {ID: "p2", Addr: "two", Zone: "muc-a"}, {ID: "p3", Addr: "three", Zone: "nue-a"}}
+	me.list = func() []watch.Member {
+		return []watch.Member{{ID: "gone", Addr: "one", Zone: "muc-a"}, {ID: "p2", Addr: "two", Zone: "muc-a"}, {ID: "p3", Addr: "three", Zone: "nue-a"}}
 	}
 	assert.DeepEqual(t, me.othersInRegion("one", regions, "muc"), []string{"two"})
 	assert.DeepEqual(t, me.others("one"), []string{"two", "three"})
--- a/app/settings/settings.go
+++ b/app/settings/settings.go
@@ -125,7 +125,7 @@
 func DefaultEntry() Entry {
 	return Entry{
 		MaxBody: 4 << 20, MaxHeader: defaultMaxHeader, MaxInFlight: 4096, Freshness: Duration(20 * time.Second),
-		MaxWait: Duration(30 * time.Second), MaxQueue: 4096, CrossingBudget: placement.DefaultCrossing,
+		MaxWait: Duration(30 * time.Second), MaxQueue: 4096, CrossingBudget: placement.DefaultCrossRegionBudget,
 		LedgerWrites: 100, LedgerPace: Duration(2 * time.Second), DrainLimit: Duration(time.Minute), Processors: defaultProcessors, LogLevel: "info",
 	}
 }
--- a/app/wire.go
+++ b/app/wire.go
@@ -10,7 +10,7 @@
 	"skylarkstand/core/declaration"
 	"skylarkstand/core/dispatch"
 	"skylarkstand/core/ledger"
-	"skylarkstand/core/mirror"
+	"skylarkstand/core/replica"
 	"skylarkstand/core/rollout"
 	"skylarkstand/core/route"
 	"skylarkstand/core/suspect"
@@ -53,7 +53,7 @@
 	wire.Build(
 		newGatewayProcess, wire.FieldsOf(new(process), "Deps", "Page"), newUpstreamClient, newPlatformStore, newLayout,
 		newFleet, newWarmup, newOff, newGuard, newCodec, newMembers, newSiblings, newFollower, newForwarder, newFeed, newRegistrar, newRecorder, newPooler, newSharer, newRecaller, newGauges, newShutdownState,
-		route.NewInForce, mirror.New, front.New, platform.NewUpstreams,
+		route.NewInForce, replica.New, front.New, platform.NewUpstreams,
 		wire.Bind(new(core.Access), new(*platform.Upstreams)), wire.Bind(new(core.Memory), new(*platform.Upstreams)),
 		wire.Struct(new(gatewayProcess), "set", "deps", "inf", "fleet", "mirror", "feed", "follower", "reg", "guard", "recorder", "pooler", "sharer", "recaller", "gauges", "srv", "admin", "stop"),
 	)
--- a/app/wire_gen.go
+++ b/app/wire_gen.go
@@ -9,7 +9,7 @@
 import (
 	"skylarkstand/app/settings"
 	"skylarkstand/core/declaration"
-	"skylarkstand/core/mirror"
+	"skylarkstand/core/replica"
 	"skylarkstand/core/rollout"
 	"skylarkstand/core/route"
 	"skylarkstand/core/suspect"
@@ -94,7 +94,7 @@
 	deps := appProcess.Deps
 	inForce := route.NewInForce()
 	fleet := newFleet()
-	mirrorMirror := mirror.New()
+	replicaReplica := replica.New()
 	layout := newLayout(set)
 	off, err := newOff(set)
 	if err != nil {
@@ -107,11 +107,11 @@
 	store := newPlatformStore(set, deps, client)
 	appMembers := newMembers()
 	siblings := newSiblings(set, client, appMembers)
-	follower := newFollower(set, deps, mirrorMirror, store, siblings, appMembers, off)
+	follower := newFollower(set, deps, replicaReplica, store, siblings, appMembers, off)
 	upstreams := platform.NewUpstreams(client)
 	appShutdownState := newShutdownState()
-	forwarder := newForwarder(set, deps, inForce, fleet, guard, tracker, mirrorMirror, upstreams, appShutdownState, appMembers, off)
-	feed := newFeed(deps, layout, inForce, fleet, guard, tracker, follower, forwarder, client, appMembers)
+	forwarder := newForwarder(set, deps, inForce, fleet, guard, tracker, replicaReplica, upstreams, appShutdownState, appMembers, off)
+	handler := newFeed(deps, layout, inForce, fleet, guard, tracker, follower, forwarder, client, appMembers)
 	registrar, err := newRegistrar(set, deps, store)
 	if err != nil {
 		cleanup2()
@@ -120,26 +120,26 @@
 	}
 	recorder := newRecorder(deps, guard, store, layout, appMembers)
 	pooler := newPooler(guard, siblings)
-	sharer := newSharer(set, deps, forwarder, follower, appMembers)
-	recaller := newRecaller(deps, inForce, fleet, upstreams, forwarder, off)
+	gossiper := newSharer(set, deps, forwarder, follower, appMembers)
+	syncer := newRecaller(deps, inForce, fleet, upstreams, forwarder, off)
 	codec := newCodec()
 	server := front.New(deps, codec, forwarder, inForce)
-	appGauges := newGauges(deps, inForce, fleet, guard, mirrorMirror, forwarder, server)
+	appGauges := newGauges(deps, inForce, fleet, guard, replicaReplica, forwarder, server)
 	appMetricsPage := appProcess.Page
 	appGatewayProcess := &gatewayProcess{
 		set:      set,
 		deps:     deps,
 		inf:      inForce,
 		fleet:    fleet,
-		mirror:   mirrorMirror,
-		feed:     feed,
+		mirror:   replicaReplica,
+		feed:     handler,
 		follower: follower,
 		reg:      registrar,
 		guard:    guard,
 		recorder: recorder,
 		pooler:   pooler,
-		sharer:   sharer,
-		recaller: recaller,
+		sharer:   gossiper,
+		recaller: syncer,
 		gauges:   appGauges,
 		srv:      server,
 		admin:    appMetricsPage,
--- a/core/admission/bookkeeping.go
+++ b/core/admission/bookkeeping.go
@@ -123,5 +123,5 @@
 	con.free = ti
 }
 
-// GiveUp releases a ticket that Next returned without starting it.
-func (con *Controller) GiveUp(ti *Ticket) { con.release(ti) }
+// Discard releases a ticket that Next returned without starting it.
+func (con *Controller) Discard(ti *Ticket) { con.release(ti) }
--- a/core/admission/controller.go
+++ b/core/admission/controller.go
@@ -23,28 +23,28 @@
 	Deadline time.Duration
 	// NoWait refuses the request unless it starts at once.
 	NoWait bool
-	// MayCross allows another region to run a request that the local region
+	// AllowCrossRegion allows another region to run a request that the local region
 	// would refuse, if it can start there at once.
-	MayCross bool
-	// Draw is a random number from 0 to 1, used as the jitter of Retry-After.
-	Draw float64
+	AllowCrossRegion bool
+	// Jitter is a random number from 0 to 1, used as the jitter of Retry-After.
+	Jitter float64
 }
 
-// Room is the capacity of a pool.
-type Room struct {
-	// Places is the number of requests of this controller that the pool can run
+// Capacity is the capacity of a pool.
+type Capacity struct {
+	// EntrySlots is the number of requests of this controller that the pool can run
 	// concurrently.
-	Places int
-	// Slots is the number of requests of all entries that it can run
+	EntrySlots int
+	// TotalSlots is the number of requests of all entries that it can run
 	// concurrently. The reserve is sized by it.
-	Slots int
+	TotalSlots int
 }
 
 // Controller makes the admission decisions for one pool. It is not safe for
 // concurrent use.
 type Controller struct {
 	lim      Limits
-	capacity Room
+	capacity Capacity
 	running  int
 	queued   int
 	// activeWeight is the sum of the weights of the workspaces with running or
@@ -68,7 +68,7 @@
 }
 
 // New returns a controller for a pool of the given capacity.
-func New(ro Room, opts ...Option) *Controller {
+func New(ro Capacity, opts ...Option) *Controller {
 	return &Controller{
 		lim: newLimits(opts), capacity: ro, workspaces: map[core.WorkspaceID]*workspaceState{},
 		meanSeconds: initialSecondsPerUnit * initialOutput, meanUnits: initialOutput,
@@ -76,7 +76,7 @@
 }
 
 // Resize sets the pool's capacity. With zero places, no request starts.
-func (con *Controller) Resize(ro Room) { con.capacity = ro }
+func (con *Controller) Resize(ro Capacity) { con.capacity = ro }
 
 // Offer decides on an arriving request. It returns the request's ticket and
 // whether it starts now, or a refusal. A ticket that does not start now is
@@ -107,10 +107,10 @@
 	return ti, false, nil
 }
 
-// WorthCrossing reports whether a queued request should start in another region
+// WorthCrossRegion reports whether a queued request should start in another region
 // instead: when the bytes that it would send over the paid cross-region link are
 // few in proportion to the wait that it would avoid.
-func (con *Controller) WorthCrossing(ti *Ticket, body int) bool {
+func (con *Controller) WorthCrossRegion(ti *Ticket, body int) bool {
 	bytes := float64(body) + ti.workspace.output*bytesPerToken
 	return bytes <= crossingBytesPerSecond*ti.expected
 }
@@ -127,10 +127,10 @@
 	}
 	wait := con.estimateWait(now, sp, la)
 	if wo.NoWait {
-		return core.Refuse(core.CodeOverloaded, retryAfter(wait, wo.Draw), "the pool has no room")
+		return core.Refuse(core.CodeOverloaded, retryAfter(wait, wo.Jitter), "the pool has no room")
 	}
-	if con.queued >= con.lim.MaxQueue || sp.count >= con.lim.MaxOwn {
-		return core.Refuse(core.CodeOverloaded, retryAfter(wait/2, wo.Draw), "the queue of the workspace or the pool is full")
+	if con.queued >= con.lim.MaxQueue || sp.count >= con.lim.MaxQueuePerWorkspace {
+		return core.Refuse(core.CodeOverloaded, retryAfter(wait/2, wo.Jitter), "the queue of the workspace or the pool is full")
 	}
 	limit, need := con.lim.MaxWait.Seconds(), wait
 	if wo.Deadline > 0 {
@@ -140,7 +140,7 @@
 	if need <= limit {
 		return nil
 	}
-	return core.Refuse(core.CodeOverloaded, retryAfter(need-limit, wo.Draw), "the request would wait %.1fs, which its deadline does not allow", wait)
+	return core.Refuse(core.CodeOverloaded, retryAfter(need-limit, wo.Jitter), "the request would wait %.1fs, which its deadline does not allow", wait)
 }
 
 // refuseInfeasible refuses a request that would miss its deadline even if it
@@ -160,7 +160,7 @@
 // Next dequeues the next request that can start now, or returns nil. After Leave
 // and Resize it is called until it returns nil. A request that can no longer
 // meet its deadline, because the pool has slowed down since it arrived, is
-// returned with start false: the caller refuses it at once and calls GiveUp.
+// returned with start false: the caller refuses it at once and calls Discard.
 func (con *Controller) Next(now time.Time) (ti *Ticket, start bool) {
 	sp := con.nextWorkspace()
 	if sp == nil {
@@ -197,7 +197,7 @@
 // them next. A reserve for them would, in a full pool, hold back workspaces with
 // a few long responses running until past their deadlines.
 func (con *Controller) mayStart(sp *workspaceState) bool {
-	free := con.capacity.Places - con.running
+	free := con.capacity.EntrySlots - con.running
 	if free <= 0 {
 		return false
 	}
@@ -210,7 +210,7 @@
 // workspace with most of the weight would span all places; it is capped at half
 // of the places outside its share.
 func (con *Controller) excess(sp *workspaceState) float64 {
-	places := float64(con.capacity.Places)
+	places := float64(con.capacity.EntrySlots)
 	share := sp.weight * places / con.activeWeightWith(sp)
 	rest := places - share
 	usual := share + min(shareDeviations*math.Sqrt(share), rest/2)
@@ -230,7 +230,7 @@
 // leaves to the others. The load of the other entries is assumed to be like this
 // entry's.
 func (con *Controller) reserve(sp *workspaceState) float64 {
-	return reserveDeviations * math.Sqrt(con.othersRunning(sp)*float64(con.capacity.Slots)/float64(con.capacity.Places))
+	return reserveDeviations * math.Sqrt(con.othersRunning(sp)*float64(con.capacity.TotalSlots)/float64(con.capacity.EntrySlots))
 }
 
 // Leave ends a started request. Used is the usage of its response, or nil if the
@@ -280,8 +280,8 @@
 // Queued returns the number of waiting requests.
 func (con *Controller) Queued() int { return con.queued }
 
-// Flying returns the number of running requests.
-func (con *Controller) Flying() int { return con.running }
+// Running returns the number of running requests.
+func (con *Controller) Running() int { return con.running }
 
 // secondsPerUnit returns the estimated time per unit of one running request.
 func (con *Controller) secondsPerUnit() float64 { return con.meanSeconds / max(con.meanUnits, 1) }
@@ -299,13 +299,13 @@
 // arrival order in a hundred admits 6 of 200 callers where 17 can be answered in
 // time.
 func (con *Controller) estimateWait(now time.Time, sp *workspaceState, la int) float64 {
-	places := float64(max(con.capacity.Places, 1))
+	places := float64(max(con.capacity.EntrySlots, 1))
 	weights := con.waitingWeight
 	if sp.count == 0 {
 		weights += sp.weight
 	}
 	used := con.othersRunning(sp)
-	if con.capacity.Places > 0 && con.excess(sp) > 0 {
+	if con.capacity.EntrySlots > 0 && con.excess(sp) > 0 {
 		used += con.reserve(sp)
 	}
 	left := max(1-used/places, weights/con.activeWeightWith(sp), minRateShare)
--- a/core/admission/doc.go
+++ b/core/admission/doc.go
@@ -23,5 +23,5 @@
 //	ps, err := gt.Enter(ctx, admission.ModelPool(mv), admission.Work{Workspace: ws, Share: 2, Prompt: 400})
 //	if err != nil { refuse }          // a *core.Failure, not run
 //	defer ps.Leave()
-//	ps.Used(usage)                    // once the response is complete
+//	ps.RecordUsage(usage)                    // once the response is complete
 package admission
--- a/core/admission/figures_test.go
+++ b/core/admission/figures_test.go
@@ -146,7 +146,7 @@
 // workspaces that all have requests waiting: its arrival, the end of another
 // request, and the start of the next.
 func benchmarkAdmission(bb *testing.B) {
-	con := admission.New(admission.Room{Places: 1000, Slots: 1000}, admission.MaxWait(time.Hour), admission.MaxQueue(1<<20))
+	con := admission.New(admission.Capacity{EntrySlots: 1000, TotalSlots: 1000}, admission.MaxWait(time.Hour), admission.MaxQueue(1<<20))
 	names := make([]core.WorkspaceID, 1000)
 	for ix := range names {
 		names[ix] = core.WorkspaceID(fmt.Sprintf("workspace-%d", ix))
--- a/core/admission/gate.go
+++ b/core/admission/gate.go
@@ -12,8 +12,8 @@
 type Pool struct {
 	Target  core.ModelVersion
 	Service core.ServiceID
-	// Far selects the upstreams of other regions instead of the local ones.
-	Far bool
+	// CrossRegion selects the upstreams of other regions instead of the local ones.
+	CrossRegion bool
 }
 
 // ModelPool returns the local pool of a model version.
@@ -26,7 +26,7 @@
 // pool has its own controller and lock, so that a full pool does not delay the
 // others. It is safe for concurrent use.
 type Gate struct {
-	capacity func(Pool) Room
+	capacity func(Pool) Capacity
 	opts     []Option
 
 	mu    sync.Mutex
@@ -37,7 +37,7 @@
 }
 
 // NewGate returns a gate that gets the capacity of each pool from a function.
-func NewGate(capacity func(Pool) Room, opts ...Option) *Gate {
+func NewGate(capacity func(Pool) Capacity, opts ...Option) *Gate {
 	return &Gate{capacity: capacity, opts: opts, pools: map[Pool]*poolState{}, limited: map[core.WorkspaceID]int{}}
 }
 
@@ -71,7 +71,7 @@
 // Enter admits a request, or refuses it with a *core.Failure that says it was not
 // run. It blocks while the request is queued.
 //
-// A request with MayCross that the local region would refuse, or queue for long
+// A request with AllowCrossRegion that the local region would refuse, or queue for long
 // enough to be worth crossing, may start in another region, if that has free
 // places now and the link between the regions has budget. It is never queued
 // there.
@@ -80,7 +80,7 @@
 		return nil, fl
 	}
 	ps, wa, fl := gt.offer(po, wo)
-	if fl != nil && fl.Code == core.CodeOverloaded && wo.MayCross {
+	if fl != nil && fl.Code == core.CodeOverloaded && wo.AllowCrossRegion {
 		if other := gt.offerCrossRegion(po, wo); other != nil {
 			return other, nil
 		}
@@ -113,7 +113,7 @@
 	if start {
 		return ps, nil, nil
 	}
-	if wo.MayCross && do.con.WorthCrossing(ti, wo.Body) {
+	if wo.AllowCrossRegion && do.con.WorthCrossRegion(ti, wo.Body) {
 		if other := gt.offerCrossRegion(po, wo); other != nil {
 			do.con.Cancel(ti)
 			return other, nil, nil
@@ -128,7 +128,7 @@
 // or not at all. The lock of the local pool may be held: the lock of the other
 // regions' pool is always acquired after it, which prevents deadlocks.
 func (gt *Gate) offerCrossRegion(po Pool, wo Work) *Pass {
-	po.Far, wo.NoWait, wo.MayCross = true, true, false
+	po.CrossRegion, wo.NoWait, wo.AllowCrossRegion = true, true, false
 	ps, _, fl := gt.offer(po, wo)
 	if fl != nil {
 		return nil
@@ -161,12 +161,12 @@
 	return ps, nil
 }
 
-// Crossing reports whether the request was admitted to another region.
-func (ps *Pass) Crossing() bool { return ps.po.Far }
+// CrossRegion reports whether the request was admitted to another region.
+func (ps *Pass) CrossRegion() bool { return ps.po.CrossRegion }
 
-// Used records the usage of the complete response, for the estimates of later
+// RecordUsage records the usage of the complete response, for the estimates of later
 // requests.
-func (ps *Pass) Used(us core.Usage) { ps.usage = &us }
+func (ps *Pass) RecordUsage(us core.Usage) { ps.usage = &us }
 
 // Leave releases the request's place. It may be called more than once.
 func (ps *Pass) Leave() {
@@ -186,7 +186,7 @@
 	defer gt.mu.Unlock()
 	do := gt.pools[po]
 	if do == nil {
-		do = &poolState{con: New(Room{}, gt.opts...)}
+		do = &poolState{con: New(Capacity{}, gt.opts...)}
 		gt.pools[po] = do
 	}
 	return do
@@ -201,7 +201,7 @@
 	gt.mu.Lock()
 	defer gt.mu.Unlock()
 	if gt.limited[wo.Workspace] >= wo.Limit {
-		return core.Refuse(core.CodeOverloaded, retryAfter(0, wo.Draw), "the workspace has %d requests here, its limit", wo.Limit)
+		return core.Refuse(core.CodeOverloaded, retryAfter(0, wo.Jitter), "the workspace has %d requests here, its limit", wo.Limit)
 	}
 	gt.limited[wo.Workspace]++
 	return nil
@@ -237,7 +237,7 @@
 		}
 		ti.Waiter.(*waiter).decided <- start
 		if !start {
-			do.con.GiveUp(ti)
+			do.con.Discard(ti)
 		}
 	}
 }
--- a/core/admission/gate_test.go
+++ b/core/admission/gate_test.go
@@ -15,11 +15,11 @@
 	"skylarkstand/core/admission"
 )
 
-func oneUpstream(po admission.Pool) admission.Room {
-	if po.Far {
-		return admission.Room{}
+func oneUpstream(po admission.Pool) admission.Capacity {
+	if po.CrossRegion {
+		return admission.Capacity{}
 	}
-	return admission.Room{Places: 4, Slots: 4}
+	return admission.Capacity{EntrySlots: 4, TotalSlots: 4}
 }
 
 func failure(t *testing.T, err error) *core.Failure {
@@ -61,7 +61,7 @@
 				running--
 				done++
 				mu.Unlock()
-				ps.Used(core.Usage{Generated: 100})
+				ps.RecordUsage(core.Usage{Generated: 100})
 				ps.Leave()
 				ps.Leave()
 				assert.Check(t, ctx.Err() == nil, "the response arrived after the deadline")
@@ -143,26 +143,26 @@
 func TestGateCrossesRegionsForSmallRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		far := 2
-		gt := admission.NewGate(func(po admission.Pool) admission.Room {
-			if po.Far {
-				return admission.Room{Places: far, Slots: 8}
+		gt := admission.NewGate(func(po admission.Pool) admission.Capacity {
+			if po.CrossRegion {
+				return admission.Capacity{EntrySlots: far, TotalSlots: 8}
 			}
-			return admission.Room{Places: 1, Slots: 1}
+			return admission.Capacity{EntrySlots: 1, TotalSlots: 1}
 		})
-		work := admission.Work{Workspace: "a", Deadline: time.Second, MayCross: true, Body: 2000}
+		work := admission.Work{Workspace: "a", Deadline: time.Second, AllowCrossRegion: true, Body: 2000}
 		local, err := gt.Enter(t.Context(), admission.Pool{}, work)
 		assert.NilError(t, err)
-		assert.Assert(t, !local.Crossing())
+		assert.Assert(t, !local.CrossRegion())
 		for range far {
 			ps, err := gt.Enter(t.Context(), admission.Pool{}, work)
 			assert.NilError(t, err)
-			assert.Assert(t, ps.Crossing())
+			assert.Assert(t, ps.CrossRegion())
 		}
 		_, err = gt.Enter(t.Context(), admission.Pool{}, work)
 		assert.Equal(t, failure(t, err).Code, core.CodeOverloaded)
 		local.Leave()
 		ps, err := gt.Enter(t.Context(), admission.Pool{}, work)
 		assert.NilError(t, err)
-		assert.Assert(t, !ps.Crossing())
+		assert.Assert(t, !ps.CrossRegion())
 	})
 }
--- a/core/admission/limits.go
+++ b/core/admission/limits.go
@@ -8,11 +8,11 @@
 	// pool stays full for minutes, a caller that waits half a minute at most can
 	// still go elsewhere; HTTP clients commonly time out after one minute.
 	MaxWait time.Duration
-	// MaxQueue bounds the requests that wait for a pool, MaxOwn those of one
+	// MaxQueue bounds the requests that wait for a pool, MaxQueuePerWorkspace those of one
 	// workspace. Both bound memory; the deadline bounds time. A workspace gets a
 	// sixteenth, so that one that floods the entry cannot fill the queue for the
 	// others.
-	MaxQueue, MaxOwn int
+	MaxQueue, MaxQueuePerWorkspace int
 }
 
 const (
@@ -29,7 +29,7 @@
 
 // MaxQueue bounds the requests that wait for one pool.
 func MaxQueue(n int) Option {
-	return func(li *Limits) { li.MaxQueue, li.MaxOwn = n, max(n/workspaceQueueDivisor, 1) }
+	return func(li *Limits) { li.MaxQueue, li.MaxQueuePerWorkspace = n, max(n/workspaceQueueDivisor, 1) }
 }
 
 func newLimits(opts []Option) Limits {
--- a/core/admission/queue.go
+++ b/core/admission/queue.go
@@ -20,7 +20,7 @@
 func levelOf(pr Priority) int { return int(High - min(max(pr, Low), High)) }
 
 // Ticket is one request in a controller. It is valid until Leave, Cancel or
-// GiveUp.
+// Discard.
 type Ticket struct {
 	// Waiter is for the caller of Offer, to identify its request in Next.
 	Waiter any
--- a/core/admission/sim_job_test.go
+++ b/core/admission/simulation_job_test.go
@@ -24,14 +24,14 @@
 		jo.rq.entryWait = si.now - jo.rq.arrived
 	}
 	en.views[ix].Own++
-	en.pk.Sent(si.clock(), ch.ID)
+	en.pk.RecordSent(si.clock(), ch.ID)
 	si.after(jo.delay(), func() { jo.arriveAtAgent(jo.up) })
 }
 
 func (jo *job) pickUpstream() (placement.Choice, bool) {
 	si, en := jo.si, jo.en
 	if si.pol.balancing == "" {
-		rq := placement.Request{Pool: pool, Body: 4 * jo.rq.tenant.prompt, Cross: jo.con == en.remote, Tried: jo.tried}
+		rq := placement.Request{Pool: pool, Body: 4 * jo.rq.tenant.prompt, CrossRegion: jo.con == en.remote, Tried: jo.tried}
 		return en.pk.Pick(si.clock(), rq, en.views, si.rnd.IntN)
 	}
 	var available []int
@@ -112,12 +112,12 @@
 			return
 		}
 		rq.first, jo.gotFirstToken = si.now-rq.arrived, true
-		jo.en.pk.Heard(si.clock(), pool, up.host.ID, time.Unix(0, 0).Add(sent))
+		jo.en.pk.RecordFirstPiece(si.clock(), pool, up.host.ID, time.Unix(0, 0).Add(sent))
 	})
 	if pieces := seconds(placement.PacePieces * secondsPerToken * factor); rq.output > placement.PacePieces {
 		si.after(first+jo.delay()+pieces, func() {
 			if valid() {
-				jo.en.pk.Paced(pool, up.host.ID, pieces, placement.PacePieces)
+				jo.en.pk.RecordPieces(pool, up.host.ID, pieces, placement.PacePieces)
 			}
 		})
 	}
@@ -135,9 +135,9 @@
 	if jo.done || jo.rq.state != pending {
 		return
 	}
-	jo.en.pk.Failed(jo.si.clock(), jo.up.host.ID)
+	jo.en.pk.RecordFailure(jo.si.clock(), jo.up.host.ID)
 	jo.releaseSlot()
-	again := jo.tries.Again(fl, true)
+	again := jo.tries.MayRetry(fl, true)
 	if jo.si.pol.retries {
 		again = jo.rq.dispatches < 3
 	}
@@ -153,10 +153,10 @@
 func (jo *job) finish(en requestState, us *core.Usage) {
 	jo.done = true
 	jo.rq.whole = jo.si.now - jo.rq.arrived
-	if us != nil && jo.choice.Crossing {
+	if us != nil && jo.choice.CrossRegion {
 		bytes := int(us.Generated) * bytesPerToken
 		jo.si.crossed += bytes + 4*jo.rq.tenant.prompt
-		jo.en.pk.Crossed(jo.si.clock(), bytes)
+		jo.en.pk.ChargeCrossRegion(jo.si.clock(), bytes)
 	}
 	jo.si.setState(jo.rq, en)
 	jo.releaseSlot()
--- a/core/admission/sim_test.go
+++ b/core/admission/simulation_test.go
@@ -149,7 +149,7 @@
 	pl            *execute.Place
 	ti            *admission.Ticket
 	con           *admission.Controller
-	tries         *retry.Tries
+	tries         *retry.Attempts
 	tried         []core.UpstreamID
 	sent          time.Duration
 	choice        placement.Choice
@@ -186,7 +186,7 @@
 	}
 	for _, st := range sit.sites {
 		en := &entry{
-			site: st, con: admission.New(admission.Room{}), remote: admission.New(admission.Room{}), pk: placement.New(st.zone, st.region), budget: retry.NewBudget(),
+			site: st, con: admission.New(admission.Capacity{}), remote: admission.New(admission.Capacity{}), pk: placement.New(st.zone, st.region), budget: retry.NewBudget(),
 			views: make([]core.Upstream, len(si.ups)), waiting: map[*request]*admission.Ticket{},
 		}
 		si.entries = append(si.entries, en)
@@ -285,7 +285,7 @@
 }
 
 func (si *sim) offer(en *entry, rq *request) {
-	tr := retry.NewTries(en.budget)
+	tr := retry.NewAttempts(en.budget)
 	jo := &job{si: si, en: en, rq: rq, tries: &tr}
 	si.after(rq.tenant.deadline, func() { si.expire(jo) })
 	if si.pol.fifo {
@@ -295,14 +295,14 @@
 	si.startWaiting(en)
 	wo := admission.Work{
 		Workspace: rq.tenant.id, Share: rq.tenant.share, Prompt: core.Tokens(rq.tenant.prompt),
-		Deadline: rq.tenant.deadline, Draw: si.rnd.Float64(),
+		Deadline: rq.tenant.deadline, Jitter: si.rnd.Float64(),
 	}
 	body := 4 * rq.tenant.prompt
 	jo.con = en.con
 	ti, start, fl := en.con.Offer(si.clock(), wo)
-	if fl != nil || !start && en.con.WorthCrossing(ti, body) {
+	if fl != nil || !start && en.con.WorthCrossRegion(ti, body) {
 		wo.NoWait = true
-		en.remote.Resize(admission.Room(en.pk.FarRoom(si.clock(), en.views)))
+		en.remote.Resize(admission.Capacity(en.pk.CrossRegionCapacity(si.clock(), en.views)))
 		if remote, ok, _ := en.remote.Offer(si.clock(), wo); ok {
 			if fl == nil {
 				en.con.Cancel(ti)
@@ -324,7 +324,7 @@
 
 // startWaiting starts all queued requests that an entry can start now.
 func (si *sim) startWaiting(en *entry) {
-	en.con.Resize(admission.Room(en.pk.Room(en.views, si.entriesInRegion(en))))
+	en.con.Resize(admission.Capacity(en.pk.Capacity(en.views, si.entriesInRegion(en))))
 	for {
 		ti, start := en.con.Next(si.clock())
 		if ti == nil {
@@ -333,7 +333,7 @@
 		jo := ti.Waiter.(*job)
 		delete(en.waiting, jo.rq)
 		if !start {
-			en.con.GiveUp(ti)
+			en.con.Discard(ti)
 			si.setState(jo.rq, refused)
 			continue
 		}
@@ -364,7 +364,7 @@
 	}
 	jo.done = true
 	if jo.up != nil && !jo.gotFirstToken {
-		jo.en.pk.Failed(si.clock(), jo.up.host.ID)
+		jo.en.pk.RecordFailure(si.clock(), jo.up.host.ID)
 	}
 	jo.releaseSlot()
 	jo.releasePlace(nil)
--- a/core/balance/balance.go
+++ b/core/balance/balance.go
@@ -27,9 +27,9 @@
 	// RemoteOnly is set when the request may not be served in this entry's region, so that nothing
 	// about its prompt is announced here.
 	RemoteOnly bool
-	// Once is set for work that may run at most once, so that a failing upstream costs the whole
-	// response.
-	Once bool
+	// AtMostOnce is set for work that may run at most once, so that a failing upstream costs the
+	// whole response.
+	AtMostOnce bool
 }
 
 // Picker selects upstreams. It isn't safe for concurrent use.
@@ -43,7 +43,7 @@
 	// byHash holds the peers by the hash of their ids. newParts are the parts sent to engines that
 	// were not announced yet.
 	byHash   map[uint64]*peer
-	newParts []Kept
+	newParts []CachedPart
 	// newCalls are the calls that were not announced yet, newPrefills the prompts whose prefill
 	// ended since the last announcement.
 	newCalls, newPrefills []Share
@@ -105,10 +105,10 @@
 	return hosts[best], true
 }
 
-// Expect returns the least expected time to the first byte of a response from an engine: the queued
-// prefill work and the prefill of the uncached part. Engines of another region count only where the
-// list has none of the local region.
-func (pk *Picker) Expect(now time.Time, hosts []core.Host, rq Request) time.Duration {
+// ExpectedFirstByte returns the least expected time to the first byte of a response from an engine:
+// the queued prefill work and the prefill of the uncached part. Engines of another region count
+// only where the list has none of the local region.
+func (pk *Picker) ExpectedFirstByte(now time.Time, hosts []core.Host, rq Request) time.Duration {
 	prefill, home, hasLocal := pk.prefill.perThousand(rq.Model), pk.prefixHome(now, hosts, rq), pk.anyLocal(hosts)
 	least := time.Duration(-1)
 	for i := range hosts {
@@ -128,9 +128,9 @@
 	return max(least, 0)
 }
 
-// Wait returns the least time that a prompt would wait at an engine before its prefill: at one of
-// the local region, or of another where the local region has none.
-func (pk *Picker) Wait(now time.Time, hosts []core.Host) time.Duration {
+// MinWait returns the least time that a prompt would wait at an engine before its prefill: at one
+// of the local region, or of another where the local region has none.
+func (pk *Picker) MinWait(now time.Time, hosts []core.Host) time.Duration {
 	least, hasLocal := time.Duration(-1), false
 	for i := range hosts {
 		pe := pk.peer(&hosts[i])
@@ -151,9 +151,9 @@
 	return slices.ContainsFunc(hosts, func(ho core.Host) bool { return ho.Region == pk.region })
 }
 
-// Usual returns the mean time from sending a request to the response header, or 0 while there are
-// too few samples to rely on.
-func (pk *Picker) Usual(rq Request) time.Duration {
+// MeanHeaderTime returns the mean time from sending a request to the response header, or 0 while
+// there are too few samples to rely on.
+func (pk *Picker) MeanHeaderTime(rq Request) time.Duration {
 	pl := pk.latency(rq)
 	if pl.count < minSamples {
 		return 0
@@ -161,8 +161,8 @@
 	return pl.meanOr(0)
 }
 
-// Avoided counts the upstreams of a list that are avoided.
-func (pk *Picker) Avoided(now time.Time, hosts []core.Host) int {
+// CountAvoided counts the upstreams of a list that are avoided.
+func (pk *Picker) CountAvoided(now time.Time, hosts []core.Host) int {
 	sum := 0
 	for i := range hosts {
 		if pe := pk.peers[hosts[i].ID]; pe != nil && pe.isAvoided(now) {
--- a/core/balance/balance_test.go
+++ b/core/balance/balance_test.go
@@ -85,7 +85,7 @@
 		pk := balance.New("muc-a", "muc")
 		hosts := pool(3, 6)
 		rnd := rand.New(rand.NewPCG(3, 1))
-		rq := balance.Request{Service: "s", Pool: "claim", Once: once}
+		rq := balance.Request{Service: "s", Pool: "claim", AtMostOnce: once}
 		count := func(from, to int, fails bool) (failing int) {
 			for i := from; i < to; i++ {
 				now := start.Add(time.Duration(i) * 50 * time.Millisecond)
@@ -139,7 +139,7 @@
 // A host loses power. Each call that is sent there waits for the whole connect timeout; after the
 // first one, calls must go elsewhere, and one must find out later whether the host is back.
 func TestUnreachableUpstreamIsAvoided(t *testing.T) {
-	attempts := attemptsAtFirst(200, balance.Unreached)
+	attempts := attemptsAtFirst(200, balance.Unreachable)
 	assert.Assert(t, attempts >= 2 && attempts <= 8, "%d of 200 attempts in ten seconds", attempts)
 }
 
@@ -272,10 +272,10 @@
 
 func announceAll(now time.Time, entries []*balance.Picker) {
 	for i, pk := range entries {
-		lo := pk.Load()
+		lo := pk.TakeLoad()
 		for j, other := range entries {
 			if i != j {
-				other.Told(now, uint64(i), lo)
+				other.ReceiveLoad(now, uint64(i), lo)
 			}
 		}
 	}
@@ -302,7 +302,7 @@
 	}
 	engine := hosts[5]
 	one.Sent(start, engine, draft("plan-7", 0))
-	two.Told(start, 1, one.Load())
+	two.ReceiveLoad(start, 1, one.TakeLoad())
 	ho, _ := two.Pick(start.Add(3*time.Second), hosts, draft("plan-7", 1), rnd.Float64)
 	assert.Equal(t, ho.ID, engine.ID, "the prompt is cached there, and the announced load there has expired")
 }
@@ -322,13 +322,13 @@
 		return out
 	}
 	pk := balance.New("muc-a", "muc")
-	pk.Holds(start, hosts[7], held(rq.Model, rq.Parts))
-	pk.Holds(start, hosts[2], held("other", rq.Parts))
-	pk.Holds(start, hosts[3], held(rq.Model, rq.Parts[1:]))
+	pk.RecordCached(start, hosts[7], held(rq.Model, rq.Parts))
+	pk.RecordCached(start, hosts[2], held("other", rq.Parts))
+	pk.RecordCached(start, hosts[3], held(rq.Model, rq.Parts[1:]))
 	ho, ok := pk.Pick(start.Add(time.Second), hosts, rq, rnd.Float64)
 	assert.Assert(t, ok)
 	assert.Equal(t, ho.ID, hosts[7].ID)
-	assert.Equal(t, pk.Sent(start, hosts[3], rq).Basis().Kept, core.Tokens(0))
+	assert.Equal(t, pk.Sent(start, hosts[3], rq).Basis().CachedTokens, core.Tokens(0))
 }
 
 // TestNoPrefixHomeWithSiblingLoads guards against a prompt that waits at the engine which all
@@ -339,8 +339,8 @@
 	rq := balance.Request{Service: "s", Model: "large", Engine: true, Prompt: 16_000, Parts: parts("plan", 1), Pool: "draft"}
 	alone, informed := balance.New("muc-a", "muc"), balance.New("muc-a", "muc")
 	home, _ := alone.Pick(start, hosts, rq, rnd.Float64)
-	busy := balance.Load{Shares: []balance.Share{{Upstream: balance.HashOf(home.ID), Own: 1, Pending: 200 * time.Millisecond}}}
-	informed.Told(start, 7, busy)
+	busy := balance.Load{Shares: []balance.Share{{Upstream: balance.Hash(home.ID), Own: 1, Pending: 200 * time.Millisecond}}}
+	informed.ReceiveLoad(start, 7, busy)
 	for range 20 {
 		ho, _ := informed.Pick(start, hosts, rq, rnd.Float64)
 		assert.Assert(t, ho.ID != home.ID)
--- a/core/balance/bench_test.go
+++ b/core/balance/bench_test.go
@@ -18,9 +18,9 @@
 	announce := func(from uint64) {
 		var lo balance.Load
 		for range each {
-			lo.Shares = append(lo.Shares, balance.Share{Upstream: balance.HashOf(hosts[rnd.IntN(engines)].ID), Own: 1})
+			lo.Shares = append(lo.Shares, balance.Share{Upstream: balance.Hash(hosts[rnd.IntN(engines)].ID), Own: 1})
 		}
-		pk.Told(start, from, lo)
+		pk.ReceiveLoad(start, from, lo)
 	}
 	for i := range entries {
 		announce(uint64(i))
--- a/core/balance/cache.go
+++ b/core/balance/cache.go
@@ -49,8 +49,8 @@
 	return sum
 }
 
-// KeepsWhole reports whether any engine is assumed to have a whole prompt cached.
-func (pk *Picker) KeepsWhole(now time.Time, hosts []core.Host, rq Request) bool {
+// CachesWhole reports whether any engine is assumed to have a whole prompt cached.
+func (pk *Picker) CachesWhole(now time.Time, hosts []core.Host, rq Request) bool {
 	return slices.ContainsFunc(hosts, func(ho core.Host) bool { return pk.peer(&ho).cachedTokens(now, rq) >= rq.Prompt })
 }
 
@@ -61,13 +61,13 @@
 		hash := partHash(rq.Model, pa.ID)
 		pe.recordPart(now, hash)
 		if !rq.RemoteOnly && len(pk.newParts) < maxUnannounced {
-			pk.newParts = append(pk.newParts, Kept{Upstream: pe.hash, Part: hash})
+			pk.newParts = append(pk.newParts, CachedPart{Upstream: pe.hash, Part: hash})
 		}
 	}
 }
 
-// Holds records the parts that an engine reports as cached.
-func (pk *Picker) Holds(now time.Time, ho core.Host, held []core.Held) {
+// RecordCached records the parts that an engine reports as cached.
+func (pk *Picker) RecordCached(now time.Time, ho core.Host, held []core.Held) {
 	pe := pk.peer(&ho)
 	for _, he := range held {
 		pe.recordPart(now, partHash(he.Model, he.Part.ID))
--- a/core/balance/fact.go
+++ b/core/balance/fact.go
@@ -14,21 +14,21 @@
 // It is made for many entries of which each sees few responses: a crashed upstream looks idle, and
 // without facts every entry would send requests there to find out.
 type Fact struct {
-	// Upstream is the hash of its id, see [HashOf]; Start distinguishes one start of the process
+	// Upstream is the hash of its id, see [Hash]; Start distinguishes one start of the process
 	// from another.
 	Upstream uint64
 	Start    uint16
-	// Rest is how long nothing should be sent there; 0 means that it answers.
-	Rest time.Duration
-	// Away counts the consecutive attempts that reached nothing.
-	Away int
+	// DownFor is how long nothing should be sent there; 0 means that it answers.
+	DownFor time.Duration
+	// FailedConnects counts the consecutive attempts that reached nothing.
+	FailedConnects int
 }
 
 // addFact queues a peer's state for the next announcement.
 func (pk *Picker) addFact(pe *peer) { pk.newFacts[pe] = true }
 
-// Facts returns the facts that this entry observed since the last invocation.
-func (pk *Picker) Facts(now time.Time) []Fact {
+// TakeFacts returns the facts that this entry observed since the last invocation.
+func (pk *Picker) TakeFacts(now time.Time) []Fact {
 	var out []Fact
 	for pe := range pk.newFacts {
 		rest := max(pe.downUntil.Sub(now), 0)
@@ -36,15 +36,15 @@
 			continue // It may be used again, and nothing new was observed.
 		}
 		out = append(out, Fact{
-			Upstream: pe.hash, Start: uint16(pe.born), Rest: rest, Away: pe.failedConnects, //nolint:gosec // The low bits do.
+			Upstream: pe.hash, Start: uint16(pe.born), DownFor: rest, FailedConnects: pe.failedConnects, //nolint:gosec // The low bits do.
 		})
 	}
 	clear(pk.newFacts)
 	return out
 }
 
-// ToldFacts applies the facts that another entry announced.
-func (pk *Picker) ToldFacts(now time.Time, facts []Fact) {
+// ReceiveFacts applies the facts that another entry announced.
+func (pk *Picker) ReceiveFacts(now time.Time, facts []Fact) {
 	if pk.off.Has(mechanism.ToldFacts) {
 		return
 	}
@@ -53,12 +53,12 @@
 		if pe == nil || uint16(pe.born) != fa.Start { //nolint:gosec // As above.
 			continue
 		}
-		if fa.Rest <= 0 {
+		if fa.DownFor <= 0 {
 			pe.markReachable(now)
 			continue
 		}
-		pe.failedConnects = max(pe.failedConnects, fa.Away)
-		if until := now.Add(min(fa.Rest, replacedFor)); until.After(pe.downUntil) {
+		pe.failedConnects = max(pe.failedConnects, fa.FailedConnects)
+		if until := now.Add(min(fa.DownFor, replacedFor)); until.After(pe.downUntil) {
 			pe.downUntil = until
 			pe.unreachableUntil = until
 		}
@@ -82,9 +82,9 @@
 	}
 }
 
-// AwayWithin reports whether an upstream was unreachable within the given time before now, as this
-// entry or another one observed.
-func (pk *Picker) AwayWithin(now time.Time, ho *core.Host, span time.Duration) bool {
+// UnreachableWithin reports whether an upstream was unreachable within the given time before now,
+// as this entry or another one observed.
+func (pk *Picker) UnreachableWithin(now time.Time, ho *core.Host, span time.Duration) bool {
 	pe := pk.peers[ho.ID]
 	return pe != nil && pe.born == ho.Born && !pe.unreachableUntil.IsZero() && now.Before(pe.unreachableUntil.Add(span))
 }
--- a/core/balance/fact_test.go
+++ b/core/balance/fact_test.go
@@ -35,7 +35,7 @@
 			pk.Ended(now, fl, balance.Good)
 		case now.Sub(start) < downtime:
 			attempts++
-			pk.Ended(now, fl, balance.Absent)
+			pk.Ended(now, fl, balance.NotListening)
 		default:
 			recovered++
 			pk.Begun(now, fl, rq, nil)
@@ -45,10 +45,10 @@
 			continue
 		}
 		for i, pk := range pickers {
-			facts := pk.Facts(now)
+			facts := pk.TakeFacts(now)
 			for j, other := range pickers {
 				if i != j {
-					other.ToldFacts(now, facts)
+					other.ReceiveFacts(now, facts)
 				}
 			}
 		}
@@ -64,29 +64,29 @@
 	rnd := rand.New(rand.NewPCG(4, 1))
 	one, two := balance.New("muc-a", "muc"), balance.New("muc-a", "muc")
 	one.Ended(start, one.Sent(start, ho, draft("p", 0)), balance.Replaced)
-	facts := one.Facts(start)
+	facts := one.TakeFacts(start)
 	assert.Equal(t, len(facts), 1)
 	avoided := func(born int64, at time.Time) bool {
 		ho.Born = born
 		two.Pick(at, []core.Host{ho}, draft("p", 1), rnd.Float64)
-		two.ToldFacts(at, facts)
-		return two.Avoided(at, []core.Host{ho}) > 0
+		two.ReceiveFacts(at, facts)
+		return two.CountAvoided(at, []core.Host{ho}) > 0
 	}
 	assert.Assert(t, avoided(1, start))
 	assert.Assert(t, !avoided(2, start))
-	facts[0].Start, facts[0].Rest = 2, time.Hour
+	facts[0].Start, facts[0].DownFor = 2, time.Hour
 	assert.Assert(t, avoided(2, start))
-	assert.Equal(t, two.Avoided(start.Add(11*time.Second), []core.Host{ho}), 0)
+	assert.Equal(t, two.CountAvoided(start.Add(11*time.Second), []core.Host{ho}), 0)
 }
 
 // Guards against a crashed upstream that others assume to answer again, because the fact about it
 // is announced only after its unavailability has expired.
 func TestExpiredFactIsNotAnnounced(t *testing.T) {
 	ho := core.Host{ID: "up-0", Service: "s", Zone: "muc-a", Region: "muc", Slots: 64}
-	for _, out := range []balance.Outcome{balance.Absent, balance.Replaced} {
+	for _, out := range []balance.Outcome{balance.NotListening, balance.Replaced} {
 		pk := balance.New("muc-a", "muc")
 		pk.Ended(start, pk.Sent(start, ho, draft("p", 0)), out)
-		assert.Equal(t, len(pk.Facts(start.Add(20*time.Second))), 0)
+		assert.Equal(t, len(pk.TakeFacts(start.Add(20*time.Second))), 0)
 	}
 }
 
@@ -97,14 +97,14 @@
 	one, two := balance.New("muc-a", "muc"), balance.New("muc-a", "muc")
 	rq := draft("p", 0)
 	for range 4 {
-		one.Ended(start, one.Sent(start, ho, rq), balance.Absent)
-		two.Ended(start, two.Sent(start, ho, rq), balance.Absent)
+		one.Ended(start, one.Sent(start, ho, rq), balance.NotListening)
+		two.Ended(start, two.Sent(start, ho, rq), balance.NotListening)
 	}
-	one.Facts(start)
+	one.TakeFacts(start)
 	now := start.Add(time.Second)
-	assert.Equal(t, two.Avoided(now, []core.Host{ho}), 1)
+	assert.Equal(t, two.CountAvoided(now, []core.Host{ho}), 1)
 	one.Begun(now, one.Sent(now, ho, rq), rq, nil)
-	two.ToldFacts(now, one.Facts(now))
-	assert.Equal(t, two.Avoided(now, []core.Host{ho}), 0)
-	assert.Equal(t, len(two.Facts(now)), 1, "own facts are announced, received ones are not")
+	two.ReceiveFacts(now, one.TakeFacts(now))
+	assert.Equal(t, two.CountAvoided(now, []core.Host{ho}), 0)
+	assert.Equal(t, len(two.TakeFacts(now)), 1, "own facts are announced, received ones are not")
 }
--- a/core/balance/flight.go
+++ b/core/balance/flight.go
@@ -18,10 +18,10 @@
 	Failed
 	// Refused: the upstream accepted no more work.
 	Refused
-	// Unreached: no connection could be opened.
-	Unreached
-	// Absent: nothing listens at its address.
-	Absent
+	// Unreachable: no connection could be opened.
+	Unreachable
+	// NotListening: nothing listens at its address.
+	NotListening
 	// Abandoned: the caller disconnected or another response was used; this says nothing about the
 	// upstream.
 	Abandoned
@@ -53,19 +53,19 @@
 	Own     int
 	Others  float64
 	LoadAge time.Duration
-	// Kept is how much of the prompt is assumed to be cached there.
-	Kept core.Tokens
-	// Waits is the prefill time of the prompts that are assumed to be queued there.
-	Waits time.Duration
-	// Failing is the recent failure rate there.
-	Failing float64
+	// CachedTokens is how much of the prompt is assumed to be cached there.
+	CachedTokens core.Tokens
+	// QueueTime is the prefill time of the prompts that are assumed to be queued there.
+	QueueTime time.Duration
+	// FailureRate is the recent failure rate there.
+	FailureRate float64
 }
 
 // NoLoad is the LoadAge of an upstream whose load was neither announced nor reported.
 const NoLoad = -time.Second
 
-// Cost returns the prefill time of the flight's own prompt.
-func (fl *Flight) Cost() time.Duration { return fl.cost }
+// PrefillTime returns the prefill time of the flight's own prompt.
+func (fl *Flight) PrefillTime() time.Duration { return fl.cost }
 
 // Basis returns the inputs of the selection of the flight's upstream.
 func (fl *Flight) Basis() Basis { return fl.basis }
@@ -75,10 +75,10 @@
 	pe := pk.peer(&ho)
 	fl := &Flight{peer: pe, latency: pk.latency(rq), sent: now, basis: pk.basis(now, pe)}
 	if rq.Engine {
-		fl.basis.Kept = pe.cachedTokens(now, rq)
-		fl.uncached = rq.Prompt - fl.basis.Kept
+		fl.basis.CachedTokens = pe.cachedTokens(now, rq)
+		fl.uncached = rq.Prompt - fl.basis.CachedTokens
 		fl.cost = scale(pk.prefill.perThousand(rq.Model), fl.uncached)
-		fl.measuresPrefill = fl.basis.Waits == 0 && ho.Region == pk.region && !pk.off.Has(mechanism.ReadPace)
+		fl.measuresPrefill = fl.basis.QueueTime == 0 && ho.Region == pk.region && !pk.off.Has(mechanism.ReadPace)
 		pk.recordPrompt(now, pe, rq)
 		pe.pending += fl.cost
 		pk.meanPrefill += (float64(fl.cost) - pk.meanPrefill) / 32
@@ -90,9 +90,9 @@
 }
 
 func (pk *Picker) basis(now time.Time, pe *peer) Basis {
-	ba := Basis{Own: pe.own, LoadAge: NoLoad, Failing: pe.failureRate(now)}
+	ba := Basis{Own: pe.own, LoadAge: NoLoad, FailureRate: pe.failureRate(now)}
 	load, waits := pk.workAt(now, pe)
-	ba.Others, ba.Waits = max(load-float64(pe.own), 0), waits
+	ba.Others, ba.QueueTime = max(load-float64(pe.own), 0), waits
 	for _, to := range pk.siblings {
 		if age := now.Sub(to.at); ba.LoadAge == NoLoad || age < ba.LoadAge {
 			ba.LoadAge = age
@@ -125,24 +125,27 @@
 	}
 }
 
-// Reported records the load that a refusal reports.
-func (pk *Picker) Reported(now time.Time, fl *Flight, lo core.Load) { fl.peer.recordReport(now, lo) }
+// RecordReport records the load that a refusal reports.
+func (pk *Picker) RecordReport(now time.Time, fl *Flight, lo core.Load) {
+	fl.peer.recordReport(now, lo)
+}
 
-// Heard records that a piece of a response arrived.
-func (pk *Picker) Heard(now time.Time, fl *Flight) { fl.peer.lastData = now }
+// RecordData records that a piece of a response arrived.
+func (pk *Picker) RecordData(now time.Time, fl *Flight) { fl.peer.lastData = now }
 
-// Alive reports whether any attempt received anything from the flight's upstream since a time.
-func (pk *Picker) Alive(fl *Flight, since time.Time) bool { return fl.peer.lastData.After(since) }
+// ActiveSince reports whether any attempt received anything from the flight's upstream since a
+// time.
+func (pk *Picker) ActiveSince(fl *Flight, since time.Time) bool { return fl.peer.lastData.After(since) }
 
-// Read returns the expected prefill time of this entry's prompts that are queued at the upstream,
-// including the flight's own.
-func (fl *Flight) Read() time.Duration { return fl.peer.pending }
+// PendingPrefill returns the expected prefill time of this entry's prompts that are queued at the
+// upstream, including the flight's own.
+func (fl *Flight) PendingPrefill() time.Duration { return fl.peer.pending }
 
 // Ended records the end of an attempt. It returns how the upstream's avoidance changes, and the
 // upstream's recent failure rate.
-func (pk *Picker) Ended(now time.Time, fl *Flight, out Outcome) (Turn, float64) {
+func (pk *Picker) Ended(now time.Time, fl *Flight, out Outcome) (AvoidanceChange, float64) {
 	if fl.ended {
-		return Same, 0
+		return Unchanged, 0
 	}
 	fl.ended = true
 	pe := fl.peer
@@ -152,14 +155,15 @@
 		pe.pending = max(pe.pending-fl.cost, 0)
 	}
 	pe.recordOutcome(now, out)
-	if out == Absent || out == Replaced {
+	if out == NotListening || out == Replaced {
 		pk.addFact(pe)
 	}
 	return pe.updateAvoided(now), pe.failureRate(now)
 }
 
-// Blame counts a failure against an upstream that became known after the end of its attempt.
-func (pk *Picker) Blame(now time.Time, fl *Flight) (Turn, float64) {
+// RecordFailure counts a failure against an upstream that became known after the end of its
+// attempt.
+func (pk *Picker) RecordFailure(now time.Time, fl *Flight) (AvoidanceChange, float64) {
 	fl.peer.recordOutcome(now, Failed)
 	return fl.peer.updateAvoided(now), fl.peer.failureRate(now)
 }
--- a/core/balance/herd_test.go
+++ b/core/balance/herd_test.go
@@ -77,7 +77,7 @@
 		}
 		for i, pk := range entries {
 			if (n+i*7)%50 == 0 {
-				he.announce(rnd, now, i, pk.Load(), entries)
+				he.announce(rnd, now, i, pk.TakeLoad(), entries)
 			}
 		}
 	}
@@ -96,13 +96,13 @@
 	rq.Slack = 2 * time.Second
 	ho, _ := pk.Pick(now, hosts, rq, rnd.Float64)
 	fl := pk.Sent(now, ho, rq)
-	prefill := time.Duration(float64(herdPrefill) * float64(rq.Prompt-fl.Basis().Kept) / 1000)
+	prefill := time.Duration(float64(herdPrefill) * float64(rq.Prompt-fl.Basis().CachedTokens) / 1000)
 	en := engines[ho.ID]
-	en.queue = append(en.queue, herdPrompt{pk, fl, rq, now, balance.Rank(0, fl.Cost(), rnd.Float64()), prefill})
-	sent := pk.SentNow()
+	en.queue = append(en.queue, herdPrompt{pk, fl, rq, now, balance.Rank(0, fl.PrefillTime(), rnd.Float64()), prefill})
+	sent := pk.TakeCalls()
 	for j, other := range entries {
 		if he.immediate && j != from {
-			other.ToldSent(now, uint64(from), sent)
+			other.ReceiveCalls(now, uint64(from), sent)
 		}
 	}
 }
@@ -110,7 +110,7 @@
 func (he herd) announce(rnd *rand.Rand, now time.Time, from int, lo balance.Load, entries []*balance.Picker) {
 	for n, j := range rnd.Perm(len(entries)) {
 		if n < herdFanout && j != from {
-			entries[j].Told(now, uint64(from), lo)
+			entries[j].ReceiveLoad(now, uint64(from), lo)
 		}
 	}
 }
@@ -158,8 +158,8 @@
 	hosts := pool(2, 64)
 	one, two := balance.New("muc-a", "muc"), balance.New("muc-a", "muc")
 	now := start
-	announce := func() { two.ToldSent(now, 1, one.SentNow()) }
-	waits := func(ho core.Host) time.Duration { return two.Wait(now, []core.Host{ho}) }
+	announce := func() { two.ReceiveCalls(now, 1, one.TakeCalls()) }
+	waits := func(ho core.Host) time.Duration { return two.MinWait(now, []core.Host{ho}) }
 	first := one.Sent(now, hosts[0], draft("plan-1", 1))
 	announce()
 	assert.Assert(t, waits(hosts[0]) > 500*time.Millisecond)
--- a/core/balance/peer.go
+++ b/core/balance/peer.go
@@ -42,17 +42,17 @@
 	avoided bool
 }
 
-// Turn is a change in whether an entry avoids an upstream.
-type Turn int
+// AvoidanceChange is a change in whether an entry avoids an upstream.
+type AvoidanceChange int
 
 // The changes.
 const (
-	// Same: no change.
-	Same Turn = iota
+	// Unchanged: no change.
+	Unchanged AvoidanceChange = iota
 	// Avoided: work goes to other upstreams from now on, while there are any.
 	Avoided
-	// Trusted: the upstream is selected like the others again.
-	Trusted
+	// Restored: the upstream is selected like the others again.
+	Restored
 )
 
 // avoidedFailureRate is the failure rate from which an upstream counts as avoided: that after one
@@ -66,16 +66,16 @@
 }
 
 // updateAvoided updates after an outcome whether the upstream is avoided, and returns the change.
-func (pe *peer) updateAvoided(now time.Time) Turn {
+func (pe *peer) updateAvoided(now time.Time) AvoidanceChange {
 	was := pe.avoided
 	pe.avoided = pe.isAvoided(now)
 	switch {
 	case pe.avoided == was:
-		return Same
+		return Unchanged
 	case pe.avoided:
 		return Avoided
 	default:
-		return Trusted
+		return Restored
 	}
 }
 
@@ -123,7 +123,7 @@
 func (pk *Picker) peer(ho *core.Host) *peer {
 	pe := pk.peers[ho.ID]
 	if pe == nil || pe.born != ho.Born {
-		pe = &peer{born: ho.Born, hash: HashOf(ho.ID), remote: ho.Region != pk.region, region: HashOf(ho.Region), slowRatio: 1, cache: newPrefixCache()}
+		pe = &peer{born: ho.Born, hash: Hash(ho.ID), remote: ho.Region != pk.region, region: Hash(ho.Region), slowRatio: 1, cache: newPrefixCache()}
 		pk.peers[ho.ID], pk.byHash[pe.hash] = pe, pe
 	}
 	return pe
@@ -132,7 +132,7 @@
 // Forget deletes the state of an upstream that is gone.
 func (pk *Picker) Forget(id core.UpstreamID) {
 	delete(pk.peers, id)
-	delete(pk.byHash, HashOf(id))
+	delete(pk.byHash, Hash(id))
 }
 
 // load returns the calls at the upstream: this entry's own, and the others' as they were reported,
@@ -180,7 +180,7 @@
 	excess := max(pe.failureRate(now)-fi.minFailureRate-failureMargin, 0)
 	// A failed request needs prefill again elsewhere, whatever was cached here.
 	cost := failureCost + scale(fi.prefill, rq.Prompt) + fi.repeatedPrefill
-	if rq.Once {
+	if rq.AtMostOnce {
 		cost = failureCostOnce
 	}
 	return time.Duration(excess * float64(cost))
@@ -194,10 +194,10 @@
 	case Refused:
 		pe.fullUntil = now.Add(fullFor)
 		return
-	case Unreached, Absent:
+	case Unreachable, NotListening:
 		pe.failedConnects++
 		most := maxDown
-		if out == Absent {
+		if out == NotListening {
 			most = maxAbsent
 		}
 		pe.downUntil = now.Add(min(minDown<<min(pe.failedConnects-1, 4), most))
--- a/core/balance/read_test.go
+++ b/core/balance/prefill_test.go
@@ -129,7 +129,7 @@
 				rq := prompt(5000, 5000, 10_000)
 				rq.Model = mo
 				// Half of a shared part may be assumed to be cached at its home.
-				got, want := float64(pk.Expect(now, en.hosts, rq)), 8*float64(thousand)
+				got, want := float64(pk.ExpectedFirstByte(now, en.hosts, rq)), 8*float64(thousand)
 				assert.Assert(t, got > 0.6*want && got < 1.6*want, "%s: expected %v for %v", mo, time.Duration(got), time.Duration(want))
 			}
 		})
@@ -144,7 +144,7 @@
 	pk := en.run(12*time.Millisecond, 600, 1000)
 	rq := prompt(5000, 5000, 10_000)
 	rq.Model = "large"
-	got := pk.Expect(start.Add(time.Hour), en.hosts, rq)
+	got := pk.ExpectedFirstByte(start.Add(time.Hour), en.hosts, rq)
 	want := 8 * en.thousand["large"]
 	assert.Assert(t, got < 2*want, "expected %v for %v", got, want)
 }
--- a/core/balance/remote.go
+++ b/core/balance/remote.go
@@ -15,19 +15,20 @@
 // entries report their queues to the entries here. If that load were derived from the local waits,
 // remote engines would look as busy as the local ones although they are idle.
 type RegionLoad struct {
-	// Region is the hash of its name, see [HashOf].
+	// Region is the hash of its name, see [Hash].
 	Region uint64
-	// Shares are the upstreams with the most work, and Rest the mean of the others that have any.
+	// Shares are the upstreams with the most work, and Others the mean of the others that have any.
 	Shares []Share
-	Rest   Share
+	Others Share
 }
 
 // remoteLoadTTL is how long a region's load counts; one entry or another announces it every
-// [RemoteEvery].
+// [RemoteInterval].
 const remoteLoadTTL = 2500 * time.Millisecond
 
-// RemoteEvery is how often an entry announces its region's load to one entry of each other region.
-const RemoteEvery = time.Second
+// RemoteInterval is how often an entry announces its region's load to one entry of each other
+// region.
+const RemoteInterval = time.Second
 
 // remoteLoad is the announced load of another region.
 type remoteLoad struct {
@@ -45,12 +46,12 @@
 			addShare(sum, Share{pe.hash, pe.own, pe.pending})
 		}
 	}
-	lo := RegionLoad{Region: HashOf(pk.region), Shares: slices.Collect(maps.Values(sum))}
+	lo := RegionLoad{Region: Hash(pk.region), Shares: slices.Collect(maps.Values(sum))}
 	slices.SortFunc(lo.Shares, func(a, b Share) int {
 		return cmp.Or(cmp.Compare(b.Pending, a.Pending), cmp.Compare(b.Own, a.Own), cmp.Compare(a.Upstream, b.Upstream))
 	})
 	if len(lo.Shares) > most {
-		lo.Rest = meanShare(lo.Shares[most:])
+		lo.Others = meanShare(lo.Shares[most:])
 		lo.Shares = lo.Shares[:most]
 	}
 	return lo
@@ -65,12 +66,12 @@
 	return Share{Own: sum.Own / len(shares), Pending: sum.Pending / time.Duration(len(shares))}
 }
 
-// ToldRegion applies the load that another region announced.
-func (pk *Picker) ToldRegion(now time.Time, lo RegionLoad) {
-	if pk.off.Has(mechanism.ToldRegions) || lo.Region == HashOf(pk.region) {
+// ReceiveRegionLoad applies the load that another region announced.
+func (pk *Picker) ReceiveRegionLoad(now time.Time, lo RegionLoad) {
+	if pk.off.Has(mechanism.ToldRegions) || lo.Region == Hash(pk.region) {
 		return
 	}
-	rl := remoteLoad{at: now, shares: make(map[uint64]Share, len(lo.Shares)), rest: lo.Rest}
+	rl := remoteLoad{at: now, shares: make(map[uint64]Share, len(lo.Shares)), rest: lo.Others}
 	for _, sh := range lo.Shares {
 		rl.shares[sh.Upstream] = sh
 	}
@@ -91,21 +92,21 @@
 	}
 }
 
-// RemoteCalls returns the calls to other regions since its last invocation. A long prompt there delays
-// all that come after it, and the load that a region announces once a second comes too late for
-// them.
-func (pk *Picker) RemoteCalls() []RemoteCalls {
+// TakeRemoteCalls returns the calls to other regions since its last invocation. A long prompt there
+// delays all that come after it, and the load that a region announces once a second comes too late
+// for them.
+func (pk *Picker) TakeRemoteCalls() []RemoteCalls {
 	var out []RemoteCalls
 	for region, shares := range pk.newRemoteCalls {
-		out = append(out, RemoteCalls{To: region, From: HashOf(pk.region), Shares: shares})
+		out = append(out, RemoteCalls{To: region, From: Hash(pk.region), Shares: shares})
 	}
 	clear(pk.newRemoteCalls)
 	return out
 }
 
-// ToldRemoteCalls adds the calls that an entry of another region has just sent here to the load
+// ReceiveRemoteCalls adds the calls that an entry of another region has just sent here to the load
 // that that region announced before. They are ignored if it announced none lately.
-func (pk *Picker) ToldRemoteCalls(now time.Time, sent RemoteCalls) {
+func (pk *Picker) ReceiveRemoteCalls(now time.Time, sent RemoteCalls) {
 	rl, known := pk.remote[sent.From]
 	if !known || now.Sub(rl.at) > remoteLoadTTL {
 		return
--- a/core/balance/far_test.go
+++ b/core/balance/remote_test.go
@@ -26,9 +26,9 @@
 func announceLocalWait(pk *balance.Picker, wait time.Duration) {
 	var lo balance.Load
 	for _, ho := range pool(4, 64) {
-		lo.Shares = append(lo.Shares, balance.Share{Upstream: balance.HashOf(ho.ID), Own: 2, Pending: wait})
+		lo.Shares = append(lo.Shares, balance.Share{Upstream: balance.Hash(ho.ID), Own: 2, Pending: wait})
 	}
-	pk.Told(start, 7, lo)
+	pk.ReceiveLoad(start, 7, lo)
 }
 
 // Guards against many entries that move to another region at once, whose engines look idle since
@@ -51,10 +51,10 @@
 	pk := balance.New("muc-a", "muc")
 	announceLocalWait(pk, 900*time.Millisecond)
 	hosts := twoRegions()
-	assert.Equal(t, pk.Wait(start, hosts), 900*time.Millisecond)
+	assert.Equal(t, pk.MinWait(start, hosts), 900*time.Millisecond)
 	hosts[0], hosts[5] = hosts[5], hosts[0]
-	assert.Equal(t, pk.Wait(start, hosts), 900*time.Millisecond)
-	assert.Assert(t, pk.Wait(start, hosts[6:]) <= 900*time.Millisecond, "the list has no local engine")
+	assert.Equal(t, pk.MinWait(start, hosts), 900*time.Millisecond)
+	assert.Assert(t, pk.MinWait(start, hosts[6:]) <= 900*time.Millisecond, "the list has no local engine")
 }
 
 // unsharedRequest has a prompt that shares nothing, so that no engine is preferred for it.
@@ -62,10 +62,10 @@
 
 // regionLoad returns a region's load, the same at each of its engines.
 func regionLoad(region core.Region, wait time.Duration) balance.RegionLoad {
-	lo := balance.RegionLoad{Region: balance.HashOf(region)}
+	lo := balance.RegionLoad{Region: balance.Hash(region)}
 	for i := range 4 {
 		id := core.UpstreamID(fmt.Sprint("far-", i))
-		lo.Shares = append(lo.Shares, balance.Share{Upstream: balance.HashOf(id), Own: 2, Pending: wait})
+		lo.Shares = append(lo.Shares, balance.Share{Upstream: balance.Hash(id), Own: 2, Pending: wait})
 	}
 	return lo
 }
@@ -90,7 +90,7 @@
 			rnd := rand.New(rand.NewPCG(5, 1))
 			pk := balance.New("muc-a", "muc")
 			announceLocalWait(pk, 800*time.Millisecond)
-			pk.ToldRegion(start.Add(-sc.age), sc.announced)
+			pk.ReceiveRegionLoad(start.Add(-sc.age), sc.announced)
 			for range 20 {
 				ho, _ := pk.Pick(start, twoRegions(), unsharedRequest, rnd.Float64)
 				assert.Equal(t, ho.Region, sc.want)
@@ -109,9 +109,9 @@
 	}
 	announceLocalWait(pk, 400*time.Millisecond)
 	lo := pk.RegionLoad(start, 3)
-	assert.Equal(t, lo.Region, balance.HashOf(core.Region("muc")))
+	assert.Equal(t, lo.Region, balance.Hash(core.Region("muc")))
 	assert.Equal(t, len(lo.Shares), 3)
-	for _, sh := range append(lo.Shares, lo.Rest) {
+	for _, sh := range append(lo.Shares, lo.Others) {
 		assert.Equal(t, sh.Own, 3)
 		assert.Assert(t, sh.Pending > 400*time.Millisecond)
 	}
@@ -129,20 +129,20 @@
 	far := hosts[len(hosts)-1]
 	_ = here.Sent(start, far, draft("plan-1", 1))
 	_ = here.Sent(start, hosts[0], draft("plan-2", 2))
-	sent := here.RemoteCalls()
+	sent := here.TakeRemoteCalls()
 	assert.Equal(t, len(sent), 1)
-	assert.Equal(t, sent[0].To, balance.HashOf(core.Region("nue")))
+	assert.Equal(t, sent[0].To, balance.Hash(core.Region("nue")))
 	assert.Equal(t, len(sent[0].Shares), 1)
-	assert.Equal(t, len(here.RemoteCalls()), 0, "calls are announced once")
+	assert.Equal(t, len(here.TakeRemoteCalls()), 0, "calls are announced once")
 
-	wait := func() time.Duration { return there.Wait(start, []core.Host{far}) }
-	there.ToldRemoteCalls(start, sent[0])
+	wait := func() time.Duration { return there.MinWait(start, []core.Host{far}) }
+	there.ReceiveRemoteCalls(start, sent[0])
 	assert.Equal(t, wait(), time.Duration(0), "the region has announced no load")
-	there.Told(start, 7, balance.Load{})
-	there.ToldRegion(start, balance.RegionLoad{Region: sent[0].From})
-	there.ToldRemoteCalls(start, sent[0])
+	there.ReceiveLoad(start, 7, balance.Load{})
+	there.ReceiveRegionLoad(start, balance.RegionLoad{Region: sent[0].From})
+	there.ReceiveRemoteCalls(start, sent[0])
 	assert.Assert(t, wait() > 500*time.Millisecond, "%s", wait())
-	there.ToldRegion(start, balance.RegionLoad{Region: sent[0].From, Shares: sent[0].Shares})
+	there.ReceiveRegionLoad(start, balance.RegionLoad{Region: sent[0].From, Shares: sent[0].Shares})
 	assert.Equal(t, wait(), sent[0].Shares[0].Pending, "the call counts once")
 }
 
@@ -153,8 +153,8 @@
 	rq := draft("plan-1", 1)
 	rq.RemoteOnly = true
 	_ = pk.Sent(start, twoRegions()[5], rq)
-	assert.Equal(t, len(pk.Load().Kept), 0)
+	assert.Equal(t, len(pk.TakeLoad().CachedParts), 0)
 	rq.RemoteOnly = false
 	_ = pk.Sent(start, twoRegions()[0], rq)
-	assert.Assert(t, len(pk.Load().Kept) > 0)
+	assert.Assert(t, len(pk.TakeLoad().CachedParts) > 0)
 }
--- a/core/balance/shares.go
+++ b/core/balance/shares.go
@@ -11,7 +11,7 @@
 
 // Share is the work that one entry has at one upstream.
 type Share struct {
-	// Upstream is the hash of the upstream's id, see [HashOf].
+	// Upstream is the hash of the upstream's id, see [Hash].
 	Upstream uint64
 	// Own counts the entry's attempts there, Pending is the prefill time of the prompts among them
 	// that wait for a response.
@@ -19,14 +19,14 @@
 	Pending time.Duration
 }
 
-// Kept is a part of a prompt that an engine has processed since the last announcement.
-type Kept struct {
+// CachedPart is a part of a prompt that an engine has processed since the last announcement.
+type CachedPart struct {
 	// Upstream is the hash of the upstream's id, Part that of the part with its model.
 	Upstream, Part uint64
 }
 
-// Budget is the rest of an entry's retry budget at a service.
-type Budget struct {
+// RetryBudget is the rest of an entry's retry budget at a service.
+type RetryBudget struct {
 	// Service is the hash of its id.
 	Service uint64
 	Left    float64
@@ -34,25 +34,25 @@
 
 // Load is what an entry announces to its siblings.
 type Load struct {
-	Shares  []Share
-	Kept    []Kept
-	Budgets []Budget
+	Shares      []Share
+	CachedParts []CachedPart
+	Budgets     []RetryBudget
 }
 
 // maxUnannounced bounds the records that wait to be announced.
 const maxUnannounced = 64
 
-// HashOf returns the hash that identifies an upstream, a service, a region or a process in the
+// Hash returns the hash that identifies an upstream, a service, a region or a process in the
 // messages between entries.
-func HashOf[T ~string](id T) uint64 { return xxhash.Sum64String(string(id)) }
+func Hash[T ~string](id T) uint64 { return xxhash.Sum64String(string(id)) }
 
-// shareTTL is how long another entry's shares count. They come every [ShareEvery] from a few
+// shareTTL is how long another entry's shares count. They come every [ShareInterval] from a few
 // entries, and every other second from many.
 const shareTTL = 2500 * time.Millisecond
 
-// ShareEvery is how often entries announce their work at upstreams. An engine begins a prompt every
-// 50 ms; information older than a few of them misleads.
-const ShareEvery = 250 * time.Millisecond
+// ShareInterval is how often entries announce their work at upstreams. An engine begins a prompt
+// every 50 ms; information older than a few of them misleads.
+const ShareInterval = 250 * time.Millisecond
 
 // siblingLoad is the work that one other entry announced, by the hash of the upstream's id.
 type siblingLoad struct {
@@ -60,19 +60,19 @@
 	shares map[uint64]Share
 }
 
-// Load returns the work that this entry has at upstreams now, and the parts that it has sent there
-// since the last invocation.
-func (pk *Picker) Load() Load {
+// TakeLoad returns the work that this entry has at upstreams now, and the parts that it has sent
+// there since the last invocation.
+func (pk *Picker) TakeLoad() Load {
 	var out []Share
 	for id, pe := range pk.peers {
 		if pe.own > 0 {
-			out = append(out, Share{Upstream: HashOf(id), Own: pe.own, Pending: pe.pending})
+			out = append(out, Share{Upstream: Hash(id), Own: pe.own, Pending: pe.pending})
 		}
 	}
 	parts := pk.newParts
 	// The shares reflect the prompts whose prefill ended.
 	pk.newParts, pk.newPrefills = nil, nil
-	return Load{Shares: out, Kept: parts}
+	return Load{Shares: out, CachedParts: parts}
 }
 
 // minAnnouncedPrefill is the least prefill time of a prompt that is announced as soon as it is
@@ -98,12 +98,12 @@
 	}
 }
 
-// SentNow returns the calls to upstreams since its last invocation. Shares with Own 0 are prompts whose
-// prefill ended meanwhile.
+// TakeCalls returns the calls to upstreams since its last invocation. Shares with Own 0 are prompts
+// whose prefill ended meanwhile.
 //
-// It is made for many entries before one pool. What [Picker.Load] announces is some hundred
+// It is made for many entries before one pool. What [Picker.TakeLoad] announces is some hundred
 // milliseconds old; by that alone, all entries would select the same idle engine.
-func (pk *Picker) SentNow() []Share {
+func (pk *Picker) TakeCalls() []Share {
 	if len(pk.newCalls) == 0 {
 		return nil
 	}
@@ -112,8 +112,9 @@
 	return sent
 }
 
-// ToldSent adds the calls that another entry has just sent to the load that it announced before.
-func (pk *Picker) ToldSent(now time.Time, from uint64, sent []Share) {
+// ReceiveCalls adds the calls that another entry has just sent to the load that it announced
+// before.
+func (pk *Picker) ReceiveCalls(now time.Time, from uint64, sent []Share) {
 	if pk.off.Has(mechanism.ToldLoads) || pk.off.Has(mechanism.ToldCalls) {
 		return
 	}
@@ -133,18 +134,18 @@
 	}
 }
 
-// Told applies the load that another entry announced.
+// ReceiveLoad applies the load that another entry announced.
 //
 // With many entries before a pool, each of them gets an upstream's load only from its own few
 // responses, seconds apart, and all of them would select the upstream that looked idle then. Each
 // entry itself has the most accurate count of its work there.
-func (pk *Picker) Told(now time.Time, from uint64, lo Load) {
+func (pk *Picker) ReceiveLoad(now time.Time, from uint64, lo Load) {
 	if pk.off.Has(mechanism.ToldPrompts) {
-		lo.Kept = nil
+		lo.CachedParts = nil
 	}
 	pk.totals.until = time.Time{}
 	to := siblingLoad{at: now, shares: make(map[uint64]Share, len(lo.Shares))}
-	for _, ke := range lo.Kept {
+	for _, ke := range lo.CachedParts {
 		if pe := pk.byHash[ke.Upstream]; pe != nil {
 			pe.recordPart(now, ke.Part)
 		}
--- a/core/canary/canary_test.go
+++ b/core/canary/canary_test.go
@@ -126,7 +126,7 @@
 			}
 			gu.Observe(canary.Outcome{Service: service, Version: ve, Pool: "a", Failed: i > 100 && rnd.Float64() < 0.3})
 		}
-		for _, wr := range gu.Due(now, func(core.ServiceID) int { return 0 }) {
+		for _, wr := range gu.DueWrites(now, func(core.ServiceID) int { return 0 }) {
 			if wr.Status != nil && wr.Status.State == canary.RolledBack {
 				rollBacks++
 			}
@@ -154,7 +154,7 @@
 func firstStepSessions() []core.SessionID {
 	var out []core.SessionID
 	for i := range 4000 {
-		if se := core.SessionID(fmt.Sprint("s", i)); canary.Place(se) < 0.03 {
+		if se := core.SessionID(fmt.Sprint("s", i)); canary.SessionFraction(se) < 0.03 {
 			out = append(out, se)
 		}
 	}
@@ -172,7 +172,7 @@
 	joining := firstStepSessions()
 	assert.Assert(t, len(joining) > 60)
 	for _, se := range joining[:30] {
-		gu.Sent(now, se, old)
+		gu.AttemptSent(now, se, old)
 	}
 	gu.Order(now, canary.Order{Service: service, Target: v2, Duration: 24 * time.Second, Revision: 5})
 	for range 2000 {
@@ -208,10 +208,10 @@
 	here, there := canary.New(), canary.New()
 	now := time.Unix(1_000_000, 0)
 	active, streaming, fresh := joining[0], joining[1], joining[2:]
-	there.Sent(now, streaming, old)
+	there.AttemptSent(now, streaming, old)
 	now = now.Add(4 * time.Second)
-	there.Sent(now, active, old)
-	there.Ended(now, active, old)
+	there.AttemptSent(now, active, old)
+	there.AttemptEnded(now, active, old)
 	for _, gu := range []*canary.Guard{here, there} {
 		gu.Order(now, canary.Order{Service: service, Target: v2, Duration: 24 * time.Second, Revision: 5})
 		for range 2000 {
@@ -224,14 +224,14 @@
 	}
 	for range 5 {
 		now = now.Add(time.Second)
-		here.Pool(now, there.Reports(now))
-		there.Sent(now, active, old)
-		there.Ended(now, active, old)
+		here.MergeReports(now, there.Reports(now))
+		there.AttemptSent(now, active, old)
+		there.AttemptEnded(now, active, old)
 		assertStays(here, active)
 		assertStays(here, streaming)
 		assertStays(there, streaming)
 	}
-	there.Ended(now, streaming, old)
+	there.AttemptEnded(now, streaming, old)
 	now = now.Add(4 * time.Second)
 	assertStays(there, streaming)
 	assertStays(here, streaming)
@@ -250,12 +250,12 @@
 	for range 10 {
 		gu.Observe(canary.Outcome{Service: service, Version: v2, Pool: "a", Failed: true})
 	}
-	due := gu.Due(now, first)
+	due := gu.DueWrites(now, first)
 	assert.Equal(t, due[0].Status.State, canary.RolledBack)
 	gu.Status(canary.Status{Service: service, Target: v2, State: canary.RolledBack, Revision: 6})
-	assert.Equal(t, len(gu.Due(now, first)), 0)
+	assert.Equal(t, len(gu.DueWrites(now, first)), 0)
 	gu.Order(now, canary.Order{Service: service, Target: v2, Duration: 24 * time.Second, Revision: 9})
-	due = gu.Due(now, first)
+	due = gu.DueWrites(now, first)
 	assert.Equal(t, due[0].Status.State, canary.InProgress)
 	assert.Equal(t, due[0].Status.Revision, core.Revision(6), "the write must replace the earlier status")
 }
@@ -271,7 +271,7 @@
 	for range 10 {
 		gu.Observe(canary.Outcome{Service: service, Version: v2, Pool: "a", Failed: true})
 	}
-	due := gu.Due(now, func(core.ServiceID) int { return 0 })
+	due := gu.DueWrites(now, func(core.ServiceID) int { return 0 })
 	assert.Equal(t, due[0].Status.State, canary.RolledBack, "the entry's own verdict")
 	gu.Status(canary.Status{Service: service, Target: v2, State: canary.Completed, Revision: 6})
 	var left []core.Host
@@ -297,7 +297,7 @@
 		gu.Order(now, canary.Order{Service: service, Target: v2, Duration: 24 * time.Second, Revision: 5})
 		gu.Step(now, canary.Step{Service: service, Order: 5, Step: step, Revision: 6})
 		chunk := func(ve core.VersionID, piece time.Duration) {
-			gu.Observe(canary.Outcome{Service: service, Version: ve, Pool: "a", Going: true, Piece: piece})
+			gu.Observe(canary.Outcome{Service: service, Version: ve, Pool: "a", Streaming: true, ChunkInterval: piece})
 		}
 		rnd := rand.New(rand.NewPCG(1, 1))
 		for range 100 {
@@ -306,7 +306,7 @@
 		for range 30 {
 			chunk(v2, time.Duration(float64(usual)*slower))
 		}
-		return len(gu.Held()) > 0
+		return len(gu.NewVerdicts()) > 0
 	}
 	assert.Assert(t, held(1, 1.9), "1.9 times as slow, beside the old version under the same load")
 	assert.Assert(t, !held(2, 4), "4 times as slow, alone under the whole load")
--- a/core/canary/doc.go
+++ b/core/canary/doc.go
@@ -24,7 +24,7 @@
 //	gu.Order(now, order); gu.Status(status); gu.Step(step)   // from the store
 //	hosts = gu.Choose(now, service, session, draw, hosts, fresh)
 //	gu.Observe(canary.Outcome{…})
-//	for _, wr := range gu.Due(now, rank) { … write it … }
+//	for _, wr := range gu.DueWrites(now, rank) { … write it … }
 package canary
 
 import (
@@ -77,8 +77,8 @@
 type Write struct {
 	Status *Status
 	Step   *Step
-	// Why is the evidence for the change, for the log.
-	Why string
+	// Reason is the evidence for the change, for the log.
+	Reason string
 }
 
 // step is one step of a roll-out.
--- a/core/canary/evidence.go
+++ b/core/canary/evidence.go
@@ -17,14 +17,14 @@
 	// Neutral outcomes are no evidence about the version: the caller disconnected, or the upstream
 	// refused for lack of capacity.
 	Neutral bool
-	// Going reports that the answer is still streaming: only its chunk interval is known.
-	Going bool
+	// Streaming reports that the answer is still streaming: only its chunk interval is known.
+	Streaming bool
 	// Failed covers an error, a truncated answer, a wrong answer and a timeout.
 	Failed bool
-	// First is the time to the answer's header and Piece the mean interval between its chunks; 0
-	// means unknown. Whole reports that the answer arrived as a single chunk.
-	First, Piece time.Duration
-	Whole        bool
+	// TimeToHeader is the time to the answer's header and ChunkInterval the mean interval between
+	// its chunks; 0 means unknown. SingleChunk reports that the answer arrived as a single chunk.
+	TimeToHeader, ChunkInterval time.Duration
+	SingleChunk                 bool
 }
 
 // evidence compares the outcomes of the new version with those of the old one, for each pool and
@@ -145,7 +145,7 @@
 	po := ev.pool(ou.Pool)
 	slow, timed := po.isSlow(ou, slowPieceFactor)
 	for _, co := range []*comparison{po, &ev.all} {
-		if !ou.Going {
+		if !ou.Streaming {
 			co.fails.updateRate(ou.Failed)
 		}
 		if timed {
@@ -153,8 +153,8 @@
 		}
 	}
 	if !ou.Failed {
-		po.first.update(ou.First)
-		po.piece.update(ou.Piece)
+		po.first.update(ou.TimeToHeader)
+		po.piece.update(ou.ChunkInterval)
 	}
 }
 
@@ -168,7 +168,7 @@
 	}
 	slow, timed := po.isSlow(ou, factor)
 	for _, co := range []*comparison{po, &ev.all} {
-		if !ou.Going && co.fails.observe(ou.Failed, maxRate) {
+		if !ou.Streaming && co.fails.observe(ou.Failed, maxRate) {
 			return co.fails.describe("failed")
 		}
 		maxSlow := maxRate
@@ -186,10 +186,10 @@
 // multiple of the median chunk interval above which an answer is slow.
 func (co *comparison) isSlow(ou Outcome, factor float64) (slow, timed bool) {
 	switch {
-	case ou.Piece > 0:
-		return co.piece.exceeded(ou.Piece, factor), co.piece.reliable()
-	case ou.Whole && ou.First > 0:
-		return co.first.exceeded(ou.First, slowFirstFactor), co.first.reliable()
+	case ou.ChunkInterval > 0:
+		return co.piece.exceeded(ou.ChunkInterval, factor), co.piece.reliable()
+	case ou.SingleChunk && ou.TimeToHeader > 0:
+		return co.first.exceeded(ou.TimeToHeader, slowFirstFactor), co.first.reliable()
 	}
 	return false, false
 }
@@ -259,9 +259,9 @@
 	}
 }
 
-// Overdue returns how long an attempt may take until its response header before it counts as
+// HeaderTimeout returns how long an attempt may take until its response header before it counts as
 // failed. It returns 0 when that is unknown or irrelevant: only a version under roll-out is tested.
-func (gu *Guard) Overdue(sv core.ServiceID, ve core.VersionID, pool string) time.Duration {
+func (gu *Guard) HeaderTimeout(sv core.ServiceID, ve core.VersionID, pool string) time.Duration {
 	gu.mu.Lock()
 	defer gu.mu.Unlock()
 	ro := gu.rollouts[sv]
--- a/core/canary/guard.go
+++ b/core/canary/guard.go
@@ -88,7 +88,7 @@
 	// pooledSum is the evidence of all entries together, as of the last reports.
 	pooledSum float64
 	// badReason is why this entry considers the version bad; empty if it does not. reported is set
-	// once Held has returned it.
+	// once NewVerdicts has returned it.
 	badReason string
 	reported  bool
 }
@@ -215,7 +215,7 @@
 func (gu *Guard) routeToTarget(now time.Time, ro *rollout, sv core.ServiceID, se core.SessionID, draw float64, fresh bool) bool {
 	current := ro.currentStep()
 	if se != "" {
-		draw = Place(se)
+		draw = SessionFraction(se)
 		pi, active := gu.sessions[sessionKey{sv, se}]
 		active = active && pi.active(now, gu.gap)
 		if active && pi.version == ro.order.Target {
@@ -232,22 +232,22 @@
 	return current > 0 || float64(ro.sent) < capFactor*share*float64(ro.all)+capSlack
 }
 
-// Held is a version that an entry has found bad.
-type Held struct {
+// Verdict is a version that an entry has found bad.
+type Verdict struct {
 	Service core.ServiceID
 	Version core.VersionID
-	Why     string
+	Reason  string
 }
 
-// Held returns the versions that this entry has found bad since the last call.
-func (gu *Guard) Held() []Held {
+// NewVerdicts returns the versions that this entry has found bad since the last call.
+func (gu *Guard) NewVerdicts() []Verdict {
 	gu.mu.Lock()
 	defer gu.mu.Unlock()
-	var out []Held
+	var out []Verdict
 	for sv, ro := range gu.rollouts {
 		if ro.badReason != "" && !ro.reported {
 			ro.reported = true
-			out = append(out, Held{sv, ro.order.Target, ro.badReason})
+			out = append(out, Verdict{sv, ro.order.Target, ro.badReason})
 		}
 	}
 	return out
--- a/core/canary/pool.go
+++ b/core/canary/pool.go
@@ -19,9 +19,9 @@
 	Elapsed int64 `json:"elapsed-ms"`
 	// Pools holds the evidence by route and model, and over all of them under [allPools].
 	Pools map[string]Tallies `json:"pools"`
-	// Settled are the sessions within the first step's share that continue on the old version at
-	// the reporting entry.
-	Settled []core.SessionID `json:"settled,omitempty"`
+	// OldSessions are the sessions within the first step's share that continue on the old version
+	// at the reporting entry.
+	OldSessions []core.SessionID `json:"settled,omitempty"`
 }
 
 // allPools is the key of the evidence over all pools.
@@ -29,8 +29,8 @@
 
 // Tallies is the evidence of both tests.
 type Tallies struct {
-	Fails Tally `json:"fails"`
-	Slows Tally `json:"slows"`
+	Failures    Tally `json:"fails"`
+	SlowAnswers Tally `json:"slows"`
 }
 
 // Tally is the evidence of one test.
@@ -40,8 +40,8 @@
 	Seen int     `json:"seen"`
 }
 
-// Entries are the sibling entries.
-type Entries interface {
+// Siblings are the sibling entries.
+type Siblings interface {
 	// Reports returns the roll-out reports of the siblings that respond.
 	Reports(ctx context.Context) []Report
 }
@@ -57,7 +57,7 @@
 		}
 		out = append(out, Report{
 			Service: sv, Order: ro.order.Revision, Elapsed: now.Sub(ro.startedAt).Milliseconds(), Pools: ro.evidence.tallies(),
-			Settled: gu.localOld(now, ro),
+			OldSessions: gu.localOld(now, ro),
 		})
 	}
 	return out
@@ -83,8 +83,8 @@
 // its first few answers.
 const pooledThreshold = 7.0
 
-// Pool merges the siblings' reports; now must not be earlier than when they were made.
-func (gu *Guard) Pool(now time.Time, reports []Report) {
+// MergeReports merges the siblings' reports; now must not be earlier than when they were made.
+func (gu *Guard) MergeReports(now time.Time, reports []Report) {
 	gu.mu.Lock()
 	defer gu.mu.Unlock()
 	for sv, ro := range gu.rollouts {
@@ -100,7 +100,7 @@
 			if began := now.Add(-time.Duration(re.Elapsed) * time.Millisecond); began.Before(ro.startedAt) {
 				ro.startedAt = began
 			}
-			for _, se := range re.Settled {
+			for _, se := range re.OldSessions {
 				ro.remoteOld[se] = now
 			}
 			if gu.off.Has(mechanism.PooledEvidence) {
@@ -108,17 +108,17 @@
 			}
 			for name, ta := range re.Pools {
 				sum := sums[name]
-				sum.Fails.add(ta.Fails)
-				sum.Slows.add(ta.Slows)
+				sum.Failures.add(ta.Failures)
+				sum.SlowAnswers.add(ta.SlowAnswers)
 				sums[name] = sum
 			}
 		}
 		ro.pooledSum = 0
 		for _, sum := range sums {
 			if ro.badReason == "" {
-				ro.badReason = pooledReason(sum.Fails, sum.Slows)
+				ro.badReason = pooledReason(sum.Failures, sum.SlowAnswers)
 			}
-			ro.pooledSum = max(ro.pooledSum, sum.Fails.Sum, sum.Slows.Sum)
+			ro.pooledSum = max(ro.pooledSum, sum.Failures.Sum, sum.SlowAnswers.Sum)
 		}
 	}
 }
@@ -143,7 +143,7 @@
 // Pooler periodically collects the siblings' reports. It implements suture's Service.
 type Pooler struct {
 	gu  *Guard
-	ens Entries
+	ens Siblings
 }
 
 const (
@@ -154,7 +154,7 @@
 )
 
 // NewPooler returns a pooler.
-func NewPooler(gu *Guard, ens Entries) *Pooler { return &Pooler{gu: gu, ens: ens} }
+func NewPooler(gu *Guard, ens Siblings) *Pooler { return &Pooler{gu: gu, ens: ens} }
 
 // Serve implements suture's Service.
 func (po *Pooler) Serve(ctx context.Context) error {
@@ -178,5 +178,5 @@
 	reports := po.ens.Reports(ctx)
 	// Uses the time of the response, not of the request: otherwise the network delay would be added
 	// to the reported elapsed time in every round.
-	po.gu.Pool(time.Now(), reports)
+	po.gu.MergeReports(time.Now(), reports)
 }
--- a/core/canary/recorder.go
+++ b/core/canary/recorder.go
@@ -55,10 +55,10 @@
 		case <-ctx.Done():
 			return ctx.Err()
 		case now := <-ti.C:
-			for _, he := range re.gu.Held() {
-				event.Log(re.deps.Log, event.CanaryHeld, "service", he.Service, "version", he.Version, "why", he.Why)
+			for _, he := range re.gu.NewVerdicts() {
+				event.Log(re.deps.Log, event.CanaryHeld, "service", he.Service, "version", he.Version, "why", he.Reason)
 			}
-			for _, wr := range re.gu.Due(now, re.rank) {
+			for _, wr := range re.gu.DueWrites(now, re.rank) {
 				re.record(ctx, wr)
 			}
 		}
@@ -68,7 +68,7 @@
 func (re *Recorder) record(ctx context.Context, wr Write) {
 	key, value, prev, err := re.encode(wr)
 	if err != nil {
-		event.Log(re.deps.Log, event.StoreWriteLate, "key", key, "error", err, "why", wr.Why)
+		event.Log(re.deps.Log, event.StoreWriteLate, "key", key, "error", err, "why", wr.Reason)
 		return
 	}
 	if time.Now().Before(re.backoffUntil[key]) {
@@ -83,12 +83,12 @@
 	if err != nil {
 		re.backoffUntil[key] = time.Now().Add(conflictBackoff)
 		if !errors.Is(err, core.ErrConflict) && ctx.Err() == nil {
-			event.Log(re.deps.Log, event.StoreWriteLate, "key", key, "error", err, "why", wr.Why)
+			event.Log(re.deps.Log, event.StoreWriteLate, "key", key, "error", err, "why", wr.Reason)
 		}
 		return
 	}
 	re.applyWrite(wr, rev)
-	event.Log(re.deps.Log, event.CanaryWritten, "key", key, "value", string(value), "revision", rev, "replaced", prev, "why", wr.Why)
+	event.Log(re.deps.Log, event.CanaryWritten, "key", key, "value", string(value), "revision", rev, "replaced", prev, "why", wr.Reason)
 }
 
 func (re *Recorder) encode(wr Write) (key string, value []byte, prev core.Revision, err error) {
--- a/core/canary/sessions.go
+++ b/core/canary/sessions.go
@@ -50,20 +50,20 @@
 	}
 	for key, pi := range gu.sessions {
 		if key.service == ro.order.Service && pi.version != ro.order.Target &&
-			Place(key.session) < gu.steps[0].share && pi.active(now, gu.gap) {
+			SessionFraction(key.session) < gu.steps[0].share && pi.active(now, gu.gap) {
 			out = append(out, key.session)
 		}
 	}
 	return out
 }
 
-// Place maps a session id to a number from 0 to 1, the same at all entries.
-func Place(se core.SessionID) float64 {
+// SessionFraction maps a session id to a number from 0 to 1, the same at all entries.
+func SessionFraction(se core.SessionID) float64 {
 	return float64(xxhash.Sum64String(string(se))>>11) / (1 << 53)
 }
 
-// Sent records that a request of a session is sent to an upstream.
-func (gu *Guard) Sent(now time.Time, se core.SessionID, ho core.Host) {
+// AttemptSent records that a request of a session is sent to an upstream.
+func (gu *Guard) AttemptSent(now time.Time, se core.SessionID, ho core.Host) {
 	gu.mu.Lock()
 	defer gu.mu.Unlock()
 	if se != "" {
@@ -83,8 +83,8 @@
 	}
 }
 
-// Ended records the end of an attempt that was recorded by Sent.
-func (gu *Guard) Ended(now time.Time, se core.SessionID, ho core.Host) {
+// AttemptEnded records the end of an attempt that was recorded by AttemptSent.
+func (gu *Guard) AttemptEnded(now time.Time, se core.SessionID, ho core.Host) {
 	gu.mu.Lock()
 	defer gu.mu.Unlock()
 	key := versionKey{ho.Service, ho.Version}
--- a/core/canary/sim_test.go
+++ b/core/canary/sim_test.go
@@ -131,7 +131,7 @@
 					first := n / 100 * tr.fanout % len(others)
 					others = append(others[first:], others[:first]...)[:tr.fanout]
 				}
-				gu.Pool(now, others)
+				gu.MergeReports(now, others)
 			}
 		}
 		if since >= 0 && n%15 == 0 {
@@ -156,7 +156,7 @@
 				continue
 			}
 			ho := ups[rnd.IntN(len(ups))]
-			gu.Sent(now, se, ho)
+			gu.AttemptSent(now, se, ho)
 			old, seenBefore := sessions[se]
 			if seenBefore && now.Sub(old.at) < 5*time.Second && since > 0 {
 				if ho.Version == v2 && old.version == v1 && since < tr.duration/2 {
@@ -178,14 +178,14 @@
 			}
 			route := rnd.IntN(3)
 			interval := time.Duration(float64(20*time.Millisecond) * (0.7 + 0.8*rnd.Float64()))
-			ou := canary.Outcome{Service: service, Version: ho.Version, Pool: fmt.Sprint(route), Piece: interval, Failed: rnd.Float64() < 0.01}
+			ou := canary.Outcome{Service: service, Version: ho.Version, Pool: fmt.Sprint(route), ChunkInterval: interval, Failed: rnd.Float64() < 0.01}
 			if ho.Version == v2 {
-				ou.Piece = ou.Piece * 6 / 10 // Its engines are nearly idle.
+				ou.ChunkInterval = ou.ChunkInterval * 6 / 10 // Its engines are nearly idle.
 				if tr.fault != nil {
 					fails, slower := tr.fault(rnd, route, since, st.step.Step)
 					ou.Failed = ou.Failed || fails
 					if slower > 1 {
-						ou.Piece = time.Duration(float64(ou.Piece) * slower)
+						ou.ChunkInterval = time.Duration(float64(ou.ChunkInterval) * slower)
 					}
 					if fails || slower > 2 {
 						re.bad++
@@ -195,7 +195,7 @@
 					}
 				}
 			}
-			pending = append(pending, attempt{now.Add(time.Duration(20 * float64(ou.Piece))), entry, se, ho, ou})
+			pending = append(pending, attempt{now.Add(time.Duration(20 * float64(ou.ChunkInterval))), entry, se, ho, ou})
 		}
 		kept := pending[:0]
 		for _, fl := range pending {
@@ -204,7 +204,7 @@
 				continue
 			}
 			gus[fl.entry].Observe(fl.ou)
-			gus[fl.entry].Ended(now, fl.session, fl.host)
+			gus[fl.entry].AttemptEnded(now, fl.session, fl.host)
 		}
 		pending = kept
 	}
@@ -214,7 +214,7 @@
 // write applies the writes that the guards find due, as the store would.
 func (tr simulation) write(now time.Time, gus []*canary.Guard, st *store, re *result, since time.Duration) {
 	for rank, gu := range gus {
-		for _, wr := range gu.Due(now, func(core.ServiceID) int { return rank }) {
+		for _, wr := range gu.DueWrites(now, func(core.ServiceID) int { return rank }) {
 			st.rev++
 			switch {
 			case wr.Status != nil && wr.Status.Revision == st.status.Revision:
--- a/core/canary/due.go
+++ b/core/canary/writes.go
@@ -7,11 +7,11 @@
 	"skylarkstand/core"
 )
 
-// Due returns the writes that this entry should make now. Rank is the entry's position among the
-// entries for a service: the first writes at once and each further one a little later, so that
+// DueWrites returns the writes that this entry should make now. Rank is the entry's position among
+// the entries for a service: the first writes at once and each further one a little later, so that
 // usually only one write is made and the loss of any entry merely delays it. A verdict is written
 // at once by the entry that reaches it.
-func (gu *Guard) Due(now time.Time, rank func(core.ServiceID) int) []Write {
+func (gu *Guard) DueWrites(now time.Time, rank func(core.ServiceID) int) []Write {
 	gu.mu.Lock()
 	defer gu.mu.Unlock()
 	var out []Write
@@ -76,7 +76,7 @@
 
 func (ro *rollout) nextStep(current int) Write {
 	st := Step{Service: ro.order.Service, Order: ro.order.Revision, Step: current + 1, Revision: ro.step.Revision}
-	return Write{Step: &st, Why: ro.summary()}
+	return Write{Step: &st, Reason: ro.summary()}
 }
 
 // summary describes the evidence so far.
@@ -89,6 +89,6 @@
 func (ro *rollout) statusWrite(st State, why string) Write {
 	return Write{
 		Status: &Status{Service: ro.order.Service, Target: ro.order.Target, State: st, Revision: ro.status.Revision},
-		Why:    why,
+		Reason: why,
 	}
 }
--- a/core/cascade/cascade_test.go
+++ b/core/cascade/cascade_test.go
@@ -57,7 +57,7 @@
 			got = 0
 		}
 		now = now.Add(10 * time.Millisecond)
-		le.Rated(now, qu, 0, cascade.First, got)
+		le.RecordRating(now, qu, 0, cascade.First, got)
 	}
 	assert.Assert(t, le.Expected(now, qu, 0, cascade.First) < 0.1)
 }
@@ -70,11 +70,11 @@
 	run := func(good core.Quality, draw float64) int {
 		now = now.Add(100 * time.Millisecond)
 		de := le.Start(now, qu, draw)
-		le.Ran(now, qu, de.Stage, qu.Stages[de.Stage].Cost, time.Second)
+		le.RecordRun(now, qu, de.Stage, qu.Stages[de.Stage].Cost, time.Second)
 		if de.Stage == 0 {
-			le.Rated(now, qu, 0, cascade.First, good)
+			le.RecordRating(now, qu, 0, cascade.First, good)
 		}
-		le.Done(qu, qu.Target, time.Second) // Keeps the mix at its target.
+		le.RecordResult(qu, qu.Target, time.Second) // Keeps the mix at its target.
 		return de.Stage
 	}
 	for range 400 {
@@ -118,22 +118,22 @@
 // be late by the whole timeout; so after three misses only one request per second waits,
 // until a rating arrives.
 func TestHealthProbesWhileRaterIsDown(t *testing.T) {
-	he, now := &cascade.Health{}, time.Unix(1000, 0)
+	he, now := &cascade.RaterHealth{}, time.Unix(1000, 0)
 	for i := range 3 {
-		assert.Assert(t, he.Ask(now))
-		assert.Equal(t, he.Note(now, false), i == 2)
+		assert.Assert(t, he.AllowWait(now))
+		assert.Equal(t, he.Record(now, false), i == 2)
 	}
 	waited := 0
 	for range 1000 { // 10 s at 100 requests per second.
 		now = now.Add(10 * time.Millisecond)
-		if he.Ask(now) {
+		if he.AllowWait(now) {
 			waited++
-			he.Note(now, false)
+			he.Record(now, false)
 		}
 	}
 	assert.Equal(t, waited, 10)
-	he.Note(now, true)
+	he.Record(now, true)
 	for range 2 {
-		assert.Assert(t, he.Ask(now))
+		assert.Assert(t, he.AllowWait(now))
 	}
 }
--- a/core/cascade/doc.go
+++ b/core/cascade/doc.go
@@ -19,10 +19,10 @@
 //	le := cascade.NewLearner()
 //	de := le.Start(now, qu, rand.Float64())
 //	… run qu.Stages[de.Stage] …
-//	le.Ran(now, qu, de.Stage, cost, took)
-//	le.Rated(now, qu, de.Stage, cascade.First, rating)
+//	le.RecordRun(now, qu, de.Stage, cost, took)
+//	le.RecordRating(now, qu, de.Stage, cascade.First, rating)
 //	de, more := le.Next(now, qu, de.Stage, rating, waited)
-//	le.Done(qu, rating, waited)
+//	le.RecordResult(qu, rating, waited)
 //
-// If no rating is available, [Question.Fallback] returns the stage to run.
+// If no rating is available, [Request.Fallback] returns the stage to run.
 package cascade
--- a/core/cascade/health.go
+++ b/core/cascade/health.go
@@ -15,18 +15,18 @@
 	probeInterval = time.Second
 )
 
-// Health is a circuit breaker for the rating service. It is safe for concurrent use.
+// RaterHealth is a circuit breaker for the rating service. It is safe for concurrent use.
 //
 // While the rating service is down, each request that waits for a rating is delayed
 // by the whole timeout. So only one request per probeInterval waits.
-type Health struct {
+type RaterHealth struct {
 	mu        sync.Mutex
 	missed    int
 	nextProbe time.Time
 }
 
-// Ask reports whether a request may wait for a rating now.
-func (he *Health) Ask(now time.Time) bool {
+// AllowWait reports whether a request may wait for a rating now.
+func (he *RaterHealth) AllowWait(now time.Time) bool {
 	he.mu.Lock()
 	defer he.mu.Unlock()
 	if he.missed < maxMisses {
@@ -39,9 +39,9 @@
 	return true
 }
 
-// Note records whether a rating arrived in time, and reports whether the service
+// Record records whether a rating arrived in time, and reports whether the service
 // counts as down from this rating on.
-func (he *Health) Note(now time.Time, onTime bool) bool {
+func (he *RaterHealth) Record(now time.Time, onTime bool) bool {
 	he.mu.Lock()
 	defer he.mu.Unlock()
 	if onTime {
--- a/core/cascade/learner.go
+++ b/core/cascade/learner.go
@@ -7,14 +7,14 @@
 	"skylarkstand/core"
 )
 
-// Place is the position of a stage in a request's run. A stage that runs after
+// Position is the position of a stage in a request's run. A stage that runs after
 // another one failed gets harder requests and passes less often.
-type Place int
+type Position int
 
 // The positions of a stage: the first of its request, or after another one.
 const (
-	First Place = iota
-	After
+	First Position = iota
+	AfterFailure
 )
 
 // assumedLatencies is used for a stage without observed latencies.
@@ -88,7 +88,7 @@
 
 // Start decides at which stage a request starts. Draw is a random number from 0 to 1
 // that decides whether the request explores.
-func (le *Learner) Start(now time.Time, qu *Question, draw float64) Decision {
+func (le *Learner) Start(now time.Time, qu *Request, draw float64) Decision {
 	le.mu.Lock()
 	defer le.mu.Unlock()
 	ods, pr := le.expectations(now, qu)
@@ -101,7 +101,7 @@
 
 // explore returns the cheapest stage before start that has few recent ratings, or
 // start if there is none.
-func (le *Learner) explore(now time.Time, qu *Question, start int) int {
+func (le *Learner) explore(now time.Time, qu *Request, start int) int {
 	for i := range start {
 		es := &le.stage(now, qu, i).passRates[First]
 		es.decay(now)
@@ -114,7 +114,7 @@
 
 // Next decides whether a request escalates after the answer of a stage was rated,
 // and to which stage. Waited is the latency of the request so far.
-func (le *Learner) Next(now time.Time, qu *Question, stage int, rating core.Quality, waited time.Duration) (Decision, bool) {
+func (le *Learner) Next(now time.Time, qu *Request, stage int, rating core.Quality, waited time.Duration) (Decision, bool) {
 	le.mu.Lock()
 	defer le.mu.Unlock()
 	ods, pr := le.expectations(now, qu)
@@ -126,22 +126,22 @@
 }
 
 // Expected returns the expected quality of a stage's answer.
-func (le *Learner) Expected(now time.Time, qu *Question, stage int, pl Place) core.Quality {
+func (le *Learner) Expected(now time.Time, qu *Request, stage int, pl Position) core.Quality {
 	le.mu.Lock()
 	defer le.mu.Unlock()
 	return core.Quality(le.passRate(now, qu, stage, pl))
 }
 
-// Rated records a rating of a stage's answer, which may arrive after the request has
+// RecordRating records a rating of a stage's answer, which may arrive after the request has
 // ended.
-func (le *Learner) Rated(now time.Time, qu *Question, stage int, pl Place, rating core.Quality) {
+func (le *Learner) RecordRating(now time.Time, qu *Request, stage int, pl Position, rating core.Quality) {
 	le.mu.Lock()
 	defer le.mu.Unlock()
 	le.stage(now, qu, stage).passRates[pl].add(now, float64(rating))
 }
 
-// Ran records the cost and the latency of a stage's answer.
-func (le *Learner) Ran(now time.Time, qu *Question, stage int, cost core.Millicents, took time.Duration) {
+// RecordRun records the cost and the latency of a stage's answer.
+func (le *Learner) RecordRun(now time.Time, qu *Request, stage int, cost core.Millicents, took time.Duration) {
 	le.mu.Lock()
 	defer le.mu.Unlock()
 	ce := le.stage(now, qu, stage)
@@ -150,17 +150,17 @@
 	ce.latencies.add(took.Seconds())
 }
 
-// Done records the quality of the answer that the caller got, either its rating or
+// RecordResult records the quality of the answer that the caller got, either its rating or
 // its expected quality, and the latency of the request.
-func (le *Learner) Done(qu *Question, quality core.Quality, waited time.Duration) {
+func (le *Learner) RecordResult(qu *Request, quality core.Quality, waited time.Duration) {
 	le.mu.Lock()
 	defer le.mu.Unlock()
 	le.deficit(qu).add(float64(qu.Target-quality), waited)
 }
 
-// Sampled records a rating of an answer whose expected quality was passed to Done.
-// Share is the fraction of such answers that is rated.
-func (le *Learner) Sampled(qu *Question, expected, rating core.Quality, share float64) {
+// RecordSampledRating records a rating of an answer whose expected quality was passed to
+// RecordResult. Share is the fraction of such answers that is rated.
+func (le *Learner) RecordSampledRating(qu *Request, expected, rating core.Quality, share float64) {
 	le.mu.Lock()
 	defer le.mu.Unlock()
 	le.deficit(qu).correct(float64(expected), float64(rating), share)
@@ -168,12 +168,12 @@
 
 // expectations returns what is expected of each stage for a request, and the current
 // prices.
-func (le *Learner) expectations(now time.Time, qu *Question) ([]expectation, pricing) {
+func (le *Learner) expectations(now time.Time, qu *Request) ([]expectation, pricing) {
 	ods := make([]expectation, len(qu.Stages))
 	for i, st := range qu.Stages {
 		ce := le.stage(now, qu, i)
 		od := expectation{
-			passFirst: le.passRate(now, qu, i, First), passAfter: le.passRate(now, qu, i, After),
+			passFirst: le.passRate(now, qu, i, First), passAfter: le.passRate(now, qu, i, AfterFailure),
 			cost:        ce.cost.value(float64(st.Cost), costPriorWeight),
 			meanLatency: ce.latency.value(assumedLatency.Seconds(), costPriorWeight),
 			latencies:   ce.latencies.values(),
@@ -189,17 +189,17 @@
 	return ods, pr
 }
 
-func (le *Learner) passRate(now time.Time, qu *Question, stage int, pl Place) float64 {
+func (le *Learner) passRate(now time.Time, qu *Request, stage int, pl Position) float64 {
 	es := &le.stage(now, qu, stage).passRates[pl]
 	es.decay(now)
 	priorWeight := float64(firstPriorWeight)
-	if pl == After {
+	if pl == AfterFailure {
 		priorWeight = afterPriorWeight
 	}
-	return es.value(float64(qu.Stages[stage].Declared), priorWeight)
+	return es.value(float64(qu.Stages[stage].DeclaredQuality), priorWeight)
 }
 
-func (le *Learner) deficit(qu *Question) *deficit {
+func (le *Learner) deficit(qu *Request) *deficit {
 	key := deficitKey{qu.Workspace, qu.Cascade}
 	de := le.deficits[key]
 	if de == nil {
@@ -209,7 +209,7 @@
 	return de
 }
 
-func (le *Learner) stage(now time.Time, qu *Question, stage int) *stageStats {
+func (le *Learner) stage(now time.Time, qu *Request, stage int) *stageStats {
 	key := stageKey{qu.Workspace, qu.Cascade, qu.Class, qu.Stages[stage].Target}
 	ce := le.stages[key]
 	if ce == nil {
--- a/core/cascade/plan.go
+++ b/core/cascade/plan.go
@@ -41,10 +41,10 @@
 // gain returns the expected gain of running stage i: its pass rate times the value of
 // a good answer, minus its cost and the price of its latency, plus, if it fails, the
 // gain of the best stage after it.
-func (pr pricing) gain(ods []expectation, i int, pl Place, elapsed float64) float64 {
+func (pr pricing) gain(ods []expectation, i int, pl Position, elapsed float64) float64 {
 	od := &ods[i]
 	pass := od.passFirst
-	if pl == After {
+	if pl == AfterFailure {
 		pass = od.passAfter
 	}
 	_, nextGain := pr.next(ods, i, elapsed+od.meanLatency)
@@ -62,7 +62,7 @@
 func (pr pricing) next(ods []expectation, i int, elapsed float64) (int, float64) {
 	best, bestGain := noStage, 0.0
 	for j := i + 1; j < len(ods); j++ {
-		if gain := pr.gain(ods, j, After, elapsed); gain > bestGain {
+		if gain := pr.gain(ods, j, AfterFailure, elapsed); gain > bestGain {
 			best, bestGain = j, gain
 		}
 	}
--- a/core/cascade/question.go
+++ b/core/cascade/request.go
@@ -24,14 +24,14 @@
 // Stage is one stage of a cascade, as declared in the configuration.
 type Stage struct {
 	Target core.ModelVersion
-	// Declared is the declared quality, used until there are enough ratings.
-	Declared core.Quality
+	// DeclaredQuality is the declared quality, used until there are enough ratings.
+	DeclaredQuality core.Quality
 	// Cost is the expected cost of the stage, used until it was run.
 	Cost core.Millicents
 }
 
-// Question is a request to a cascade.
-type Question struct {
+// Request is a request to a cascade.
+type Request struct {
 	Workspace core.WorkspaceID
 	Cascade   core.CascadeID
 	Class     Class
@@ -50,13 +50,13 @@
 // The rating service may be down or slow. A cascade that kept waiting for it would add
 // its timeout to every answer, and one that accepted unrated cheap answers would miss
 // the target unnoticed until the service is back.
-func (qu *Question) Fallback() int {
+func (qu *Request) Fallback() int {
 	best := 0
 	for i, st := range qu.Stages {
-		if st.Declared >= qu.Target {
+		if st.DeclaredQuality >= qu.Target {
 			return i
 		}
-		if st.Declared > qu.Stages[best].Declared {
+		if st.DeclaredQuality > qu.Stages[best].DeclaredQuality {
 			best = i
 		}
 	}
--- a/core/cascade/sim_test.go
+++ b/core/cascade/simulation_test.go
@@ -92,11 +92,11 @@
 	return re.latencies[len(re.latencies)*95/100]
 }
 
-func question(class int, target core.Quality, price core.Millicents) *cascade.Question {
+func question(class int, target core.Quality, price core.Millicents) *cascade.Request {
 	st := func(mo core.ModelID, qu core.Quality, cost core.Millicents) cascade.Stage {
-		return cascade.Stage{Target: core.ModelVersion{Model: mo, Version: "v1"}, Declared: qu, Cost: cost}
+		return cascade.Stage{Target: core.ModelVersion{Model: mo, Version: "v1"}, DeclaredQuality: qu, Cost: cost}
 	}
-	return &cascade.Question{
+	return &cascade.Request{
 		Workspace: "ws", Cascade: "quick", Class: cascade.ClassOf(classes[class].length), Target: target, LatencyPrice: price,
 		Stages: []cascade.Stage{st("desk", 0.8, 20), st("drafter", 0.95, 250)},
 	}
@@ -126,27 +126,27 @@
 	lo    *eventqueue.Queue
 	re    *result
 	as    request
-	qu    *cascade.Question
+	qu    *cascade.Request
 	began time.Time
 	cost  core.Millicents
 	rnd   *rand.Rand
 }
 
-func (wk *execution) stage(at time.Time, de cascade.Decision, pl cascade.Place) {
+func (wk *execution) stage(at time.Time, de cascade.Decision, pl cascade.Position) {
 	wk.lo.At(at.Add(wk.as.latency[de.Stage]), func(at time.Time) {
 		wk.cost += wk.as.cost[de.Stage]
-		wk.le.Ran(at, wk.qu, de.Stage, wk.as.cost[de.Stage], wk.as.latency[de.Stage])
+		wk.le.RecordRun(at, wk.qu, de.Stage, wk.as.cost[de.Stage], wk.as.latency[de.Stage])
 		if !de.Final {
 			wk.lo.At(at.Add(wk.as.ratingDelay), func(at time.Time) { wk.rated(at, de, pl) })
 			return
 		}
 		wk.finish(at, de.Stage)
 		expected := wk.le.Expected(at, wk.qu, de.Stage, pl)
-		wk.le.Done(wk.qu, expected, at.Sub(wk.began))
+		wk.le.RecordResult(wk.qu, expected, at.Sub(wk.began))
 		if wk.rnd.Float64() < sampleShare {
 			wk.lo.At(at.Add(wk.as.ratingDelay), func(at time.Time) {
-				wk.le.Rated(at, wk.qu, de.Stage, pl, wk.rating(de.Stage))
-				wk.le.Sampled(wk.qu, expected, wk.rating(de.Stage), sampleShare)
+				wk.le.RecordRating(at, wk.qu, de.Stage, pl, wk.rating(de.Stage))
+				wk.le.RecordSampledRating(wk.qu, expected, wk.rating(de.Stage), sampleShare)
 			})
 		}
 	})
@@ -162,14 +162,14 @@
 	return 0
 }
 
-func (wk *execution) rated(at time.Time, de cascade.Decision, pl cascade.Place) {
+func (wk *execution) rated(at time.Time, de cascade.Decision, pl cascade.Position) {
 	got := wk.rating(de.Stage)
-	wk.le.Rated(at, wk.qu, de.Stage, pl, got)
+	wk.le.RecordRating(at, wk.qu, de.Stage, pl, got)
 	if next, more := wk.le.Next(at, wk.qu, de.Stage, got, at.Sub(wk.began)); more {
-		wk.stage(at, next, cascade.After)
+		wk.stage(at, next, cascade.AfterFailure)
 		return
 	}
-	wk.le.Done(wk.qu, got, at.Sub(wk.began))
+	wk.le.RecordResult(wk.qu, got, at.Sub(wk.began))
 	wk.finish(at, de.Stage)
 }
 
--- a/core/dispatch/chat.go
+++ b/core/dispatch/chat.go
@@ -32,7 +32,7 @@
 	sn   *declaration.Snapshot
 	plan routing.Plan
 	// qu is nil for a plan with one stage, which leaves nothing to decide.
-	qu    *cascade.Question
+	qu    *cascade.Request
 	start cascade.Decision
 }
 
@@ -84,15 +84,15 @@
 // bytesPerToken converts the length of a prompt to an approximate number of tokens.
 const bytesPerToken = 4
 
-func cascadeRequest(sn *declaration.Snapshot, rq *Request, plan routing.Plan) *cascade.Question {
+func cascadeRequest(sn *declaration.Snapshot, rq *Request, plan routing.Plan) *cascade.Request {
 	ws := sn.Workspace(rq.Workspace)
-	qu := &cascade.Question{
+	qu := &cascade.Request{
 		Workspace: rq.Workspace, Cascade: plan.Cascade, Class: cascade.ClassOf(len(rq.Prompt)),
 		Target: ws.Quality, LatencyPrice: ws.LatencyPrice,
 	}
 	us := core.Usage{Prompt: core.Tokens(len(rq.Prompt) / bytesPerToken), Generated: assumedTokens}
 	for _, st := range plan.Stages {
-		qu.Stages = append(qu.Stages, cascade.Stage{Target: st.Target, Declared: st.Version.Quality, Cost: cost(st.Version, us)})
+		qu.Stages = append(qu.Stages, cascade.Stage{Target: st.Target, DeclaredQuality: st.Version.Quality, Cost: cost(st.Version, us)})
 	}
 	return qu
 }
@@ -155,9 +155,9 @@
 }
 
 // start decides which stage a cascade starts with.
-func (jd *evaluator) start(qu *cascade.Question) cascade.Decision {
+func (jd *evaluator) start(qu *cascade.Request) cascade.Decision {
 	now := time.Now()
-	if !jd.health.Ask(now) {
+	if !jd.health.AllowWait(now) {
 		return cascade.Decision{Stage: qu.Fallback(), Final: true}
 	}
 	return jd.learner.Start(now, qu, rand.Float64())
@@ -183,7 +183,7 @@
 	pos := wk.position()
 	wk.ran[de.Stage] = true
 	if st.Joined {
-		wk.dis.eval.guard.Reach(st.Target)
+		wk.dis.eval.guard.CountExposed(st.Target)
 	}
 	at := core.Attempt{Target: st.Target, Stream: wk.rq.Stream}
 	ans, line, err := wk.dis.try(ctx, wk.sn, wk.rq, at, true)
@@ -197,9 +197,9 @@
 	return nil
 }
 
-func (wk *stageRunner) position() cascade.Place {
+func (wk *stageRunner) position() cascade.Position {
 	if wk.saved != nil {
-		return cascade.After
+		return cascade.AfterFailure
 	}
 	return cascade.First
 }
@@ -211,7 +211,7 @@
 
 // observe wraps an answer so that the learner records its cost at the end. A sample of the
 // answers whose rating no decision depends on is also rated in the background.
-func (wk *stageRunner) observe(ctx context.Context, ans core.Answer, de cascade.Decision, pos cascade.Place) core.Answer {
+func (wk *stageRunner) observe(ctx context.Context, ans core.Answer, de cascade.Decision, pos cascade.Position) core.Answer {
 	st, jd := wk.plan.Stages[de.Stage], wk.dis.eval
 	share := jd.guard.RateShare(st.Target)
 	if wk.qu != nil {
@@ -233,20 +233,20 @@
 
 // recordAnswer records the cost and duration of a complete answer with the learner. It returns
 // the function that receives its rating, if the answer is rated.
-func (wk *stageRunner) recordAnswer(de cascade.Decision, pos cascade.Place, paid core.Millicents, took time.Duration, share float64) func(core.Quality) {
+func (wk *stageRunner) recordAnswer(de cascade.Decision, pos cascade.Position, paid core.Millicents, took time.Duration, share float64) func(core.Quality) {
 	if wk.qu == nil {
 		return nil
 	}
 	le, now := wk.dis.eval.learner, time.Now()
-	le.Ran(now, wk.qu, de.Stage, paid, took)
+	le.RecordRun(now, wk.qu, de.Stage, paid, took)
 	if !de.Final {
 		return nil
 	}
 	expected := le.Expected(now, wk.qu, de.Stage, pos)
-	le.Done(wk.qu, expected, now.Sub(wk.began))
+	le.RecordResult(wk.qu, expected, now.Sub(wk.began))
 	return func(got core.Quality) {
-		le.Rated(time.Now(), wk.qu, de.Stage, pos, got)
-		le.Sampled(wk.qu, expected, got, share)
+		le.RecordRating(time.Now(), wk.qu, de.Stage, pos, got)
+		le.RecordSampledRating(wk.qu, expected, got, share)
 	}
 }
 
@@ -259,7 +259,7 @@
 	out, jd, pos := wk.out, wk.dis.eval, wk.position()
 	got, ok := jd.await(ctx, ratingJob{
 		target: out.Target, prompt: wk.rq.Prompt, answer: out.buffered.Bytes(),
-		learn: func(got core.Quality) { jd.learner.Rated(time.Now(), wk.qu, de.Stage, pos, got) },
+		learn: func(got core.Quality) { jd.learner.RecordRating(time.Now(), wk.qu, de.Stage, pos, got) },
 	})
 	if err := ctx.Err(); err != nil {
 		return false, de, core.Lost("the caller is gone or its deadline has passed")
@@ -272,7 +272,7 @@
 		got = jd.learner.Expected(now, wk.qu, de.Stage, pos)
 	}
 	if !more {
-		jd.learner.Done(wk.qu, got, now.Sub(wk.began))
+		jd.learner.RecordResult(wk.qu, got, now.Sub(wk.began))
 		return false, de, nil
 	}
 	wk.saved = &savedAnswer{out.ans, out.buffered, len(out.lines), out.Target, out.Repinned, got}
@@ -282,7 +282,7 @@
 // decideUnrated decides on an answer without a rating in time, by the declared quality of its
 // stage.
 func (wk *stageRunner) decideUnrated(de cascade.Decision) (cascade.Decision, bool) {
-	if wk.qu.Stages[de.Stage].Declared >= wk.qu.Target {
+	if wk.qu.Stages[de.Stage].DeclaredQuality >= wk.qu.Target {
 		return de, false
 	}
 	next := wk.qu.Fallback()
@@ -299,7 +299,7 @@
 	out.ans, out.buffered, out.ended = ke.ans, ke.buffered, true
 	out.lines = out.lines[:ke.lines]
 	out.Target, out.Repinned = ke.target, ke.repinned
-	wk.dis.eval.learner.Done(wk.qu, ke.quality, time.Since(wk.began))
+	wk.dis.eval.learner.RecordResult(wk.qu, ke.quality, time.Since(wk.began))
 	return true
 }
 
--- a/core/dispatch/chat_test.go
+++ b/core/dispatch/chat_test.go
@@ -214,7 +214,7 @@
 		t.Run(sc.testName, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				inf, gu := inForce(t, ro), rollout.New()
-				gu.Follow(inf.Current())
+				gu.Apply(inf.Current())
 				dis := dispatch.New(core.NewDeps(), inf, &upstreams{}, &rater{rates: map[core.ModelID]core.Quality{"desk": 1}}, &billRecorder{}, dispatch.Guard(gu))
 				for i := 0; sc.halt && i < 200; i++ {
 					gu.Observe(rollout.Outcome{Version: core.ModelVersion{Model: "desk", Version: "v1"}, Kind: rollout.Rating})
@@ -236,13 +236,13 @@
 // the bad version.
 func TestHaltAppliesToWaitingRequest(t *testing.T) {
 	inf, gu := inForce(t, declaration.RollOut{Model: "desk", Version: "v2", Percent: 50}), rollout.New()
-	gu.Follow(inf.Current())
+	gu.Apply(inf.Current())
 	dis := dispatch.New(core.NewDeps(), inf, &upstreams{}, &rater{}, &billRecorder{}, dispatch.Guard(gu))
 	rq := &dispatch.Request{ID: "r1", Workspace: "ws", Model: "desk", Session: routing.Session{Draw: 0.1}}
 	first, err := dis.First(rq)
 	assert.NilError(t, err)
 	assert.Equal(t, first.Version, core.VersionID("v2"))
-	assert.Assert(t, gu.Heed(rollout.Halt{Version: first}, inf.Number()))
+	assert.Assert(t, gu.AdoptHalt(rollout.Halt{Version: first}, inf.Number()))
 	out, err := dis.Chat(t.Context(), rq)
 	assert.NilError(t, err)
 	defer out.Close()
@@ -254,7 +254,7 @@
 func TestSingleModelAnswersAreRatedInBackground(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		inf, gu := inForce(t, declaration.RollOut{Model: "desk", Version: "v2", Percent: 50}), rollout.New()
-		gu.Follow(inf.Current())
+		gu.Apply(inf.Current())
 		ra := &byVersion{}
 		dis := dispatch.New(core.NewDeps(), inf, &upstreams{}, ra, &billRecorder{}, dispatch.Guard(gu))
 		exposed := 0
--- a/core/dispatch/dispatch.go
+++ b/core/dispatch/dispatch.go
@@ -69,7 +69,7 @@
 	for _, opt := range opts {
 		opt(dis)
 	}
-	dis.ups = rollout.Watch(ups, dis.eval.guard)
+	dis.ups = rollout.ObserveAttempts(ups, dis.eval.guard)
 	return dis
 }
 
--- a/core/dispatch/judge.go
+++ b/core/dispatch/judge.go
@@ -17,7 +17,7 @@
 	deps    core.Deps
 	rater   core.Rater
 	learner *cascade.Learner
-	health  *cascade.Health
+	health  *cascade.RaterHealth
 	guard   *rollout.Guard
 	// foreground and background are semaphores that limit the ratings in flight: of answers that a
 	// caller waits for, and of all others. They are separate so that background ratings cannot
@@ -45,7 +45,7 @@
 
 func newEvaluator(deps core.Deps, ra core.Rater) *evaluator {
 	return &evaluator{
-		deps: deps, rater: ra, learner: cascade.NewLearner(), health: &cascade.Health{}, guard: rollout.New(),
+		deps: deps, rater: ra, learner: cascade.NewLearner(), health: &cascade.RaterHealth{}, guard: rollout.New(),
 		foreground: make(chan struct{}, maxForeground), background: make(chan struct{}, maxBackground),
 	}
 }
@@ -80,9 +80,9 @@
 		}
 		now := time.Now()
 		if now.Sub(began) <= ratingWait {
-			jd.health.Note(now, true)
+			jd.health.Record(now, true)
 		}
-		jd.guard.Observe(rollout.Outcome{Version: sp.target, Kind: rollout.Rating, Bad: got < rollout.GoodFrom, At: now})
+		jd.guard.Observe(rollout.Outcome{Version: sp.target, Kind: rollout.Rating, Bad: got < rollout.MinGoodRating, At: now})
 		if sp.learn != nil {
 			sp.learn(got)
 		}
@@ -109,7 +109,7 @@
 	case <-ctx.Done():
 		return 0, false
 	}
-	if jd.health.Note(time.Now(), false) {
+	if jd.health.Record(time.Now(), false) {
 		event.Log(jd.deps.Log, event.RatingsAway)
 	}
 	return 0, false
--- a/core/dispatch/placer.go
+++ b/core/dispatch/placer.go
@@ -74,7 +74,7 @@
 		cands = preferred(*rq.claim, cands, tried)
 	}
 	return pl.pk.Pick(time.Now(), placement.Request{
-		Pool: poolOf(at), Prefix: placement.Prefix(rq.Prompt), Body: len(rq.Body), Cross: rq.Crossing, Tried: tried,
+		Pool: poolOf(at), Prefix: placement.Prefix(rq.Prompt), Body: len(rq.Body), CrossRegion: rq.Crossing, Tried: tried,
 	}, cands, pl.draw)
 }
 
@@ -86,17 +86,17 @@
 func (pl *sharedPicker) send(ctx context.Context, ups core.Upstreams, ch placement.Choice, at *core.Attempt) (core.Answer, error) {
 	sent := time.Now()
 	pl.mu.Lock()
-	pl.pk.Sent(sent, ch.ID)
+	pl.pk.RecordSent(sent, ch.ID)
 	pl.mu.Unlock()
 	ans, err := ups.Dispatch(ctx, ch.ID, at)
 	pl.mu.Lock()
 	defer pl.mu.Unlock()
 	if err != nil {
-		pl.pk.Failed(time.Now(), ch.ID)
+		pl.pk.RecordFailure(time.Now(), ch.ID)
 		return nil, err
 	}
 	now := time.Now()
-	pl.pk.Heard(now, poolOf(at), ch.ID, sent)
+	pl.pk.RecordFirstPiece(now, poolOf(at), ch.ID, sent)
 	return &measuredAnswer{Answer: ans, pl: pl, po: poolOf(at), ch: ch, sent: sent, began: now}, nil
 }
 
@@ -116,9 +116,9 @@
 	data, err := wa.Answer.Next()
 	wa.pieces++
 	switch {
-	case err == nil && wa.ch.Crossing:
+	case err == nil && wa.ch.CrossRegion:
 		wa.pl.mu.Lock()
-		wa.pl.pk.Crossed(time.Now(), len(data))
+		wa.pl.pk.ChargeCrossRegion(time.Now(), len(data))
 		wa.pl.mu.Unlock()
 	case errors.Is(err, io.EOF) && wa.po.Whole:
 		if out := int(wa.Usage().Generated); out >= placement.PaceTokens {
@@ -134,17 +134,17 @@
 func (wa *measuredAnswer) recordPieces(took time.Duration, pieces int) {
 	wa.pl.mu.Lock()
 	defer wa.pl.mu.Unlock()
-	wa.pl.pk.Paced(wa.po, wa.ch.ID, took, pieces)
+	wa.pl.pk.RecordPieces(wa.po, wa.ch.ID, took, pieces)
 }
 
 // Room returns the capacity of the upstreams of a model version or plain service, in the local
 // region or, if far is set, in the other regions.
-func (dis *Dispatcher) Room(mv core.ModelVersion, sv core.ServiceID, far bool) placement.Room {
+func (dis *Dispatcher) Room(mv core.ModelVersion, sv core.ServiceID, far bool) placement.Capacity {
 	dis.pl.mu.Lock()
 	defer dis.pl.mu.Unlock()
 	cands := dis.pl.candidates(mv, sv)
 	if far {
-		return dis.pl.pk.FarRoom(time.Now(), cands)
+		return dis.pl.pk.CrossRegionCapacity(time.Now(), cands)
 	}
-	return dis.pl.pk.Room(cands, dis.pl.list.Entries())
+	return dis.pl.pk.Capacity(cands, dis.pl.list.Entries())
 }
--- a/core/dispatch/try.go
+++ b/core/dispatch/try.go
@@ -16,7 +16,7 @@
 func (dis *Dispatcher) try(ctx context.Context, sn *declaration.Snapshot, rq *Request, at core.Attempt, repeatable bool) (core.Answer, *lineItem, error) {
 	at.Request, at.Workspace, at.Generation, at.Body = rq.ID, rq.Workspace, sn.Number, rq.Body
 	at.Priority = rq.Priority
-	tries := retry.NewTries(dis.budget)
+	tries := retry.NewAttempts(dis.budget)
 	var tried []core.UpstreamID
 	var last *core.Failure
 	ran := false
@@ -40,7 +40,7 @@
 		}
 		last = asFailure(err)
 		ran = ran || last.Ran != core.NotRun
-		if ctx.Err() != nil || !tries.Again(last, repeatable) {
+		if ctx.Err() != nil || !tries.MayRetry(last, repeatable) {
 			break
 		}
 	}
--- a/core/tier/tier.go
+++ b/core/escalation/escalation.go
@@ -1,5 +1,5 @@
-// Package tier decides which model of a cascade answers, from the confidence that models report
-// for their own answers.
+// Package escalation decides which model of a cascade answers, from the confidence that models
+// report for their own answers.
 //
 // A cascade begins with its smallest model, which costs next to nothing and answers about half
 // of the requests well. An answer with a low confidence is discarded before the caller receives
@@ -17,11 +17,11 @@
 //
 // # Usage
 //
-//	la := tier.New()
-//	la.Begun(wait, aim)                            // at each first event
+//	la := escalation.New()
+//	la.ObserveWait(wait, aim)                            // at each first event
 //	next, escalate := la.Next(stages, stage, confidence, fits)
-//	la.Climbed(stage, confidence, next, answered)  // the larger model's confidence
-package tier
+//	la.ObserveEscalation(stage, confidence, next, answered)  // the larger model's confidence
+package escalation
 
 import (
 	"time"
@@ -65,9 +65,9 @@
 	maxWeight = 60.0
 )
 
-// Ladder is the escalation policy for all cascades of one service. It is not safe for concurrent
+// Policy is the escalation policy for all cascades of one service. It is not safe for concurrent
 // use.
-type Ladder struct {
+type Policy struct {
 	off      mechanism.Off
 	pressure float64
 	outcomes map[step]*[buckets]successes
@@ -79,32 +79,32 @@
 // successes counts the answers of a larger model, and those among them that sufficed.
 type successes struct{ good, all float64 }
 
-// Option changes a Ladder at construction.
-type Option func(*Ladder)
+// Option changes a Policy at construction.
+type Option func(*Policy)
 
 // Without disables mechanisms.
-func Without(off mechanism.Off) Option { return func(la *Ladder) { la.off = off } }
+func Without(off mechanism.Off) Option { return func(la *Policy) { la.off = off } }
 
-// New returns a Ladder.
-func New(opts ...Option) *Ladder {
-	la := &Ladder{pressure: (lowPressure + highPressure) / 2, outcomes: map[step]*[buckets]successes{}}
+// New returns a Policy.
+func New(opts ...Option) *Policy {
+	la := &Policy{pressure: (lowPressure + highPressure) / 2, outcomes: map[step]*[buckets]successes{}}
 	for _, opt := range opts {
 		opt(la)
 	}
 	return la
 }
 
-// Begun records how long a caller waited for its first event, without the prefill of its own
+// ObserveWait records how long a caller waited for its first event, without the prefill of its own
 // prompt, and the target latency.
-func (la *Ladder) Begun(wait, aim time.Duration) {
+func (la *Policy) ObserveWait(wait, aim time.Duration) {
 	if aim <= 0 {
 		return
 	}
 	la.pressure += newestWeight * (min(float64(wait)/float64(aim), maxWaitTargets) - la.pressure)
 }
 
-// Sure returns the minimum confidence to return an answer now.
-func (la *Ladder) Sure() float64 {
+// Threshold returns the minimum confidence to return an answer now.
+func (la *Policy) Threshold() float64 {
 	if la.off.Has(mechanism.Pressure) {
 		return idleThreshold
 	}
@@ -119,9 +119,9 @@
 // The largest model needs several times the target latency for a very long prompt, and keeps the
 // engine from other requests for as long. Such a request escalates to the largest model that
 // fits; if none does, the present answer is returned.
-func (la *Ladder) Next(stages, stage, confidence int, fits func(to int) bool) (int, bool) {
+func (la *Policy) Next(stages, stage, confidence int, fits func(to int) bool) (int, bool) {
 	last := stages - 1
-	if stage >= last || float64(confidence) >= la.Sure() {
+	if stage >= last || float64(confidence) >= la.Threshold() {
 		return stage, false
 	}
 	for to := stage + 1; to < last; to++ {
@@ -137,9 +137,9 @@
 	return stage, false
 }
 
-// Climbed records the confidence of a larger model's answer after an escalation from a smaller
-// one.
-func (la *Ladder) Climbed(from, confidence, to, answered int) {
+// ObserveEscalation records the confidence of a larger model's answer after an escalation from a
+// smaller one.
+func (la *Policy) ObserveEscalation(from, confidence, to, answered int) {
 	sh := la.successesOf(step{from, to}, confidence)
 	if sh.all >= maxWeight {
 		sh.good *= 1 - 1/maxWeight
@@ -151,7 +151,7 @@
 	}
 }
 
-func (la *Ladder) suffices(st step, confidence int) bool {
+func (la *Policy) suffices(st step, confidence int) bool {
 	if la.off.Has(mechanism.MiddleModels) {
 		return false
 	}
@@ -163,7 +163,7 @@
 	return (sh.good+priorWeight*prior)/(sh.all+priorWeight) >= minSuccessRate
 }
 
-func (la *Ladder) successesOf(st step, confidence int) *successes {
+func (la *Policy) successesOf(st step, confidence int) *successes {
 	row := la.outcomes[st]
 	if row == nil {
 		row = new([buckets]successes)
--- a/core/tier/tier_test.go
+++ b/core/escalation/escalation_test.go
@@ -1,4 +1,4 @@
-package tier_test
+package escalation_test
 
 import (
 	"math/rand/v2"
@@ -7,14 +7,14 @@
 
 	"gotest.tools/v3/assert"
 
-	"skylarkstand/core/tier"
+	"skylarkstand/core/escalation"
 )
 
 func always(int) bool { return true }
 
-func observeWaits(la *tier.Ladder, part float64) {
+func observeWaits(la *escalation.Policy, part float64) {
 	for range 100 {
-		la.Begun(time.Duration(part*float64(4*time.Second)), 4*time.Second)
+		la.ObserveWait(time.Duration(part*float64(4*time.Second)), 4*time.Second)
 	}
 }
 
@@ -22,9 +22,9 @@
 // still escalate to the largest model: all callers would wait, also those whose small answer was
 // good. Once the engines have room, such answers must escalate again.
 func TestThresholdFollowsPressure(t *testing.T) {
-	la := tier.New()
+	la := escalation.New()
 	observeWaits(la, 0.1)
-	idle := la.Sure()
+	idle := la.Threshold()
 	_, escalate := la.Next(2, 0, 45, always)
 	assert.Assert(t, escalate, "a low-confidence answer escalates while the engines have room")
 	observeWaits(la, 1.5)
@@ -32,17 +32,17 @@
 	assert.Assert(t, !escalate, "it is returned under pressure")
 	_, escalate = la.Next(2, 0, 3, always)
 	assert.Assert(t, escalate, "an answer with hardly any confidence still escalates")
-	assert.Assert(t, la.Sure() < idle/3)
+	assert.Assert(t, la.Threshold() < idle/3)
 	observeWaits(la, 0.1)
-	assert.Assert(t, la.Sure() > 0.95*idle)
+	assert.Assert(t, la.Threshold() > 0.95*idle)
 }
 
 // One answer waits for a minute because its engine was lost. Guards against other callers that
 // get answers of smaller models for it.
 func TestOneLateAnswerIsNoPressure(t *testing.T) {
-	la := tier.New()
+	la := escalation.New()
 	observeWaits(la, 0.1)
-	la.Begun(time.Minute, 4*time.Second)
+	la.ObserveWait(time.Minute, 4*time.Second)
 	_, escalate := la.Next(2, 0, 35, always)
 	assert.Assert(t, escalate)
 }
@@ -51,7 +51,7 @@
 // where it was much too low. Choosing it where it fails delays its callers; not choosing it
 // where it suffices costs the engines the largest model's time.
 func TestMiddleModelWhereItSuffices(t *testing.T) {
-	la := tier.New()
+	la := escalation.New()
 	observeWaits(la, 0.1)
 	rnd := rand.New(rand.NewPCG(1, 1))
 	wasted, saved, sufficient := 0, 0, 0
@@ -72,7 +72,7 @@
 		} else {
 			wasted++
 		}
-		la.Climbed(0, confidence, to, answered)
+		la.ObserveEscalation(0, confidence, to, answered)
 	}
 	assert.Assert(t, saved > sufficient*8/10, "the middle model answered %d of the %d requests for which it suffices", saved, sufficient)
 	assert.Assert(t, wasted < 260, "%d escalations to a middle model that did not suffice, of which about 200 where it suffices half of the time", wasted)
@@ -82,7 +82,7 @@
 // from other requests for as long. The largest model that fits must answer, or the present
 // answer is returned.
 func TestModelThatMissesTheTarget(t *testing.T) {
-	la := tier.New()
+	la := escalation.New()
 	observeWaits(la, 0.1)
 	to, escalate := la.Next(3, 0, 5, func(to int) bool { return to < 2 })
 	assert.Assert(t, escalate)
--- a/core/forward/answer.go
+++ b/core/forward/answer.go
@@ -79,7 +79,7 @@
 	fw.mu.Lock()
 	defer fw.mu.Unlock()
 	took := time.Since(jb.ex.Arrived)
-	fw.escalationPolicy(jb.trafficClass()).Begun(max(took-jb.prefillTime, took/2), jb.rt.Aim)
+	fw.escalationPolicy(jb.trafficClass()).ObserveWait(max(took-jb.prefillTime, took/2), jb.rt.TargetLatency)
 }
 
 // Status returns the HTTP status of the answer.
@@ -212,7 +212,7 @@
 	switch {
 	case ans.sentBytes == 0:
 		return false // Nothing was passed on: a retry starts from the beginning.
-	case jb.rt.Repeat != core.Resumable || jb.disabled(mechanism.Resumption):
+	case jb.rt.Retry != core.Resumable || jb.disabled(mechanism.Resumption):
 		jb.noRetryReason = "the route's streams are not resumed"
 		return false
 	case ans.ctx.Err() != nil:
--- a/core/forward/attempt.go
+++ b/core/forward/attempt.go
@@ -109,13 +109,13 @@
 	at.lastPieceAt = now
 	if at.pieces == minRatePieces {
 		ou := at.timing()
-		ou.Going = true
+		ou.Streaming = true
 		at.observe(ou)
 	}
 	fw := at.jb.fw
 	fw.mu.Lock()
 	defer fw.mu.Unlock()
-	fw.picker.Heard(now, at.flight)
+	fw.picker.RecordData(now, at.flight)
 }
 
 func (at *attempt) newCall() *core.Call {
@@ -175,7 +175,7 @@
 	defer fw.mu.Unlock()
 	if at.reply.NotRun || at.reply.Stranger {
 		if at.reply.Load != nil {
-			fw.picker.Reported(at.began, at.flight, *at.reply.Load)
+			fw.picker.RecordReport(at.began, at.flight, *at.reply.Load)
 		}
 		return
 	}
@@ -227,7 +227,7 @@
 	turn, failing := fw.picker.Ended(now, at.flight, out)
 	fw.mu.Unlock()
 	at.reportOutcome(at.canaryOutcome(ve, notItsFault))
-	fw.parts.Canary.Ended(now, jb.ex.Session, at.to)
+	fw.parts.Canary.AttemptEnded(now, jb.ex.Session, at.to)
 	fw.meters.attempt(ve)
 	if ve != taken {
 		event.Log(fw.deps.Log, event.AttemptEnded, "request", jb.ex.ID, "attempt", at.number, "upstream", at.to.ID,
@@ -245,8 +245,8 @@
 
 // canaryOutcome is what the attempt's end says about its upstream's version.
 func (at *attempt) canaryOutcome(ve verdict, notItsFault bool) canary.Outcome {
-	ou := canary.Outcome{Whole: !at.jb.rt.Stream}
-	if ou.Whole {
+	ou := canary.Outcome{SingleChunk: !at.jb.rt.Stream}
+	if ou.SingleChunk {
 		ou = at.timing()
 	}
 	ou.Neutral = notItsFault || ve.notRun()
@@ -256,12 +256,12 @@
 
 // timing returns how long the answer took to begin and the mean time between its pieces.
 func (at *attempt) timing() canary.Outcome {
-	ou := canary.Outcome{Whole: !at.jb.rt.Stream}
+	ou := canary.Outcome{SingleChunk: !at.jb.rt.Stream}
 	if !at.began.IsZero() {
-		ou.First = at.began.Sub(at.sent)
+		ou.TimeToHeader = at.began.Sub(at.sent)
 	}
 	if at.pieces >= minRatePieces {
-		ou.Piece = time.Since(at.began) / time.Duration(at.pieces)
+		ou.ChunkInterval = time.Since(at.began) / time.Duration(at.pieces)
 	}
 	return ou
 }
--- a/core/forward/candidates.go
+++ b/core/forward/candidates.go
@@ -50,27 +50,27 @@
 // fleet. The forwarder's lock is held.
 func (jb *job) upstreams(now time.Time) []core.Host {
 	hosts := jb.fw.parts.Fleet.Serving(jb.service, now, jb.regions())
-	return jb.fw.parts.Warmup.Open(now, hosts, jb.warmup(), func(ho *core.Host) bool { return jb.suspectCold(now, ho) })
+	return jb.fw.parts.Warmup.Available(now, hosts, jb.warmup(), func(ho *core.Host) bool { return jb.suspectCold(now, ho) })
 }
 
 // warmup returns the limits for cold upstreams of the service.
-func (jb *job) warmup() warmup.Bound {
+func (jb *job) warmup() warmup.ColdLimit {
 	if sv := jb.tb.Service(jb.service); sv != nil {
 		return sv.Warmup
 	}
-	return warmup.Bound{}
+	return warmup.ColdLimit{}
 }
 
 // suspectCold reports whether an upstream may have restarted before the store reported it. The
 // forwarder's lock is held.
 func (jb *job) suspectCold(now time.Time, ho *core.Host) bool {
-	return jb.fw.picker.AwayWithin(now, ho, jb.warmup().Duration)
+	return jb.fw.picker.UnreachableWithin(now, ho, jb.warmup().Duration)
 }
 
 // takePermit takes a permit for an attempt at a cold upstream, or returns false when another
 // request took the last one. The forwarder's lock is held.
 func (jb *job) takePermit(now time.Time, ho *core.Host) (*warmup.Permit, bool) {
-	return jb.fw.parts.Warmup.Take(now, ho, jb.warmup(), jb.suspectCold(now, ho))
+	return jb.fw.parts.Warmup.Acquire(now, ho, jb.warmup(), jb.suspectCold(now, ho))
 }
 
 // candidates returns the upstreams from which the version of an attempt is chosen.
--- a/core/forward/fault.go
+++ b/core/forward/fault.go
@@ -42,7 +42,7 @@
 
 // countFailure counts a failed attempt against its upstream.
 func (at *attempt) countFailure(now time.Time) {
-	turn, failing := at.jb.fw.picker.Blame(now, at.flight)
+	turn, failing := at.jb.fw.picker.RecordFailure(now, at.flight)
 	at.logTurn(turn, failed, failing)
 }
 
@@ -53,6 +53,6 @@
 	if at.reply == nil || at.reply.Status != http.StatusGatewayTimeout || !at.bounded {
 		return false
 	}
-	usual := at.jb.fw.picker.Usual(at.rq)
+	usual := at.jb.fw.picker.MeanHeaderTime(at.rq)
 	return usual == 0 || at.left < enoughTimeFactor*usual
 }
--- a/core/forward/world_test.go
+++ b/core/forward/fixture_test.go
@@ -54,11 +54,11 @@
 
 // routes are the routes of the fixture.
 var routes = []route.Route{
-	{ID: "lookup", Prefix: "/lookup/", Repeat: core.Idempotent, MaxAttempts: 2, Aim: 400 * time.Millisecond, Timeout: 3 * time.Second},
-	{ID: "claim", Prefix: "/claim/", MaxAttempts: 1, Aim: 400 * time.Millisecond, Timeout: 3 * time.Second},
-	{ID: "draft", Prefix: "/draft/", Stream: true, Repeat: core.Resumable, MaxAttempts: 3, Aim: 4 * time.Second, Timeout: 20 * time.Second, Gap: 800 * time.Millisecond, Cascade: []core.ModelID{"small", "large"}},
-	{ID: "south", Prefix: "/south/", Repeat: core.Idempotent, MaxAttempts: 2, Aim: 400 * time.Millisecond, Timeout: 3 * time.Second, Regions: core.OnlyRegions(south)},
-	{ID: "chat", Prefix: "/chat/", Stream: true, MaxAttempts: 3, Aim: 4 * time.Second, Timeout: 20 * time.Second, Cascade: []core.ModelID{"small", "large"}},
+	{ID: "lookup", Prefix: "/lookup/", Retry: core.Idempotent, MaxAttempts: 2, TargetLatency: 400 * time.Millisecond, Timeout: 3 * time.Second},
+	{ID: "claim", Prefix: "/claim/", MaxAttempts: 1, TargetLatency: 400 * time.Millisecond, Timeout: 3 * time.Second},
+	{ID: "draft", Prefix: "/draft/", Stream: true, Retry: core.Resumable, MaxAttempts: 3, TargetLatency: 4 * time.Second, Timeout: 20 * time.Second, MaxEventGap: 800 * time.Millisecond, Cascade: []core.ModelID{"small", "large"}},
+	{ID: "south", Prefix: "/south/", Retry: core.Idempotent, MaxAttempts: 2, TargetLatency: 400 * time.Millisecond, Timeout: 3 * time.Second, Regions: core.OnlyRegions(south)},
+	{ID: "chat", Prefix: "/chat/", Stream: true, MaxAttempts: 3, TargetLatency: 4 * time.Second, Timeout: 20 * time.Second, Cascade: []core.ModelID{"small", "large"}},
 }
 
 // newFixture returns a fixture. It must be called inside a synctest bubble.
@@ -93,12 +93,12 @@
 	}
 	deps := core.NewDeps()
 	deps.Log = slog.New(slog.NewJSONHandler(&wo.log, nil))
-	wo.fw = forward.New(deps, wo, forward.Parts{
+	wo.fw = forward.New(deps, wo, forward.Components{
 		InForce: wo.inf, Fleet: wo.fl, Warmup: warmup.New("self"), Canary: canary.New(),
-		Age:      func() time.Duration { return wo.age },
-		Repeats:  func() *retry.Window { return retry.NewWindow(10*time.Second, 1, func() float64 { return 20 }) },
-		Stopping: func() (time.Duration, bool) { return wo.left, wo.left > 0 },
-	}, forward.Draw(func() float64 { return 0.5 }))
+		ConfigAge:      func() time.Duration { return wo.age },
+		NewRetryWindow: func() *retry.Window { return retry.NewWindow(10*time.Second, 1, func() float64 { return 20 }) },
+		Stopping:       func() (time.Duration, bool) { return wo.left, wo.left > 0 },
+	}, forward.RandomSource(func() float64 { return 0.5 }))
 	return wo
 }
 
--- a/core/forward/forward.go
+++ b/core/forward/forward.go
@@ -9,26 +9,27 @@
 	"skylarkstand/core"
 	"skylarkstand/core/balance"
 	"skylarkstand/core/canary"
+	"skylarkstand/core/escalation"
 	"skylarkstand/core/fleet"
 	"skylarkstand/core/mechanism"
 	"skylarkstand/core/retry"
 	"skylarkstand/core/route"
 	"skylarkstand/core/shed"
-	"skylarkstand/core/tier"
 	"skylarkstand/core/warmup"
 )
 
-// Parts are the components that a Forwarder decides by.
-type Parts struct {
+// Components are the components that a Forwarder decides by.
+type Components struct {
 	InForce *route.InForce
 	Fleet   *fleet.Fleet
 	Canary  *canary.Guard
 	// Warmup limits the requests to cold upstreams.
 	Warmup *warmup.Tracker
-	// Age returns the time since the entry's configuration was last confirmed to be the newest.
-	Age func() time.Duration
-	// Repeats returns a new retry window for a service.
-	Repeats func() *retry.Window
+	// ConfigAge returns the time since the entry's configuration was last confirmed to be the
+	// newest.
+	ConfigAge func() time.Duration
+	// NewRetryWindow returns a new retry window for a service.
+	NewRetryWindow func() *retry.Window
 	// Stopping returns how long the process still serves. It reports false until a planned stop
 	// has lasted long enough to be noticed outside. Nil means that the process never stops.
 	Stopping func() (left time.Duration, stopping bool)
@@ -40,7 +41,7 @@
 type Forwarder struct {
 	deps   core.Deps
 	access core.Access
-	parts  Parts
+	parts  Components
 	draw   func() float64
 	// started is when the process began to run.
 	started time.Time
@@ -48,7 +49,7 @@
 	mu                 sync.Mutex
 	picker             *balance.Picker
 	retryWindows       map[core.ServiceID]*retry.Window
-	escalationPolicies map[trafficClass]*tier.Ladder
+	escalationPolicies map[trafficClass]*escalation.Policy
 	admissionGates     map[trafficClass]*shed.Gate
 	meters             meters
 	// sentSignal wakes the goroutine that announces sent work to sibling entries.
@@ -58,16 +59,16 @@
 // Option changes a Forwarder at construction.
 type Option func(*Forwarder)
 
-// Draw sets the source of random numbers in [0, 1) for choices of upstreams and versions. It is
-// called with a lock held.
-func Draw(fn func() float64) Option { return func(fw *Forwarder) { fw.draw = fn } }
+// RandomSource sets the source of random numbers in [0, 1) for choices of upstreams and versions.
+// It is called with a lock held.
+func RandomSource(fn func() float64) Option { return func(fw *Forwarder) { fw.draw = fn } }
 
 // New returns a Forwarder.
-func New(deps core.Deps, access core.Access, pa Parts, opts ...Option) *Forwarder {
+func New(deps core.Deps, access core.Access, pa Components, opts ...Option) *Forwarder {
 	fw := &Forwarder{
 		deps: deps, access: access, parts: pa, draw: rand.Float64, started: time.Now(),
 		picker: balance.New(deps.Zone, deps.Region, balance.Without(pa.Off)), retryWindows: map[core.ServiceID]*retry.Window{},
-		escalationPolicies: map[trafficClass]*tier.Ladder{}, admissionGates: map[trafficClass]*shed.Gate{}, sentSignal: make(chan struct{}, 1),
+		escalationPolicies: map[trafficClass]*escalation.Policy{}, admissionGates: map[trafficClass]*shed.Gate{}, sentSignal: make(chan struct{}, 1),
 		meters: newMeters(deps.Metrics),
 	}
 	for _, opt := range opts {
@@ -118,35 +119,35 @@
 		return nil, fw.unknownFailure(core.CodeUnknownRoute, "no route leads there")
 	}
 	jb := &job{fw: fw, ex: ex, tb: tb, rt: rt, priority: rt.Priority}
-	if !rt.Public && tb.Keyed() {
+	if !rt.Public && tb.RequiresKey() {
 		ws := tb.Workspace(ex.Key)
 		if ws == nil {
 			return nil, fw.unknownFailure(core.CodeUnauthorized, "the key belongs to no workspace")
 		}
 		jb.ws, jb.workspace = ws, ws.ID
-		if ws.Ranked {
+		if ws.HasPriority {
 			jb.priority = ws.Priority
 		}
 	}
 	if fl := fw.checkStopping(rt); fl != nil {
 		return nil, fl
 	}
-	jb.service = rt.Choose(fw.splitPoint(ex))
+	jb.service = rt.ChooseService(fw.splitPoint(ex))
 	if fl := jb.checkServable(time.Now()); fl != nil {
 		return nil, fl
 	}
 	if fl := fw.checkOverload(jb); fl != nil {
 		return nil, fl
 	}
-	if !rt.Repeat.Repeatable() {
+	if !rt.Retry.Repeatable() {
 		// Work that may run only once cannot be escalated, so the largest model runs it.
 		jb.stage = max(len(rt.Cascade)-1, 0)
 	}
 	return jb, nil
 }
 
-// Restart is the time from the end of a process to the readiness of its replacement.
-const Restart = time.Second
+// RestartTime is the time from the end of a process to the readiness of its replacement.
+const RestartTime = time.Second
 
 // checkStopping refuses requests that might not finish before this process stops. Callers reach
 // a stopping process only when no other entry is available, as when all entries are restarted
@@ -160,7 +161,7 @@
 	if !stopping || !rt.Stream && rt.Timeout > 0 && rt.Timeout < left {
 		return nil
 	}
-	return core.Refuse(core.CodeLeaving, max(left, 0)+Restart, "the process is stopping")
+	return core.Refuse(core.CodeLeaving, max(left, 0)+RestartTime, "the process is stopping")
 }
 
 // checkOverload refuses requests that engines would start too late. Plain services reject excess
@@ -173,9 +174,9 @@
 	now := time.Now()
 	fw.mu.Lock()
 	hosts := jb.upstreams(now)
-	wait := fw.picker.Wait(now, hosts)
-	retryAfter, ok := fw.admissionGate(jb.trafficClass()).Offer(now, shed.Request{
-		Wait: wait, Aim: sv.Aim(), Workspace: jb.workspace, Urgent: jb.priority <= sv.First(), Draw: fw.draw(),
+	wait := fw.picker.MinWait(now, hosts)
+	retryAfter, ok := fw.admissionGate(jb.trafficClass()).Admit(now, shed.Request{
+		Wait: wait, Target: sv.TargetLatency(), Workspace: jb.workspace, Urgent: jb.priority <= sv.MinPriority(), Draw: fw.draw(),
 	})
 	fw.mu.Unlock()
 	if ok {
@@ -193,7 +194,7 @@
 // configurations may still be on their way here, the refusal is not final: a caller with a new
 // key would otherwise give up for good.
 func (fw *Forwarder) unknownFailure(code core.Code, text string) *core.Failure {
-	if age := fw.parts.Age(); age > staleConfigAge {
+	if age := fw.parts.ConfigAge(); age > staleConfigAge {
 		return core.Refuse(core.CodeStaleConfig, shortRetryAfter, "%s, by a configuration that was confirmed %s ago", text, age.Round(time.Millisecond))
 	}
 	return core.Refuse(code, 0, "%s", text)
@@ -203,7 +204,7 @@
 // route that is split between services keeps sessions together.
 func (fw *Forwarder) splitPoint(ex *core.Exchange) float64 {
 	if ex.Session != "" {
-		return canary.Place(ex.Session)
+		return canary.SessionFraction(ex.Session)
 	}
 	return rand.Float64()
 }
@@ -217,12 +218,12 @@
 
 // retryWindow returns the retry budget of a service. The caller holds the lock.
 func (fw *Forwarder) retryWindow(sv core.ServiceID) *retry.Window {
-	return getOrCreate(fw.retryWindows, sv, fw.parts.Repeats)
+	return getOrCreate(fw.retryWindows, sv, fw.parts.NewRetryWindow)
 }
 
 // escalationPolicy returns the choice of models for a traffic class. The caller holds the lock.
-func (fw *Forwarder) escalationPolicy(tc trafficClass) *tier.Ladder {
-	return getOrCreate(fw.escalationPolicies, tc, func() *tier.Ladder { return tier.New(tier.Without(fw.parts.Off)) })
+func (fw *Forwarder) escalationPolicy(tc trafficClass) *escalation.Policy {
+	return getOrCreate(fw.escalationPolicies, tc, func() *escalation.Policy { return escalation.New(escalation.Without(fw.parts.Off)) })
 }
 
 // getOrCreate returns the value under a key, and creates it at its first use.
@@ -233,22 +234,22 @@
 	return values[key]
 }
 
-// Gone drops the state of an upstream that left.
-func (fw *Forwarder) Gone(id core.UpstreamID) {
+// Forget drops the state of an upstream that left.
+func (fw *Forwarder) Forget(id core.UpstreamID) {
 	fw.mu.Lock()
 	defer fw.mu.Unlock()
 	fw.picker.Forget(id)
 }
 
-// Holds records the prompts in an upstream's prefix cache. It implements recall's Learner.
-func (fw *Forwarder) Holds(ho core.Host, held []core.Held) {
+// RecordCached records the prompts in an upstream's prefix cache. It implements prefixsync's Learner.
+func (fw *Forwarder) RecordCached(ho core.Host, held []core.Held) {
 	fw.mu.Lock()
 	defer fw.mu.Unlock()
-	fw.picker.Holds(time.Now(), ho, held)
+	fw.picker.RecordCached(time.Now(), ho, held)
 }
 
-// RepeatsLeft returns the retries left in this entry's budget, by service.
-func (fw *Forwarder) RepeatsLeft() map[core.ServiceID]float64 {
+// RetriesLeft returns the retries left in this entry's budget, by service.
+func (fw *Forwarder) RetriesLeft() map[core.ServiceID]float64 {
 	fw.mu.Lock()
 	defer fw.mu.Unlock()
 	out := make(map[core.ServiceID]float64, len(fw.retryWindows))
@@ -264,5 +265,5 @@
 	hosts := fw.parts.Fleet.Serving(sv, now, core.Regions{})
 	fw.mu.Lock()
 	defer fw.mu.Unlock()
-	return fw.picker.Avoided(now, hosts)
+	return fw.picker.CountAvoided(now, hosts)
 }
--- /dev/null
+++ b/core/forward/gossip.go
@@ -0,0 +1,97 @@
+package forward
+
+import (
+	"time"
+
+	"skylarkstand/core/balance"
+	"skylarkstand/core/mechanism"
+)
+
+// TakeFacts returns what this entry has found out about upstreams since the last call.
+func (fw *Forwarder) TakeFacts() []balance.Fact {
+	fw.mu.Lock()
+	defer fw.mu.Unlock()
+	return fw.picker.TakeFacts(time.Now())
+}
+
+// ReceiveFacts processes what a sibling entry has found out about upstreams.
+func (fw *Forwarder) ReceiveFacts(facts []balance.Fact) {
+	fw.mu.Lock()
+	defer fw.mu.Unlock()
+	fw.picker.ReceiveFacts(time.Now(), facts)
+}
+
+// SentSignal returns a channel that receives whenever TakeCalls has something to return.
+func (fw *Forwarder) SentSignal() <-chan struct{} { return fw.sentSignal }
+
+// TakeCalls returns the work that was sent to upstreams since the last call.
+func (fw *Forwarder) TakeCalls() []balance.Share {
+	fw.mu.Lock()
+	defer fw.mu.Unlock()
+	return fw.picker.TakeCalls()
+}
+
+// ReceiveCalls processes the work that a sibling entry has just sent.
+func (fw *Forwarder) ReceiveCalls(from uint64, sent []balance.Share) {
+	fw.mu.Lock()
+	defer fw.mu.Unlock()
+	fw.picker.ReceiveCalls(time.Now(), from, sent)
+}
+
+// RegionLoad returns the load report for entries of other regions, which lists at most so many
+// upstreams one by one.
+func (fw *Forwarder) RegionLoad(most int) balance.RegionLoad {
+	fw.mu.Lock()
+	defer fw.mu.Unlock()
+	return fw.picker.RegionLoad(time.Now(), most)
+}
+
+// TakeRemoteCalls returns the work that was sent to other regions since the last call.
+func (fw *Forwarder) TakeRemoteCalls() []balance.RemoteCalls {
+	fw.mu.Lock()
+	defer fw.mu.Unlock()
+	return fw.picker.TakeRemoteCalls()
+}
+
+// ReceiveRemoteCalls processes the work that an entry of another region has just sent to this
+// region.
+func (fw *Forwarder) ReceiveRemoteCalls(sent balance.RemoteCalls) {
+	fw.mu.Lock()
+	defer fw.mu.Unlock()
+	fw.picker.ReceiveRemoteCalls(time.Now(), sent)
+}
+
+// ReceiveRegionLoad processes a load report of an entry of another region.
+func (fw *Forwarder) ReceiveRegionLoad(lo balance.RegionLoad) {
+	fw.mu.Lock()
+	defer fw.mu.Unlock()
+	fw.picker.ReceiveRegionLoad(time.Now(), lo)
+}
+
+// TakeLoad returns this entry's load report for sibling entries: its work at upstreams and its
+// retries left.
+func (fw *Forwarder) TakeLoad() balance.Load {
+	fw.mu.Lock()
+	defer fw.mu.Unlock()
+	lo := fw.picker.TakeLoad()
+	now := time.Now()
+	for sv, wi := range fw.retryWindows {
+		lo.Budgets = append(lo.Budgets, balance.RetryBudget{Service: balance.Hash(sv), Left: wi.Report(now)})
+	}
+	return lo
+}
+
+// ReceiveLoad processes the load report of a sibling entry.
+func (fw *Forwarder) ReceiveLoad(from uint64, lo balance.Load) {
+	fw.mu.Lock()
+	defer fw.mu.Unlock()
+	now := time.Now()
+	fw.picker.ReceiveLoad(now, from, lo)
+	for sv, wi := range fw.retryWindows {
+		for _, bu := range lo.Budgets {
+			if bu.Service == balance.Hash(sv) && !fw.parts.Off.Has(mechanism.LentRepeats) {
+				wi.ReceiveReport(now, from, bu.Left)
+			}
+		}
+	}
+}
--- a/core/forward/job.go
+++ b/core/forward/job.go
@@ -149,7 +149,7 @@
 func (jb *job) mayRetry(ctx context.Context) bool {
 	left, bounded := jb.timeLeft(time.Now())
 	switch {
-	case !jb.rt.Repeat.Repeatable():
+	case !jb.rt.Retry.Repeatable():
 		jb.noRetryReason = "the work may run once only"
 	case jb.runs >= jb.maxAttempts():
 		jb.noRetryReason = "the route's attempts are used up"
@@ -183,7 +183,7 @@
 	return balance.Request{
 		Service: jb.service, Model: jb.model(), Parts: jb.ex.Parts, Prompt: jb.ex.Prompt,
 		Engine: len(jb.ex.Parts) > 0 || jb.ex.Prompt > 0, Pool: jb.rt.ID, Tried: jb.tried,
-		Once: !jb.rt.Repeat.Repeatable(), Slack: jb.slack(),
+		AtMostOnce: !jb.rt.Retry.Repeatable(), Slack: jb.slack(),
 		RemoteOnly: jb.trafficClass().remote,
 	}
 }
@@ -191,10 +191,10 @@
 // slack is the time left to the target latency of the first event, or 0 without a target. It is
 // at least minTimeLeft, also for a request that is already late.
 func (jb *job) slack() time.Duration {
-	if jb.rt.Aim <= 0 {
+	if jb.rt.TargetLatency <= 0 {
 		return 0
 	}
-	return max(jb.rt.Aim-time.Since(jb.ex.Arrived), minTimeLeft)
+	return max(jb.rt.TargetLatency-time.Since(jb.ex.Arrived), minTimeLeft)
 }
 
 // beginAttempt chooses the upstream of the next attempt.
@@ -205,7 +205,7 @@
 		return nil, jb.failure(core.CodeDeadline, shortRetryAfter, "the time was up before an upstream was asked")
 	}
 	fw, rq := jb.fw, jb.request()
-	hosts := fw.parts.Canary.Choose(now, jb.service, jb.ex.Session, fw.draw(), jb.candidates(now), fw.parts.Age() < staleConfigAge)
+	hosts := fw.parts.Canary.Choose(now, jb.service, jb.ex.Session, fw.draw(), jb.candidates(now), fw.parts.ConfigAge() < staleConfigAge)
 	fw.mu.Lock()
 	ho, pe, ok := jb.pickUpstream(now, hosts, rq)
 	if !ok {
@@ -214,9 +214,9 @@
 	}
 	at := &attempt{jb: jb, to: ho, rq: rq, sent: now, after: after, left: left, bounded: bounded, permit: pe}
 	at.flight = fw.picker.Sent(now, ho, rq)
-	at.prefillWait = at.flight.Read()
-	jb.prefillTime += at.flight.Cost()
-	at.headerTimeout = headerTimeout(jb.rt, fw.picker.Usual(rq), at.prefillWait, left)
+	at.prefillWait = at.flight.PendingPrefill()
+	jb.prefillTime += at.flight.PrefillTime()
+	at.headerTimeout = headerTimeout(jb.rt, fw.picker.MeanHeaderTime(rq), at.prefillWait, left)
 	at.queueRank = balance.Rank(jb.priority, jb.rankingCost(at), fw.draw())
 	retriesLeft := fw.retryWindow(jb.service).Left(now, retry.Retry)
 	fw.mu.Unlock()
@@ -224,7 +224,7 @@
 	case fw.sentSignal <- struct{}{}:
 	default:
 	}
-	fw.parts.Canary.Sent(now, jb.ex.Session, ho)
+	fw.parts.Canary.AttemptSent(now, jb.ex.Session, ho)
 	jb.tried = append(jb.tried, ho.ID)
 	jb.sends++
 	jb.runs++
@@ -259,7 +259,7 @@
 	if jb.disabled(mechanism.LengthRanks) {
 		return 0
 	}
-	return at.flight.Cost()
+	return at.flight.PrefillTime()
 }
 
 // backoff is the Retry-After of refused requests: short, but with jitter, so that callers that
@@ -285,7 +285,7 @@
 func (jb *job) contextFailure(ctx context.Context) *core.Failure {
 	switch code := endCode(ctx); code {
 	case core.CodeLeaving:
-		return jb.failure(code, Restart, "the process ended before an answer came")
+		return jb.failure(code, RestartTime, "the process ended before an answer came")
 	case core.CodeDeadline:
 		return jb.failure(code, shortRetryAfter, "no answer came in time")
 	default:
--- a/core/forward/meters.go
+++ b/core/forward/meters.go
@@ -73,7 +73,7 @@
 	fw.retryWindow(jb.service).Arrived(time.Now())
 }
 
-// NewWindows returns a function that makes the retry window of a service.
-func NewWindows(length time.Duration, ratio float64, slack func() float64) func() *retry.Window {
+// RetryWindows returns a function that makes the retry window of a service.
+func RetryWindows(length time.Duration, ratio float64, slack func() float64) func() *retry.Window {
 	return func() *retry.Window { return retry.NewWindow(length, ratio, slack) }
 }
--- a/core/forward/model.go
+++ b/core/forward/model.go
@@ -42,7 +42,7 @@
 	for stage := len(jb.rt.Cascade) - 1; stage > jb.stage; stage-- {
 		rq := jb.request()
 		rq.Model = jb.rt.Cascade[stage]
-		if fw.picker.KeepsWhole(now, hosts, rq) {
+		if fw.picker.CachesWhole(now, hosts, rq) {
 			jb.stage = stage
 			return
 		}
@@ -65,7 +65,7 @@
 
 // shouldEscalate reports whether a larger model should answer instead.
 func (jb *job) shouldEscalate(re *core.Reply) bool {
-	if !jb.ex.AnyModel || re.Confidence == core.NoConfidence || len(jb.rt.Cascade) < 2 || !jb.rt.Repeat.Repeatable() {
+	if !jb.ex.AnyModel || re.Confidence == core.NoConfidence || len(jb.rt.Cascade) < 2 || !jb.rt.Retry.Repeatable() {
 		return false
 	}
 	fw := jb.fw
@@ -73,11 +73,11 @@
 	defer fw.mu.Unlock()
 	pol := fw.escalationPolicy(jb.trafficClass())
 	if jb.rejected != nil {
-		pol.Climbed(jb.rejected.stage, jb.rejected.confidence, jb.stage, re.Confidence)
+		pol.ObserveEscalation(jb.rejected.stage, jb.rejected.confidence, jb.stage, re.Confidence)
 		jb.rejected = nil
 	}
 	next, escalate := pol.Next(len(jb.rt.Cascade), jb.stage, re.Confidence, jb.meetsTarget)
-	jb.threshold = pol.Sure()
+	jb.threshold = pol.Threshold()
 	switch {
 	case escalate:
 		jb.nextStage = next
@@ -97,7 +97,7 @@
 	rq := jb.request()
 	rq.Model = jb.rt.Cascade[stage]
 	hosts := jb.upstreams(now)
-	return jb.rt.Aim <= 0 || now.Sub(jb.ex.Arrived)+jb.fw.picker.Expect(now, hosts, rq) <= jb.rt.Aim
+	return jb.rt.TargetLatency <= 0 || now.Sub(jb.ex.Arrived)+jb.fw.picker.ExpectedFirstByte(now, hosts, rq) <= jb.rt.TargetLatency
 }
 
 // escalate reports whether the larger model may be called, and moves to its stage.
@@ -108,7 +108,7 @@
 		return false
 	case ctx.Err() != nil:
 		return false
-	case !jb.spendRetry(retry.Climb):
+	case !jb.spendRetry(retry.Escalation):
 		jb.answerReason = reasonNoBudget
 		return false
 	}
--- a/core/forward/start.go
+++ b/core/forward/startup.go
@@ -29,7 +29,7 @@
 	ti := time.NewTimer(left)
 	defer ti.Stop()
 	select {
-	case <-inf.Known():
+	case <-inf.Loaded():
 	case <-ti.C:
 	case <-ctx.Done():
 	}
--- a/core/forward/start_test.go
+++ b/core/forward/startup_test.go
@@ -77,7 +77,7 @@
 				})
 				engine := core.Host{ID: "up-2"}
 				for _, mo := range sc.held {
-					wo.fw.Holds(engine, []core.Held{{Model: mo, Part: parts[0]}, {Model: mo, Part: parts[1]}})
+					wo.fw.RecordCached(engine, []core.Held{{Model: mo, Part: parts[0]}, {Model: mo, Part: parts[1]}})
 				}
 				ans, err := wo.fw.Forward(t.Context(), &core.Exchange{
 					ID: "r1", Host: "a.example", Path: "/draft/1", Method: http.MethodPost, Key: "key", Header: http.Header{},
--- a/core/forward/patience.go
+++ b/core/forward/timeouts.go
@@ -45,14 +45,14 @@
 // lose power with the request in hand. Without a timeout the caller would wait until its
 // deadline. Work that may not run twice has to wait.
 func headerTimeout(rt *route.Route, usual, prefill, left time.Duration) time.Duration {
-	if !rt.Repeat.Repeatable() || rt.Aim <= 0 {
+	if !rt.Retry.Repeatable() || rt.TargetLatency <= 0 {
 		return 0
 	}
 	share := targetShare
 	if rt.Stream {
 		share = streamTargetShare
 	}
-	wait := max(time.Duration(share*float64(rt.Aim)), usualTimeFactor*usual, prefillFactor*prefill)
+	wait := max(time.Duration(share*float64(rt.TargetLatency)), usualTimeFactor*usual, prefillFactor*prefill)
 	if wait > time.Duration(remainingShare*float64(left)) {
 		return 0
 	}
@@ -61,8 +61,8 @@
 
 // stallTimeout returns how long a stream may be silent once it has begun; 0 means no limit.
 func stallTimeout(rt *route.Route) time.Duration {
-	if rt.Repeat != core.Resumable || rt.Gap <= 0 {
+	if rt.Retry != core.Resumable || rt.MaxEventGap <= 0 {
 		return 0
 	}
-	return max(time.Duration(stallGapFactor*float64(rt.Gap)), minStallTimeout)
+	return max(time.Duration(stallGapFactor*float64(rt.MaxEventGap)), minStallTimeout)
 }
--- a/core/forward/judge.go
+++ b/core/forward/verdict.go
@@ -47,9 +47,9 @@
 	case stranger:
 		return balance.Replaced
 	case unreached:
-		return balance.Unreached
+		return balance.Unreachable
 	case absent:
-		return balance.Absent
+		return balance.NotListening
 	default:
 		return balance.Failed
 	}
--- a/core/meter/meter.go
+++ b/core/meter/meter.go
@@ -26,15 +26,15 @@
 	Histogram Kind = "histogram"
 )
 
-// Meter is one metric of the catalogue.
-type Meter struct {
+// Metric is one metric of the catalogue.
+type Metric struct {
 	// Name is in kebab case and ends with the unit, except for plain counts. The metrics
 	// endpoint exposes it with underscores and the prefix "skylarkstand_".
 	Name   string
 	Kind   Kind
 	Labels []string
-	// Meaning describes what is measured.
-	Meaning string
+	// Description describes what is measured.
+	Description string
 	// Alarm is the condition that operators should investigate, or empty.
 	Alarm string
 }
@@ -44,31 +44,31 @@
 var latencyBuckets = tally.MustMakeExponentialDurationBuckets(time.Millisecond, 2, 17)
 
 // Inc increments a counter by one.
-func (me *Meter) Inc(scope tally.Scope, vals ...string) { me.Add(scope, 1, vals...) }
+func (me *Metric) Inc(scope tally.Scope, vals ...string) { me.Add(scope, 1, vals...) }
 
 // Add increments a counter by n.
-func (me *Meter) Add(scope tally.Scope, n int64, vals ...string) {
+func (me *Metric) Add(scope tally.Scope, n int64, vals ...string) {
 	me.tagged(scope, vals).Counter(me.Name).Inc(n)
 }
 
 // Set sets a gauge.
-func (me *Meter) Set(scope tally.Scope, val float64, vals ...string) {
+func (me *Metric) Set(scope tally.Scope, val float64, vals ...string) {
 	me.tagged(scope, vals).Gauge(me.Name).Update(val)
 }
 
 // Record records a duration in a histogram.
-func (me *Meter) Record(scope tally.Scope, took time.Duration, vals ...string) {
+func (me *Metric) Record(scope tally.Scope, took time.Duration, vals ...string) {
 	me.Histogram(scope, vals...).RecordDuration(took)
 }
 
 // Histogram returns the histogram for frequent recording without repeated label lookup.
-func (me *Meter) Histogram(scope tally.Scope, vals ...string) tally.Histogram {
+func (me *Metric) Histogram(scope tally.Scope, vals ...string) tally.Histogram {
 	return me.tagged(scope, vals).Histogram(me.Name, latencyBuckets)
 }
 
 // tagged returns the scope with the label values. It panics if their number is wrong, which
 // is a programming error that any test of the calling code reveals.
-func (me *Meter) tagged(scope tally.Scope, vals []string) tally.Scope {
+func (me *Metric) tagged(scope tally.Scope, vals []string) tally.Scope {
 	if len(vals) != len(me.Labels) {
 		panic(fmt.Sprintf("meter: metric %s needs a value for each of the labels %v, got %d values", me.Name, me.Labels, len(vals)))
 	}
@@ -88,7 +88,7 @@
 	sb.WriteString("# Metrics\n\nGenerated from `core/meter` by `skylarkstand reference metrics`. A process exposes\neach metric as `skylarkstand_` followed by the name below with underscores, histograms with\nthe suffixes `_bucket`, `_sum` and `_count`. All metrics have the label `role`.\n\n")
 	sb.WriteString("| name | kind | labels | description | investigate when |\n| --- | --- | --- | --- | --- |\n")
 	for _, me := range Catalogue() {
-		fmt.Fprintf(&sb, "| `%s` | %s | %s | %s | %s |\n", me.Name, me.Kind, strings.Join(me.Labels, ", "), me.Meaning, me.Alarm)
+		fmt.Fprintf(&sb, "| `%s` | %s | %s | %s | %s |\n", me.Name, me.Kind, strings.Join(me.Labels, ", "), me.Description, me.Alarm)
 	}
 	return sb.String()
 }
--- a/core/placement/crossing.go
+++ b/core/placement/cross_region.go
@@ -3,11 +3,11 @@
 import "time"
 
 const (
-	// MaxCrossing bounds the body, in bytes, of an attempt that goes to another
+	// MaxCrossRegionBody bounds the body, in bytes, of an attempt that goes to another
 	// region because the local one is full. The benefit is one response whatever
 	// the body's size: a floor plan of some megabytes would use as much of the
 	// link's budget as thirty short questions.
-	MaxCrossing = 128 << 10
+	MaxCrossRegionBody = 128 << 10
 	// responseBytes is the part of the budget reserved for an attempt's response:
 	// a few hundred stream events of some hundred and fifty bytes each.
 	responseBytes = 48 << 10
@@ -32,16 +32,16 @@
 	bu.last = now
 }
 
-// MayCross reports whether the link's budget allows one more attempt with a body of
+// HasCrossRegionBudget reports whether the link's budget allows one more attempt with a body of
 // the given size.
-func (pk *Picker) MayCross(now time.Time, body int) bool {
+func (pk *Picker) HasCrossRegionBudget(now time.Time, body int) bool {
 	pk.link.refill(now)
 	return pk.link.rate > 0 && pk.link.level >= min(float64(body+responseBytes), pk.link.rate*linkBurstSeconds)
 }
 
-// Crossed charges the budget for bytes sent or received over the link between
+// ChargeCrossRegion charges the budget for bytes sent or received over the link between
 // regions.
-func (pk *Picker) Crossed(now time.Time, bytes int) {
+func (pk *Picker) ChargeCrossRegion(now time.Time, bytes int) {
 	pk.link.refill(now)
 	pk.link.level -= float64(bytes)
 }
@@ -52,13 +52,13 @@
 // capacity. The budget bounds the cost, and keeps the traffic of the store and of
 // the configuration, which share the link, from queueing behind responses.
 func (pk *Picker) pickCrossRegion(fi *candidateSet, rq Request, draw func(n int) int, maxLoad float64) (Choice, bool) {
-	if fi.remoteCount == 0 || !pk.MayCross(fi.now, rq.Body) {
+	if fi.remoteCount == 0 || !pk.HasCrossRegionBudget(fi.now, rq.Body) {
 		return Choice{}, false
 	}
 	ix, load := pk.twoChoices(fi, fi.remote[:fi.remoteCount], draw, max(maxLoad, freeSlotLoad))
 	if maxLoad > 0 && load > maxLoad {
 		return Choice{}, false
 	}
-	pk.Crossed(fi.now, rq.Body)
-	return Choice{ID: fi.cands[ix].Host.ID, Crossing: true}, true
+	pk.ChargeCrossRegion(fi.now, rq.Body)
+	return Choice{ID: fi.cands[ix].Host.ID, CrossRegion: true}, true
 }
--- a/core/placement/figures_test.go
+++ b/core/placement/figures_test.go
@@ -40,9 +40,9 @@
 		cands[ix] = upstream(fmt.Sprintf("drafter-%d", ix), []core.Zone{"muc-a", "muc-b"}[ix%2], "muc", ix%8)
 		cands[ix].Hash = placement.Hash(cands[ix].Host.ID)
 		cands[ix].Reported = now.Add(-time.Duration(ix) * time.Millisecond)
-		pk.Sent(now, cands[ix].Host.ID)
-		pk.Heard(now.Add(time.Millisecond), po, cands[ix].Host.ID, now)
-		pk.Paced(po, cands[ix].Host.ID, time.Millisecond, 1)
+		pk.RecordSent(now, cands[ix].Host.ID)
+		pk.RecordFirstPiece(now.Add(time.Millisecond), po, cands[ix].Host.ID, now)
+		pk.RecordPieces(po, cands[ix].Host.ID, time.Millisecond, 1)
 	}
 	rnd := rand.New(rand.NewPCG(1, 2))
 	rq := placement.Request{Pool: po, Body: 1000}
--- a/core/placement/slow.go
+++ b/core/placement/outlier.go
@@ -107,8 +107,8 @@
 	}
 }
 
-// Sent records that an attempt was sent to an upstream.
-func (pk *Picker) Sent(now time.Time, id core.UpstreamID) {
+// RecordSent records that an attempt was sent to an upstream.
+func (pk *Picker) RecordSent(now time.Time, id core.UpstreamID) {
 	pe := pk.upstream(id)
 	if pe.pending == 0 {
 		pe.since = now
@@ -116,8 +116,8 @@
 	pe.pending++
 }
 
-// Heard records the first piece of the response to an attempt sent at a given time.
-func (pk *Picker) Heard(now time.Time, po Pool, id core.UpstreamID, sent time.Time) {
+// RecordFirstPiece records the first piece of the response to an attempt sent at a given time.
+func (pk *Picker) RecordFirstPiece(now time.Time, po Pool, id core.UpstreamID, sent time.Time) {
 	pl, pe := pk.pool(po), pk.upstream(id)
 	pe.pending = max(pe.pending-1, 0)
 	pe.since = now
@@ -141,10 +141,10 @@
 	me.val += max(poolSmoothing, 1/float64(me.count)) * (min(val, maxRatio*me.val) - me.val)
 }
 
-// Paced records the time that a number of pieces of a response took after the first.
+// RecordPieces records the time that a number of pieces of a response took after the first.
 // The time to the first piece depends more on an upstream's queue than on its speed:
 // in a full pool, every upstream would look slow.
-func (pk *Picker) Paced(po Pool, id core.UpstreamID, took time.Duration, pieces int) {
+func (pk *Picker) RecordPieces(po Pool, id core.UpstreamID, took time.Duration, pieces int) {
 	pl, pe := pk.pool(po), pk.upstream(id)
 	pace := max(took.Seconds(), 1e-6) / float64(max(pieces, 1))
 	ratio := 1.0
@@ -175,9 +175,9 @@
 	}
 }
 
-// Failed records that an attempt that was sent got no response. It does not affect
+// RecordFailure records that an attempt that was sent got no response. It does not affect
 // the measured speed, since refusals arrive fast.
-func (pk *Picker) Failed(now time.Time, id core.UpstreamID) {
+func (pk *Picker) RecordFailure(now time.Time, id core.UpstreamID) {
 	pe := pk.upstream(id)
 	pe.pending = max(pe.pending-1, 0)
 	pe.since = now
--- a/core/placement/placement.go
+++ b/core/placement/placement.go
@@ -13,9 +13,9 @@
 //
 //	pk := placement.New(zone, region)
 //	ch, ok := pk.Pick(now, placement.Request{Pool: po, Prefix: hash}, cands, rand.IntN)
-//	pk.Sent(now, ch.ID)
-//	pk.Heard(now, po, ch.ID, sent)        // on the first piece of the response
-//	pk.Paced(po, ch.ID, took, pieces)     // after a few more pieces
+//	pk.RecordSent(now, ch.ID)
+//	pk.RecordFirstPiece(now, po, ch.ID, sent)        // on the first piece of the response
+//	pk.RecordPieces(po, ch.ID, took, pieces)     // after a few more pieces
 package placement
 
 import (
@@ -42,9 +42,9 @@
 	Prefix uint64
 	// Body is the size of the request in bytes.
 	Body int
-	// Cross is set if the local region is full and the attempt was admitted to
+	// CrossRegion is set if the local region is full and the attempt was admitted to
 	// another one.
-	Cross bool
+	CrossRegion bool
 	// Tried holds the upstreams to exclude, as earlier attempts went there.
 	Tried []core.UpstreamID
 }
@@ -52,9 +52,9 @@
 // Choice is the picked upstream.
 type Choice struct {
 	ID core.UpstreamID
-	// Crossing is set if the attempt uses the link between regions. The caller
-	// charges the bytes of its response with Crossed.
-	Crossing bool
+	// CrossRegion is set if the attempt uses the link between regions. The caller
+	// charges the bytes of its response with ChargeCrossRegion.
+	CrossRegion bool
 }
 
 // Picker picks upstreams. It is not safe for concurrent use.
@@ -69,21 +69,21 @@
 // Option changes a Picker at construction.
 type Option func(*Picker)
 
-// CrossingBudget sets the bytes per second that this entry may send and
+// CrossRegionBudget sets the bytes per second that this entry may send and
 // receive over the link between regions.
-func CrossingBudget(rate int64) Option {
+func CrossRegionBudget(rate int64) Option {
 	return func(pk *Picker) { pk.link = newBudget(float64(rate)) }
 }
 
-// DefaultCrossing is the default budget of one entry, in bytes per second. The link
+// DefaultCrossRegionBudget is the default budget of one entry, in bytes per second. The link
 // carries 30 Mbit/s, 3.75 MB per second, each way. Half of it is left to the traffic
 // of the store and of the configuration; four entries share the rest.
-const DefaultCrossing = 450 << 10
+const DefaultCrossRegionBudget = 450 << 10
 
 // New returns a picker for an entry in an availability zone and region.
 func New(zo core.Zone, re core.Region, opts ...Option) *Picker {
 	pk := &Picker{zone: zo, region: re, pools: map[Pool]*poolStats{}, upstreams: map[core.UpstreamID]*upstreamStats{}}
-	CrossingBudget(DefaultCrossing)(pk)
+	CrossRegionBudget(DefaultCrossRegionBudget)(pk)
 	for _, opt := range opts {
 		opt(pk)
 	}
@@ -136,7 +136,7 @@
 	if fi.localCount == 0 {
 		return pk.pickCrossRegion(&fi, rq, draw, 0)
 	}
-	if rq.Cross {
+	if rq.CrossRegion {
 		if ch, ok := pk.pickCrossRegion(&fi, rq, draw, freeSlotLoad); ok {
 			return ch, true
 		}
--- a/core/placement/placement_test.go
+++ b/core/placement/placement_test.go
@@ -41,7 +41,7 @@
 		}
 		rnd := rand.New(rand.NewPCG(rapid.Uint64().Draw(rt, "seed"), 0))
 		pk := placement.New("a", "muc")
-		rq := placement.Request{Prefix: rapid.Uint64().Draw(rt, "prefix"), Cross: rapid.Bool().Draw(rt, "cross"), Tried: tried}
+		rq := placement.Request{Prefix: rapid.Uint64().Draw(rt, "prefix"), CrossRegion: rapid.Bool().Draw(rt, "cross"), Tried: tried}
 		ch, ok := pk.Pick(time.Unix(1, 0), rq, cands, rnd.IntN)
 		assert.Equal(rt, ok, len(available) > 0)
 		assert.Assert(rt, !ok || available[ch.ID])
@@ -70,13 +70,13 @@
 		{"the local zone while it has free slots", [3]int{4, 0, 0}, placement.Request{}, "near"},
 		{"the region once the zone is full", [3]int{8, 2, 0}, placement.Request{}, "neighbour"},
 		{"no other region without admission there", [3]int{12, 9, 0}, placement.Request{}, "neighbour"},
-		{"another region if admitted there", [3]int{8, 8, 2}, placement.Request{Cross: true}, "far"},
-		{"not another region that has filled up", [3]int{9, 8, 8}, placement.Request{Cross: true}, "neighbour"},
+		{"another region if admitted there", [3]int{8, 8, 2}, placement.Request{CrossRegion: true}, "far"},
+		{"not another region that has filled up", [3]int{9, 8, 8}, placement.Request{CrossRegion: true}, "neighbour"},
 		{"not an upstream that was tried already", [3]int{0, 0, 0}, placement.Request{Tried: []core.UpstreamID{"near"}}, "neighbour"},
 	}
 	for _, sc := range scenarios {
 		t.Run(sc.testName, func(t *testing.T) {
-			pk := placement.New("a", "muc", placement.CrossingBudget(1<<40))
+			pk := placement.New("a", "muc", placement.CrossRegionBudget(1<<40))
 			got := countPicks(pk, sc.rq, []core.Upstream{
 				upstream("near", "a", "muc", sc.loads[0]), upstream("neighbour", "b", "muc", sc.loads[1]), upstream("far", "c", "nue", sc.loads[2]),
 			})
@@ -90,22 +90,22 @@
 // responses, so that configuration updates are delayed.
 func TestCrossRegionBudget(t *testing.T) {
 	const rate = 100 << 10
-	pk := placement.New("a", "muc", placement.CrossingBudget(rate))
+	pk := placement.New("a", "muc", placement.CrossRegionBudget(rate))
 	cands := []core.Upstream{upstream("far", "c", "nue", 0)}
 	rnd := rand.New(rand.NewPCG(1, 1))
 	sent := 0
 	for step := range 600 {
 		now := time.Unix(1, 0).Add(time.Duration(step) * 100 * time.Millisecond)
 		for range 10 {
-			if ch, ok := pk.Pick(now, placement.Request{Body: 8 << 10, Cross: true}, cands, rnd.IntN); ok && ch.Crossing {
-				pk.Crossed(now, 20<<10)
+			if ch, ok := pk.Pick(now, placement.Request{Body: 8 << 10, CrossRegion: true}, cands, rnd.IntN); ok && ch.CrossRegion {
+				pk.ChargeCrossRegion(now, 20<<10)
 				sent += 28 << 10
 			}
 		}
 	}
 	assert.Assert(t, sent <= 62*rate, "%d bytes crossed regions in a minute", sent)
 	assert.Assert(t, sent >= 50*rate, "%d bytes crossed regions in a minute", sent)
-	_, ok := placement.New("a", "muc", placement.CrossingBudget(0)).Pick(time.Unix(1, 0), placement.Request{}, cands, rnd.IntN)
+	_, ok := placement.New("a", "muc", placement.CrossRegionBudget(0)).Pick(time.Unix(1, 0), placement.Request{}, cands, rnd.IntN)
 	assert.Assert(t, !ok, "an attempt crossed regions without a budget")
 }
 
@@ -142,14 +142,14 @@
 	run := func(pace time.Duration) (toSlow int) {
 		for range 4000 {
 			ch, _ := pk.Pick(now, placement.Request{}, cands, rnd.IntN)
-			pk.Sent(now, ch.ID)
-			pk.Heard(now.Add(time.Millisecond), placement.Pool{}, ch.ID, now)
+			pk.RecordSent(now, ch.ID)
+			pk.RecordFirstPiece(now.Add(time.Millisecond), placement.Pool{}, ch.ID, now)
 			took := 10 * time.Millisecond
 			if ch.ID == "0" {
 				took = pace
 				toSlow++
 			}
-			pk.Paced(placement.Pool{}, ch.ID, took, 1)
+			pk.RecordPieces(placement.Pool{}, ch.ID, took, 1)
 			now = now.Add(20 * time.Millisecond)
 		}
 		return toSlow
@@ -205,9 +205,9 @@
 func TestRoomIsSharedAmongEntries(t *testing.T) {
 	pk := placement.New("a", "muc")
 	cands := []core.Upstream{upstream("1", "a", "muc", 0), upstream("2", "a", "muc", 0)}
-	assert.Equal(t, pk.Room(cands, 2), placement.Room{Places: 16, Slots: 16})
+	assert.Equal(t, pk.Capacity(cands, 2), placement.Capacity{EntrySlots: 16, TotalSlots: 16})
 	cands[0].Load.Running, cands[1].Load.Running = 8, 8
-	assert.Equal(t, pk.Room(cands, 2), placement.Room{Places: 8, Slots: 16})
+	assert.Equal(t, pk.Capacity(cands, 2), placement.Capacity{EntrySlots: 8, TotalSlots: 16})
 	cands[0].Own, cands[0].OwnThen = 8, 8
-	assert.Equal(t, pk.Room(cands, 2), placement.Room{Places: 8, Slots: 16})
+	assert.Equal(t, pk.Capacity(cands, 2), placement.Capacity{EntrySlots: 8, TotalSlots: 16})
 }
--- a/core/placement/subset.go
+++ b/core/placement/subset.go
@@ -55,14 +55,14 @@
 	return slices.Concat(zone[:zoneCount], region[:regionCount], remote[:remoteCount])
 }
 
-// Room is the capacity of a pool.
-type Room struct {
-	// Places is the number of attempts of this entry that the pool can run
-	// concurrently, Slots the number of attempts of all entries.
-	Places, Slots int
+// Capacity is the capacity of a pool.
+type Capacity struct {
+	// EntrySlots is the number of attempts of this entry that the pool can run
+	// concurrently, TotalSlots the number of attempts of all entries.
+	EntrySlots, TotalSlots int
 }
 
-// Room returns the capacity of the local region's candidates, shared by a number of
+// Capacity returns the capacity of the local region's candidates, shared by a number of
 // entries. This entry's places are the slots that other entries leave free, but at
 // least an even share of all slots.
 //
@@ -73,24 +73,24 @@
 // converge.
 //
 // A region without any available upstream uses those of the other regions.
-func (pk *Picker) Room(cands []core.Upstream, entries int) Room {
+func (pk *Picker) Capacity(cands []core.Upstream, entries int) Capacity {
 	free, slots := pk.freeSlots(cands, true)
 	if slots == 0 {
 		free, slots = pk.freeSlots(cands, false)
 	}
 	evenShare := (slots + max(entries, 1) - 1) / max(entries, 1)
-	return Room{Places: max(free, evenShare, 1), Slots: max(slots, 1)}
+	return Capacity{EntrySlots: max(free, evenShare, 1), TotalSlots: max(slots, 1)}
 }
 
-// FarRoom returns the capacity of the other regions' candidates for this entry. It
+// CrossRegionCapacity returns the capacity of the other regions' candidates for this entry. It
 // leaves a quarter of their slots as a reserve for bursts in their own regions. It is
 // zero without link budget.
-func (pk *Picker) FarRoom(now time.Time, cands []core.Upstream) Room {
-	if !pk.MayCross(now, 0) {
-		return Room{}
+func (pk *Picker) CrossRegionCapacity(now time.Time, cands []core.Upstream) Capacity {
+	if !pk.HasCrossRegionBudget(now, 0) {
+		return Capacity{}
 	}
 	free, slots := pk.freeSlots(cands, false)
-	return Room{Places: max(free-int(float64(slots)*(1-remoteMaxLoad)), 0), Slots: slots}
+	return Capacity{EntrySlots: max(free-int(float64(slots)*(1-remoteMaxLoad)), 0), TotalSlots: slots}
 }
 
 func (pk *Picker) freeSlots(cands []core.Upstream, local bool) (free, slots int) {
--- a/core/recall/recall.go
+++ b/core/prefixsync/prefixsync.go
@@ -1,4 +1,4 @@
-// Package recall queries engines for their cached prefixes when an entry starts.
+// Package prefixsync queries engines for their cached prefixes when an entry starts.
 //
 // An entry normally derives the engines' cached prefixes from the requests that it and its
 // siblings have sent. If all entries are lost at once, this state is lost too. A broken
@@ -12,9 +12,9 @@
 //
 // # Usage
 //
-//	du := recall.New(deps, inf, fleet, memory, learner)
+//	du := prefixsync.New(deps, inf, fleet, memory, learner)
 //	sup.Add(du) // ends by itself
-package recall
+package prefixsync
 
 import (
 	"context"
@@ -32,12 +32,12 @@
 
 // Learner records the prefixes cached by engines.
 type Learner interface {
-	// Holds records the prefixes cached by one engine.
-	Holds(ho core.Host, held []core.Held)
+	// RecordCached records the prefixes cached by one engine.
+	RecordCached(ho core.Host, held []core.Held)
 }
 
-// Recaller is the service that queries the engines. It implements suture.Service.
-type Recaller struct {
+// Syncer is the service that queries the engines. It implements suture.Service.
+type Syncer struct {
 	off  mechanism.Off
 	deps core.Deps
 	inf  *route.InForce
@@ -46,15 +46,15 @@
 	le   Learner
 }
 
-// Option configures a Recaller.
-type Option func(*Recaller)
+// Option configures a Syncer.
+type Option func(*Syncer)
 
 // Without disables mechanisms.
-func Without(off mechanism.Off) Option { return func(re *Recaller) { re.off = off } }
+func Without(off mechanism.Off) Option { return func(re *Syncer) { re.off = off } }
 
-// New returns a Recaller that reads cached prefixes from mem and passes them to le.
-func New(deps core.Deps, inf *route.InForce, fl *fleet.Fleet, mem core.Memory, le Learner, opts ...Option) *Recaller {
-	re := &Recaller{deps: deps, inf: inf, fl: fl, mem: mem, le: le}
+// New returns a Syncer that reads cached prefixes from mem and passes them to le.
+func New(deps core.Deps, inf *route.InForce, fl *fleet.Fleet, mem core.Memory, le Learner, opts ...Option) *Syncer {
+	re := &Syncer{deps: deps, inf: inf, fl: fl, mem: mem, le: le}
 	for _, opt := range opts {
 		opt(re)
 	}
@@ -73,25 +73,25 @@
 )
 
 // Serve implements suture.Service.
-func (re *Recaller) Serve(ctx context.Context) error {
+func (re *Syncer) Serve(ctx context.Context) error {
 	if re.off.Has(mechanism.Recall) {
 		return suture.ErrDoNotRestart
 	}
 	select {
 	case <-ctx.Done():
 		return ctx.Err()
-	case <-re.inf.Known():
+	case <-re.inf.Loaded():
 	}
 	re.queryAll(ctx)
 	return suture.ErrDoNotRestart
 }
 
-func (re *Recaller) queryAll(ctx context.Context) {
+func (re *Syncer) queryAll(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
 	var wg sync.WaitGroup
 	sem := make(chan struct{}, maxConcurrent)
-	for _, sv := range re.inf.Current().Engines() {
+	for _, sv := range re.inf.Current().EngineServices() {
 		for _, ho := range re.fl.Serving(sv, time.Now(), core.Regions{}) {
 			if ho.Region != re.deps.Region {
 				continue
@@ -111,13 +111,13 @@
 	wg.Wait()
 }
 
-func (re *Recaller) query(ctx context.Context, ho core.Host) {
+func (re *Syncer) query(ctx context.Context, ho core.Host) {
 	startedAt := time.Now()
 	held, err := re.mem.Held(ctx, ho)
 	if err != nil {
 		event.Log(re.deps.Log, event.MemoryUnknown, "upstream", ho.ID, "error", err)
 		return
 	}
-	re.le.Holds(ho, held)
+	re.le.RecordCached(ho, held)
 	event.Log(re.deps.Log, event.MemoryRecalled, "upstream", ho.ID, "parts", len(held), "took", time.Since(startedAt))
 }
--- a/core/recall/recall_test.go
+++ b/core/prefixsync/prefixsync_test.go
@@ -1,4 +1,4 @@
-package recall_test
+package prefixsync_test
 
 import (
 	"context"
@@ -14,7 +14,7 @@
 
 	"skylarkstand/core"
 	"skylarkstand/core/fleet"
-	"skylarkstand/core/recall"
+	"skylarkstand/core/prefixsync"
 	"skylarkstand/core/route"
 )
 
@@ -37,8 +37,8 @@
 	return []core.Held{{Model: "large", Part: core.Part{ID: string(ho.ID), Tokens: 5000}}}, nil
 }
 
-// Holds implements recall.Learner.
-func (en *engines) Holds(ho core.Host, held []core.Held) {
+// RecordCached implements prefixsync.Learner.
+func (en *engines) RecordCached(ho core.Host, held []core.Held) {
 	en.mu.Lock()
 	defer en.mu.Unlock()
 	en.learned[ho.ID] = held
@@ -54,7 +54,7 @@
 		deps.Region = "near"
 		en := &engines{queries: map[core.UpstreamID]int{}, learned: map[core.UpstreamID][]core.Held{}}
 		ended := make(chan error, 1)
-		go func() { ended <- recall.New(deps, inf, fl, en, en).Serve(t.Context()) }()
+		go func() { ended <- prefixsync.New(deps, inf, fl, en, en).Serve(t.Context()) }()
 		time.Sleep(time.Second)
 		assert.Equal(t, len(en.queries), 0, "no query before the first configuration")
 		for i := range 3 {
--- a/core/inforce/inforce.go
+++ b/core/propagation/propagation.go
@@ -1,11 +1,11 @@
-// Package inforce follows an accepted configuration generation until every listed process
+// Package propagation follows an accepted configuration generation until every listed process
 // has it in force, and reports the progress per availability zone.
 //
 // # Usage
 //
-//	rep := inforce.Follow(ctx, hosts, gen, ask, func(zo inforce.Zone) { fmt.Println(zo) })
+//	rep := propagation.Follow(ctx, hosts, gen, ask, func(zo propagation.ZoneReport) { fmt.Println(zo) })
 //	if len(rep.Missing) > 0 { … }
-package inforce
+package propagation
 
 import (
 	"context"
@@ -17,12 +17,12 @@
 	"skylarkstand/core"
 )
 
-// Ask waits until the process at an address has a generation in force and
+// WaitFunc waits until the process at an address has a generation in force and
 // returns nil, or an error when the context ends first.
-type Ask func(ctx context.Context, addr string, gen core.Generation) error
+type WaitFunc func(ctx context.Context, addr string, gen core.Generation) error
 
-// Zone is the result for one availability zone.
-type Zone struct {
+// ZoneReport is the result for one availability zone.
+type ZoneReport struct {
 	Zone   core.Zone
 	Region core.Region
 	// Entries and Agents are the numbers of processes followed in the zone.
@@ -36,7 +36,7 @@
 
 // Report is the result of Follow.
 type Report struct {
-	Zones   []Zone
+	Zones   []ZoneReport
 	Missing []string
 }
 
@@ -53,7 +53,7 @@
 
 // Follow waits for every listed process that has an address and is not leaving, and calls
 // done for each zone when its last process has the generation or the context has ended.
-func Follow(ctx context.Context, hosts []core.Host, gen core.Generation, ask Ask, done func(Zone)) Report {
+func Follow(ctx context.Context, hosts []core.Host, gen core.Generation, ask WaitFunc, done func(ZoneReport)) Report {
 	startedAt := time.Now()
 	byZone := map[core.Zone][]core.Host{}
 	for _, ho := range hosts {
@@ -76,14 +76,14 @@
 		})
 	}
 	wg.Wait()
-	slices.SortFunc(rep.Zones, func(a, b Zone) int { return strings.Compare(string(a.Zone), string(b.Zone)) })
+	slices.SortFunc(rep.Zones, func(a, b ZoneReport) int { return strings.Compare(string(a.Zone), string(b.Zone)) })
 	slices.Sort(rep.Missing)
 	return rep
 }
 
-func followZone(ctx context.Context, members []core.Host, gen core.Generation, ask Ask) Zone {
+func followZone(ctx context.Context, members []core.Host, gen core.Generation, ask WaitFunc) ZoneReport {
 	sem := make(chan struct{}, maxConcurrent)
-	zo := Zone{Zone: members[0].Zone, Region: members[0].Region}
+	zo := ZoneReport{Zone: members[0].Zone, Region: members[0].Region}
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	for _, ho := range members {
@@ -108,7 +108,7 @@
 
 // awaitGeneration requests one process repeatedly until it has the generation, and returns
 // false if the context ends first.
-func awaitGeneration(ctx context.Context, addr string, gen core.Generation, ask Ask, sem chan struct{}) bool {
+func awaitGeneration(ctx context.Context, addr string, gen core.Generation, ask WaitFunc, sem chan struct{}) bool {
 	for {
 		sem <- struct{}{}
 		reqCtx, cancel := context.WithTimeout(ctx, requestTimeout)
--- a/core/inforce/inforce_test.go
+++ b/core/propagation/propagation_test.go
@@ -1,4 +1,4 @@
-package inforce_test
+package propagation_test
 
 import (
 	"context"
@@ -10,7 +10,7 @@
 	"gotest.tools/v3/assert"
 
 	"skylarkstand/core"
-	"skylarkstand/core/inforce"
+	"skylarkstand/core/propagation"
 )
 
 // Guards against a report of success, or an endless wait, when one zone is unreachable during
@@ -37,7 +37,7 @@
 		ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 		defer cancel()
 		var order []core.Zone
-		rep := inforce.Follow(ctx, hosts, 7, ask, func(zo inforce.Zone) { order = append(order, zo.Zone) })
+		rep := propagation.Follow(ctx, hosts, 7, ask, func(zo propagation.ZoneReport) { order = append(order, zo.Zone) })
 		assert.Equal(t, len(rep.Zones), 3)
 		assert.Equal(t, len(rep.Missing), 300)
 		assert.Equal(t, rep.Zones[0].Entries+rep.Zones[0].Agents, 300)
--- a/core/register/register.go
+++ b/core/registration/registration.go
@@ -1,13 +1,13 @@
-// Package register keeps an entry in the store's list of entries while it runs, by a lease.
+// Package registration keeps an entry in the store's list of entries while it runs, by a lease.
 // From the list, an entry takes the siblings to contact when the store rejects it, and
 // entries determine which of them performs the writes that only one should make. The list
 // is a hint: no correctness guarantee depends on it.
 //
 // # Usage
 //
-//	reg := register.New(deps, store, key, value)
+//	reg := registration.New(deps, store, key, value)
 //	supervisor.Add(reg)
-package register
+package registration
 
 import (
 	"context"
--- a/core/mirror/change_log.go
+++ b/core/replica/change_log.go
@@ -1,4 +1,4 @@
-package mirror
+package replica
 
 import (
 	"slices"
--- a/core/mirror/follow.go
+++ b/core/replica/follow.go
@@ -1,4 +1,4 @@
-package mirror
+package replica
 
 import (
 	"context"
@@ -11,8 +11,8 @@
 	"skylarkstand/core/meter"
 )
 
-// News is the difference between a revision and another entry's replica.
-type News struct {
+// Update is the difference between a revision and another entry's replica.
+type Update struct {
 	// Newer reports whether the other entry's replica is newer than the revision.
 	Newer bool
 	// Items is the other entry's full copy if Whole is set. Otherwise Changes lead from
@@ -29,11 +29,11 @@
 
 // Siblings fetches updates from the other entries.
 type Siblings interface {
-	// Ask returns the most recent update since a revision that another entry has.
-	Ask(ctx context.Context, after core.Revision) (News, error)
-	// AskAt returns the changes since a revision from the entry at an address. It fails
+	// Fetch returns the most recent update since a revision that another entry has.
+	Fetch(ctx context.Context, after core.Revision) (Update, error)
+	// FetchFrom returns the changes since a revision from the entry at an address. It fails
 	// if that entry has dropped some of them from its log.
-	AskAt(ctx context.Context, addr string, after core.Revision) (News, error)
+	FetchFrom(ctx context.Context, addr string, after core.Revision) (Update, error)
 }
 
 // Follower is the service that keeps a replica up to date. It implements suture.Service.
@@ -45,7 +45,7 @@
 // watches the store.
 type Follower struct {
 	deps core.Deps
-	mi   *Mirror
+	mi   *Replica
 	feed core.Feed
 	sibs Siblings
 	// isReader reports whether this entry is one of the readers.
@@ -69,9 +69,9 @@
 // Option configures a Follower.
 type Option func(*Follower)
 
-// Reads sets the function that reports whether the entry is a reader, which watches the
+// IsReader sets the function that reports whether the entry is a reader, which watches the
 // store at all times. By default every entry is one.
-func Reads(fn func() bool) Option { return func(fo *Follower) { fo.isReader = fn } }
+func IsReader(fn func() bool) Option { return func(fo *Follower) { fo.isReader = fn } }
 
 const (
 	// watchWait is how long a watch waits for changes. If the reply with a change is lost,
@@ -102,7 +102,7 @@
 
 // NewFollower returns the service that keeps mi up to date from feed, and from the
 // siblings while feed does not answer.
-func NewFollower(deps core.Deps, mi *Mirror, feed core.Feed, sibs Siblings, opts ...Option) *Follower {
+func NewFollower(deps core.Deps, mi *Replica, feed core.Feed, sibs Siblings, opts ...Option) *Follower {
 	fo := &Follower{
 		deps: deps, mi: mi, feed: feed, sibs: sibs, isReader: func() bool { return true },
 		downSignal: make(chan struct{}, 1), newerSignal: make(chan struct{}, 1), watchSignal: make(chan struct{}, 1),
@@ -237,7 +237,7 @@
 	ctx, cancel := context.WithTimeout(ctx, siblingPollTimeout)
 	defer cancel()
 	requestedAt := time.Now()
-	ne, err := fo.sibs.Ask(ctx, fo.mi.Revision())
+	ne, err := fo.sibs.Fetch(ctx, fo.mi.Revision())
 	if err != nil {
 		meter.SiblingsSilent.Inc(fo.deps.Metrics)
 		return
@@ -246,7 +246,7 @@
 }
 
 // applyUpdate applies an update that another entry sent after requestedAt.
-func (fo *Follower) applyUpdate(ne News, requestedAt time.Time) {
+func (fo *Follower) applyUpdate(ne Update, requestedAt time.Time) {
 	if ne.Doubtful {
 		fo.mu.Lock()
 		fo.doubtUntil = time.Now().Add(doubtPeriod)
