--- a/core/mirror/follow_test.go
+++ b/core/replica/follow_test.go
@@ -1,4 +1,4 @@
-package mirror_test
+package replica_test
 
 import (
 	"context"
@@ -11,7 +11,7 @@
 	"gotest.tools/v3/assert"
 
 	"skylarkstand/core"
-	"skylarkstand/core/mirror"
+	"skylarkstand/core/replica"
 )
 
 // configKey is the key that the tests write.
@@ -120,26 +120,26 @@
 }
 
 // fakeSibling is another entry with its own replica.
-type fakeSibling struct{ mi *mirror.Mirror }
+type fakeSibling struct{ mi *replica.Replica }
 
-func (si fakeSibling) Ask(_ context.Context, after core.Revision) (mirror.News, error) {
+func (si fakeSibling) Fetch(_ context.Context, after core.Revision) (replica.Update, error) {
 	if si.mi == nil {
-		return mirror.News{}, errors.New("no sibling")
+		return replica.Update{}, errors.New("no sibling")
 	}
 	items, rev, confirmedAt := si.mi.Copy("")
-	return mirror.News{Newer: rev > after, Whole: true, Items: items, Revision: rev, Age: time.Since(confirmedAt)}, nil
+	return replica.Update{Newer: rev > after, Whole: true, Items: items, Revision: rev, Age: time.Since(confirmedAt)}, nil
 }
 
-func (si fakeSibling) AskAt(ctx context.Context, _ string, after core.Revision) (mirror.News, error) {
-	return si.Ask(ctx, after)
+func (si fakeSibling) FetchFrom(ctx context.Context, _ string, after core.Revision) (replica.Update, error) {
+	return si.Fetch(ctx, after)
 }
 
 // runFollower runs a follower in a synctest bubble.
-func runFollower(t *testing.T, sh *fakeStore, si mirror.Siblings, test func(mi *mirror.Mirror, fo *mirror.Follower), opts ...mirror.Option) {
+func runFollower(t *testing.T, sh *fakeStore, si replica.Siblings, test func(mi *replica.Replica, fo *replica.Follower), opts ...replica.Option) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		mi := mirror.New()
-		fo := mirror.NewFollower(core.NewDeps(), mi, sh, si, opts...)
+		mi := replica.New()
+		fo := replica.NewFollower(core.NewDeps(), mi, sh, si, opts...)
 		ctx, cancel := context.WithCancel(t.Context())
 		done := make(chan struct{})
 		go func() {
@@ -155,7 +155,7 @@
 }
 
 // assertSecondValue checks that the second value has arrived.
-func assertSecondValue(t *testing.T, mi *mirror.Mirror) {
+func assertSecondValue(t *testing.T, mi *replica.Replica) {
 	t.Helper()
 	it, ok := mi.Get(configKey)
 	assert.Assert(t, ok)
@@ -168,7 +168,7 @@
 	t.Helper()
 	sh := new(fakeStore)
 	sh.put("one")
-	runFollower(t, sh, fakeSibling{}, func(mi *mirror.Mirror, _ *mirror.Follower) {
+	runFollower(t, sh, fakeSibling{}, func(mi *replica.Replica, _ *replica.Follower) {
 		sh.set(func() { fault(sh) })
 		sh.put("two")
 		time.Sleep(within)
@@ -184,7 +184,7 @@
 	for _, silence := range []time.Duration{3 * time.Second, 7 * time.Second, 7300 * time.Millisecond, 9900 * time.Millisecond} {
 		sh := new(fakeStore)
 		sh.put("one")
-		runFollower(t, sh, fakeSibling{}, func(mi *mirror.Mirror, _ *mirror.Follower) {
+		runFollower(t, sh, fakeSibling{}, func(mi *replica.Replica, _ *replica.Follower) {
 			sh.set(func() { sh.silent = true })
 			time.Sleep(silence)
 			sh.set(func() { sh.silent = false })
@@ -207,8 +207,8 @@
 func TestNewerCopyFromSibling(t *testing.T) {
 	sh := new(fakeStore)
 	sh.put("one")
-	other := mirror.New()
-	runFollower(t, sh, fakeSibling{other}, func(mi *mirror.Mirror, fo *mirror.Follower) {
+	other := replica.New()
+	runFollower(t, sh, fakeSibling{other}, func(mi *replica.Replica, fo *replica.Follower) {
 		sh.set(func() { sh.rejecting = true })
 		time.Sleep(4 * time.Second)
 		other.Replace([]core.Item{{Key: configKey, Value: []byte("two"), Revision: 7}}, 7, time.Now())
@@ -228,7 +228,7 @@
 // Guards against a configuration that is replaced by an older one, from a sibling that
 // lags behind or a listing that arrives late.
 func TestOlderCopyIsIgnored(t *testing.T) {
-	mi := mirror.New()
+	mi := replica.New()
 	now := time.Now()
 	mi.Replace([]core.Item{{Key: configKey, Value: []byte("two"), Revision: 9}}, 9, now)
 	assert.Assert(t, !mi.Replace([]core.Item{{Key: configKey, Value: []byte("one"), Revision: 4}}, 8, now))
@@ -242,7 +242,7 @@
 func TestIdleStoreNeedsFewCalls(t *testing.T) {
 	sh := new(fakeStore)
 	sh.put("one")
-	runFollower(t, sh, fakeSibling{}, func(mi *mirror.Mirror, _ *mirror.Follower) {
+	runFollower(t, sh, fakeSibling{}, func(mi *replica.Replica, _ *replica.Follower) {
 		before := mi.Age(time.Now())
 		assert.Assert(t, before < 3*time.Second)
 		for range 600 {
@@ -256,7 +256,7 @@
 // TestSkippedChangesAreMarked guards against a subscriber that takes the changes of a new
 // copy for the complete history.
 func TestSkippedChangesAreMarked(t *testing.T) {
-	mi := mirror.New()
+	mi := replica.New()
 	var got []core.Change
 	mi.Subscribe(func(changes []core.Change) { got = append(got, changes...) })
 	put := func(key string, re core.Revision) core.Change {
--- a/core/mirror/readers.go
+++ b/core/replica/readers.go
@@ -1,4 +1,4 @@
-package mirror
+package replica
 
 import (
 	"context"
@@ -46,8 +46,8 @@
 	return di
 }
 
-// Told processes a digest received from another entry.
-func (fo *Follower) Told(now time.Time, di Digest) {
+// ReceiveDigest processes a digest received from another entry.
+func (fo *Follower) ReceiveDigest(now time.Time, di Digest) {
 	have := fo.mi.Revision()
 	if have == 0 {
 		return // The first copy comes from a listing.
@@ -124,7 +124,7 @@
 	ctx, cancel := context.WithTimeout(ctx, fetchTimeout)
 	defer cancel()
 	requestedAt := time.Now()
-	ne, err := fo.sibs.AskAt(ctx, addr, fo.mi.Revision())
+	ne, err := fo.sibs.FetchFrom(ctx, addr, fo.mi.Revision())
 	if err != nil {
 		return false
 	}
--- a/core/mirror/readers_test.go
+++ b/core/replica/readers_test.go
@@ -1,4 +1,4 @@
-package mirror_test
+package replica_test
 
 import (
 	"context"
@@ -11,54 +11,54 @@
 	"pgregory.net/rapid"
 
 	"skylarkstand/core"
-	"skylarkstand/core/mirror"
+	"skylarkstand/core/replica"
 )
 
 // fakeReader is an entry that watches the store for others.
 type fakeReader struct {
-	mi *mirror.Mirror
+	mi *replica.Replica
 	// unresponsive makes it announce its revision but fail requests.
 	unresponsive bool
 	doubtful     bool
 	requests     int
 }
 
-func (re *fakeReader) Ask(context.Context, core.Revision) (mirror.News, error) {
-	return mirror.News{}, errors.New("unexpected request to an arbitrary sibling")
+func (re *fakeReader) Fetch(context.Context, core.Revision) (replica.Update, error) {
+	return replica.Update{}, errors.New("unexpected request to an arbitrary sibling")
 }
 
-func (re *fakeReader) AskAt(_ context.Context, _ string, after core.Revision) (mirror.News, error) {
+func (re *fakeReader) FetchFrom(_ context.Context, _ string, after core.Revision) (replica.Update, error) {
 	re.requests++
 	if re.unresponsive {
-		return mirror.News{}, errors.New("no answer")
+		return replica.Update{}, errors.New("no answer")
 	}
 	changes, rev, kept := re.mi.Since(after)
 	if !kept {
-		return mirror.News{}, errors.New("the changes are no longer in the log")
+		return replica.Update{}, errors.New("the changes are no longer in the log")
 	}
-	return mirror.News{Newer: rev > after, Changes: changes, Revision: rev, Doubtful: re.doubtful}, nil
+	return replica.Update{Newer: rev > after, Changes: changes, Revision: rev, Doubtful: re.doubtful}, nil
 }
 
 // announce sends the reader's digest repeatedly for the given time.
-func (re *fakeReader) announce(fo *mirror.Follower, du time.Duration) {
+func (re *fakeReader) announce(fo *replica.Follower, du time.Duration) {
 	const every = 250 * time.Millisecond
 	for ; du > 0; du -= every {
-		fo.Told(time.Now(), mirror.Digest{From: "reader", Revision: re.mi.Revision(), Contact: time.Second, Age: time.Second})
+		fo.ReceiveDigest(time.Now(), replica.Digest{From: "reader", Revision: re.mi.Revision(), Contact: time.Second, Age: time.Second})
 		time.Sleep(every)
 	}
 }
 
 // runWithReader runs an entry that relies on a reader.
-func runWithReader(t *testing.T, test func(sh *fakeStore, re *fakeReader, mi *mirror.Mirror, fo *mirror.Follower)) {
+func runWithReader(t *testing.T, test func(sh *fakeStore, re *fakeReader, mi *replica.Replica, fo *replica.Follower)) {
 	t.Helper()
 	sh := new(fakeStore)
 	sh.put("one")
-	re := &fakeReader{mi: mirror.New()}
+	re := &fakeReader{mi: replica.New()}
 	re.mi.Replace(sh.items, sh.rev, time.Now())
-	runFollower(t, sh, re, func(mi *mirror.Mirror, fo *mirror.Follower) {
+	runFollower(t, sh, re, func(mi *replica.Replica, fo *replica.Follower) {
 		re.announce(fo, 4*time.Second)
 		test(sh, re, mi, fo)
-	}, mirror.Reads(func() bool { return false }))
+	}, replica.IsReader(func() bool { return false }))
 }
 
 func secondValue(rev core.Revision) []core.Change {
@@ -67,7 +67,7 @@
 
 // Guards against store calls that grow with the number of entries.
 func TestEntryRelyingOnReadersMakesNoStoreCalls(t *testing.T) {
-	runWithReader(t, func(sh *fakeStore, re *fakeReader, mi *mirror.Mirror, fo *mirror.Follower) {
+	runWithReader(t, func(sh *fakeStore, re *fakeReader, mi *replica.Replica, fo *replica.Follower) {
 		before := sh.watches
 		re.announce(fo, time.Minute)
 		assert.Equal(t, sh.watches, before)
@@ -77,7 +77,7 @@
 
 // Guards against a change that reaches only the readers.
 func TestChangeAnnouncedByReader(t *testing.T) {
-	runWithReader(t, func(sh *fakeStore, re *fakeReader, mi *mirror.Mirror, fo *mirror.Follower) {
+	runWithReader(t, func(sh *fakeStore, re *fakeReader, mi *replica.Replica, fo *replica.Follower) {
 		before := sh.watches
 		re.mi.Apply(secondValue(2), 2, time.Now())
 		re.announce(fo, 250*time.Millisecond)
@@ -90,7 +90,7 @@
 // Guards against an entry that relies on readers which are all gone, cut off from the
 // store, or frozen.
 func TestChangeWithoutReaders(t *testing.T) {
-	runWithReader(t, func(sh *fakeStore, _ *fakeReader, mi *mirror.Mirror, _ *mirror.Follower) {
+	runWithReader(t, func(sh *fakeStore, _ *fakeReader, mi *replica.Replica, _ *replica.Follower) {
 		sh.put("two")
 		time.Sleep(3500 * time.Millisecond)
 		assertSecondValue(t, mi)
@@ -100,7 +100,7 @@
 // Guards against a replica that becomes stale while no reader is left: changes are then
 // delayed and callers with a new key are refused.
 func TestEntryWatchesStoreWithoutReaders(t *testing.T) {
-	runWithReader(t, func(sh *fakeStore, _ *fakeReader, mi *mirror.Mirror, _ *mirror.Follower) {
+	runWithReader(t, func(sh *fakeStore, _ *fakeReader, mi *replica.Replica, _ *replica.Follower) {
 		time.Sleep(5 * time.Second)
 		for range 300 {
 			time.Sleep(100 * time.Millisecond)
@@ -115,10 +115,10 @@
 // Guards against relying on a reader that still announces its revision although the store
 // no longer answers it.
 func TestReaderCutOffFromStore(t *testing.T) {
-	runWithReader(t, func(sh *fakeStore, re *fakeReader, mi *mirror.Mirror, fo *mirror.Follower) {
+	runWithReader(t, func(sh *fakeStore, re *fakeReader, mi *replica.Replica, fo *replica.Follower) {
 		sh.put("two")
 		for range 14 {
-			fo.Told(time.Now(), mirror.Digest{From: "reader", Revision: re.mi.Revision(), Contact: mirror.NoContact})
+			fo.ReceiveDigest(time.Now(), replica.Digest{From: "reader", Revision: re.mi.Revision(), Contact: replica.NoContact})
 			time.Sleep(250 * time.Millisecond)
 		}
 		assertSecondValue(t, mi)
@@ -127,7 +127,7 @@
 
 // Guards against a change that is delayed because the reader announcing it fails requests.
 func TestUnresponsiveReader(t *testing.T) {
-	runWithReader(t, func(sh *fakeStore, re *fakeReader, mi *mirror.Mirror, fo *mirror.Follower) {
+	runWithReader(t, func(sh *fakeStore, re *fakeReader, mi *replica.Replica, fo *replica.Follower) {
 		re.unresponsive = true
 		sh.put("two")
 		re.mi.Apply(secondValue(2), 2, time.Now())
@@ -139,7 +139,7 @@
 // Guards against upstreams that are removed permanently because only the readers saw that
 // the leases may have expired during a store outage.
 func TestDoubtfulRemovalFromReader(t *testing.T) {
-	runWithReader(t, func(_ *fakeStore, re *fakeReader, _ *mirror.Mirror, fo *mirror.Follower) {
+	runWithReader(t, func(_ *fakeStore, re *fakeReader, _ *replica.Replica, fo *replica.Follower) {
 		assert.Assert(t, !fo.Doubtful(time.Now()))
 		re.doubtful = true
 		re.mi.Apply([]core.Change{{Item: core.Item{Key: configKey, Revision: 2}, Gone: true}}, 2, time.Now())
@@ -155,7 +155,7 @@
 func TestSinceYieldsTheSameReplica(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		all := map[string]core.Item{}
-		one, two := mirror.New(), mirror.New()
+		one, two := replica.New(), replica.New()
 		now := time.Unix(1_000_000, 0)
 		rev := core.Revision(rapid.IntRange(1, 4).Draw(rt, "first"))
 		one.Replace(nil, rev, now)
--- a/core/mirror/mirror.go
+++ b/core/replica/replica.go
@@ -1,4 +1,4 @@
-// Package mirror keeps a local replica of the store's keys that a process depends on,
+// Package replica keeps a local replica of the store's keys that a process depends on,
 // at a single revision, and notifies subscribers of changes.
 //
 // The replica is filled from the store, by an initial listing followed by watches, or
@@ -10,12 +10,12 @@
 //
 // # Usage
 //
-//	mi := mirror.New()
+//	mi := replica.New()
 //	mi.Subscribe(func(ch []core.Change) { … })
 //	mi.Replace(items, rev, time.Now())  // after a listing
 //	mi.Apply(events, rev, time.Now())   // after a watch
 //	age := mi.Age(time.Now())           // since the replica was last confirmed up to date
-package mirror
+package replica
 
 import (
 	"cmp"
@@ -27,9 +27,9 @@
 	"skylarkstand/core"
 )
 
-// Mirror is a replica of the store's keys. It is safe for concurrent use. Its subscribers
+// Replica is a replica of the store's keys. It is safe for concurrent use. Its subscribers
 // are called one at a time, in the order of the changes.
-type Mirror struct {
+type Replica struct {
 	mu    sync.Mutex
 	items map[string]core.Item
 	rev   core.Revision
@@ -44,14 +44,14 @@
 }
 
 // New returns an empty replica.
-func New() *Mirror { return &Mirror{items: map[string]core.Item{}} }
+func New() *Replica { return &Replica{items: map[string]core.Item{}} }
 
 // Subscribe registers a callback for changes. It must be called before the first change.
-func (mi *Mirror) Subscribe(fn func([]core.Change)) { mi.subs = append(mi.subs, fn) }
+func (mi *Replica) Subscribe(fn func([]core.Change)) { mi.subs = append(mi.subs, fn) }
 
 // Replace installs a full copy that was up to date at confirmedAt. It returns false and
 // keeps the current copy if the new one has a lower revision.
-func (mi *Mirror) Replace(items []core.Item, rev core.Revision, confirmedAt time.Time) bool {
+func (mi *Replica) Replace(items []core.Item, rev core.Revision, confirmedAt time.Time) bool {
 	mi.publishMu.Lock()
 	defer mi.publishMu.Unlock()
 	mi.mu.Lock()
@@ -85,7 +85,7 @@
 
 // Apply applies the events of a watch that started at the replica's revision. Events
 // that were applied before are skipped.
-func (mi *Mirror) Apply(events []core.Change, rev core.Revision, confirmedAt time.Time) {
+func (mi *Replica) Apply(events []core.Change, rev core.Revision, confirmedAt time.Time) {
 	mi.publishMu.Lock()
 	defer mi.publishMu.Unlock()
 	mi.mu.Lock()
@@ -117,7 +117,7 @@
 	mi.publish(out)
 }
 
-func (mi *Mirror) publish(out []core.Change) {
+func (mi *Replica) publish(out []core.Change) {
 	if len(out) == 0 {
 		return
 	}
@@ -126,21 +126,21 @@
 	}
 }
 
-func (mi *Mirror) confirm(at time.Time) {
+func (mi *Replica) confirm(at time.Time) {
 	if at.After(mi.confirmedAt) {
 		mi.confirmedAt = at
 	}
 }
 
 // Revision returns the revision of the replica, or 0 before the first copy.
-func (mi *Mirror) Revision() core.Revision {
+func (mi *Replica) Revision() core.Revision {
 	mi.mu.Lock()
 	defer mi.mu.Unlock()
 	return mi.rev
 }
 
 // Age returns the time since the replica was last confirmed up to date.
-func (mi *Mirror) Age(now time.Time) time.Duration {
+func (mi *Replica) Age(now time.Time) time.Duration {
 	mi.mu.Lock()
 	defer mi.mu.Unlock()
 	return now.Sub(mi.confirmedAt)
@@ -148,7 +148,7 @@
 
 // Since returns the changes after a revision and the revision they lead to, or false if
 // some of them were already dropped from the log.
-func (mi *Mirror) Since(after core.Revision) ([]core.Change, core.Revision, bool) {
+func (mi *Replica) Since(after core.Revision) ([]core.Change, core.Revision, bool) {
 	mi.mu.Lock()
 	defer mi.mu.Unlock()
 	changes, ok := mi.log.since(after)
@@ -156,7 +156,7 @@
 }
 
 // Get returns one key of the replica.
-func (mi *Mirror) Get(key string) (core.Item, bool) {
+func (mi *Replica) Get(key string) (core.Item, bool) {
 	mi.mu.Lock()
 	defer mi.mu.Unlock()
 	it, ok := mi.items[key]
@@ -165,7 +165,7 @@
 
 // Copy returns the keys with a prefix in sorted order, the replica's revision, and the
 // time at which the replica was last confirmed up to date.
-func (mi *Mirror) Copy(prefix string) ([]core.Item, core.Revision, time.Time) {
+func (mi *Replica) Copy(prefix string) ([]core.Item, core.Revision, time.Time) {
 	mi.mu.Lock()
 	defer mi.mu.Unlock()
 	var out []core.Item
--- a/core/retry/lent.go
+++ b/core/retry/borrow.go
@@ -21,17 +21,17 @@
 	at   time.Time
 }
 
-// Tell returns the remaining budget that this entry reports to its siblings. It is negative
+// Report returns the remaining budget that this entry reports to its siblings. It is negative
 // after the entry has exceeded its part.
-func (wi *Window) Tell(now time.Time) float64 {
+func (wi *Window) Report(now time.Time) float64 {
 	wi.mu.Lock()
 	defer wi.mu.Unlock()
 	wi.bucketAt(now)
-	return wi.left(Climb)
+	return wi.left(Escalation)
 }
 
-// Told processes a sibling's report of its remaining budget.
-func (wi *Window) Told(now time.Time, from uint64, left float64) {
+// ReceiveReport processes a sibling's report of its remaining budget.
+func (wi *Window) ReceiveReport(now time.Time, from uint64, left float64) {
 	wi.mu.Lock()
 	defer wi.mu.Unlock()
 	wi.reports[from] = siblingReport{left, now}
--- a/core/retry/lent_test.go
+++ b/core/retry/borrow_test.go
@@ -36,7 +36,7 @@
 	t.Helper()
 	rnd := rand.New(rand.NewPCG(le.seed, 9))
 	start := func() *retry.Window {
-		return retry.NewWindow(simWindow, simRatio, func() float64 { return retry.Share(simSlack, le.entries) })
+		return retry.NewWindow(simWindow, simRatio, func() float64 { return retry.SlackShare(simSlack, le.entries) })
 	}
 	windows := make([]*retry.Window, le.entries)
 	for i := range windows {
@@ -55,7 +55,7 @@
 				continue
 			}
 			requested++
-			if wi.Spend(now, retry.Climb) {
+			if wi.Spend(now, retry.Escalation) {
 				retries = append(retries, now)
 			} else {
 				refused++
@@ -79,10 +79,10 @@
 
 func (le simulation) gossip(rnd *rand.Rand, now time.Time, windows []*retry.Window) {
 	for i, wi := range windows {
-		left := wi.Tell(now)
+		left := wi.Report(now)
 		for j, other := range windows {
 			if i != j && rnd.Float64() >= le.lossRate {
-				other.Told(now, uint64(i), left)
+				other.ReceiveReport(now, uint64(i), left)
 			}
 		}
 	}
@@ -122,12 +122,12 @@
 			for range 40 {
 				wi.Arrived(now)
 			}
-			for wi.Spend(now, retry.Climb) {
+			for wi.Spend(now, retry.Escalation) {
 			}
 			for from := range uint64(5) {
-				wi.Told(now, from, sc.left)
+				wi.ReceiveReport(now, from, sc.left)
 			}
-			assert.Equal(t, wi.Spend(now.Add(sc.age), retry.Climb), sc.want)
+			assert.Equal(t, wi.Spend(now.Add(sc.age), retry.Escalation), sc.want)
 		})
 	}
 }
--- a/core/retry/retry.go
+++ b/core/retry/retry.go
@@ -10,8 +10,8 @@
 //
 //	bu := retry.NewBudget()
 //	bu.Succeeded()
-//	tr := retry.NewTries(bu)
-//	for { fl := attempt(); if fl == nil || !tr.Again(fl, repeatable) { break } }
+//	tr := retry.NewAttempts(bu)
+//	for { fl := attempt(); if fl == nil || !tr.MayRetry(fl, repeatable) { break } }
 package retry
 
 import (
@@ -61,22 +61,22 @@
 	return true
 }
 
-// Tries counts the attempts of one request. It must be used by one goroutine at a time.
-type Tries struct {
+// Attempts counts the attempts of one request. It must be used by one goroutine at a time.
+type Attempts struct {
 	budget     *Budget
 	attempts   int
 	overloaded bool
 }
 
-// NewTries returns the Tries of a request.
-func NewTries(bu *Budget) Tries { return Tries{budget: bu} }
+// NewAttempts returns the Attempts of a request.
+func NewAttempts(bu *Budget) Attempts { return Attempts{budget: bu} }
 
-// Again reports whether another upstream may be tried after a failure.
+// MayRetry reports whether another upstream may be tried after a failure.
 //
 // A call that was not run because the link was down or the upstream is leaving costs the pool
 // nothing, so its retry needs no budget. A refusal for overload is retried elsewhere once: a
 // second one shows that the pool is full, and more attempts would only load it with refusals.
-func (tr *Tries) Again(fl *core.Failure, repeatable bool) bool {
+func (tr *Attempts) MayRetry(fl *core.Failure, repeatable bool) bool {
 	tr.attempts++
 	if tr.attempts >= maxAttempts {
 		return false
--- a/core/retry/retry_test.go
+++ b/core/retry/retry_test.go
@@ -27,9 +27,9 @@
 	}
 	for _, sc := range scenarios {
 		t.Run(sc.testName, func(t *testing.T) {
-			tr := retry.NewTries(retry.NewBudget())
+			tr := retry.NewAttempts(retry.NewBudget())
 			for ix, fl := range sc.failures {
-				assert.Equal(t, tr.Again(fl, sc.repeatable), sc.want[ix])
+				assert.Equal(t, tr.MayRetry(fl, sc.repeatable), sc.want[ix])
 			}
 		})
 	}
@@ -42,8 +42,8 @@
 	bu := retry.NewBudget()
 	retries := func(requests int) (sum int) {
 		for range requests {
-			tr := retry.NewTries(bu)
-			if tr.Again(core.Lost("lost"), true) {
+			tr := retry.NewAttempts(bu)
+			if tr.MayRetry(core.Lost("lost"), true) {
 				sum++
 			}
 		}
--- a/core/retry/window.go
+++ b/core/retry/window.go
@@ -37,11 +37,11 @@
 // Purpose is the reason for a retry.
 type Purpose int
 
-// The purposes. Climb, an escalation to a larger model, is refused first: its request has an
+// The purposes. Escalation, the use of a larger model, is refused first: its request has an
 // answer already.
 const (
 	Retry Purpose = iota
-	Climb
+	Escalation
 )
 
 // String returns the purpose's name in logs and metrics.
@@ -65,8 +65,8 @@
 	partsPerEntry = 1.2
 )
 
-// Share returns an entry's part of a slack that the given number of entries share.
-func Share(slack float64, entries int) float64 {
+// SlackShare returns an entry's part of a slack that the given number of entries share.
+func SlackShare(slack float64, entries int) float64 {
 	return slack / max(minParts, partsPerEntry*float64(entries))
 }
 
@@ -120,7 +120,7 @@
 
 // part is the part of the bound that is used for a purpose.
 func (pu Purpose) part() float64 {
-	if pu == Climb {
+	if pu == Escalation {
 		return escalationPart
 	}
 	return retryPart
--- a/core/retry/window_test.go
+++ b/core/retry/window_test.go
@@ -58,7 +58,7 @@
 				if n%2 == 0 && entries <= 20 {
 					known = 0
 				}
-				wi := retry.NewWindow(length, ratio, func() float64 { return retry.Share(slack, known) })
+				wi := retry.NewWindow(length, ratio, func() float64 { return retry.SlackShare(slack, known) })
 				for range each {
 					wi.Arrived(now)
 					for tries := 0; tries < 2 && wi.Spend(now, retry.Retry); tries++ {
@@ -91,7 +91,7 @@
 	for range 100 {
 		wi.Arrived(now)
 	}
-	for wi.Spend(now, retry.Climb) {
+	for wi.Spend(now, retry.Escalation) {
 	}
 	assert.Assert(t, wi.Spend(now, retry.Retry))
 }
--- a/core/rollout/guard.go
+++ b/core/rollout/guard.go
@@ -19,16 +19,16 @@
 	Upstream core.UpstreamID
 }
 
-// GoodFrom is the lowest rating of an answer that counts as good.
-const GoodFrom core.Quality = 0.5
+// MinGoodRating is the lowest rating of an answer that counts as good.
+const MinGoodRating core.Quality = 0.5
 
 // Halt is the decision that a version receives no new sessions.
 type Halt struct {
 	Version core.ModelVersion
-	// Why describes the evidence, for the audit trail.
-	Why string
-	// Reached counts the new callers that were assigned the version.
-	Reached int
+	// Evidence describes the evidence, for the audit trail.
+	Evidence string
+	// Exposed counts the new callers that were assigned the version.
+	Exposed int
 }
 
 // Guard decides on the roll-outs in progress. It is safe for concurrent use.
@@ -70,13 +70,13 @@
 	}
 }
 
-// Follow applies a configuration: tests begin and end with its roll-outs.
+// Apply applies a configuration: tests begin and end with its roll-outs.
 //
 // An operator may apply a change that was made without a halt that has not reached the store yet.
 // If that dropped the halt, the version would receive new sessions again and harm callers a second
 // time. So a halt is lifted only by a configuration in which it was present before and has been
 // cleared.
-func (gu *Guard) Follow(sn *declaration.Snapshot) {
+func (gu *Guard) Apply(sn *declaration.Snapshot) {
 	gu.mu.Lock()
 	defer gu.mu.Unlock()
 	gu.generation = sn.Number
@@ -144,13 +144,13 @@
 	return te
 }
 
-// Reach records that a new caller was assigned a version.
-func (gu *Guard) Reach(mv core.ModelVersion) {
+// CountExposed records that a new caller was assigned a version.
+func (gu *Guard) CountExposed(mv core.ModelVersion) {
 	gu.mu.Lock()
 	defer gu.mu.Unlock()
 	if te := gu.ownTests[mv.Model]; te != nil && te.candidate == mv {
 		te.reached++
-		te.nextBatch.Reached++
+		te.nextBatch.Exposed++
 	}
 }
 
@@ -184,14 +184,14 @@
 		te.nextBatch.Outcomes = append(te.nextBatch.Outcomes, ou)
 	}
 	changed := te.tests[ou.Kind].observe(te.candidate == ou.Version, ou.Bad)
-	if changed && !te.decidedByHome && te.evidence() >= 1/FalseHalts {
+	if changed && !te.decidedByHome && te.evidence() >= 1/MaxFalseHaltChance {
 		gu.decideHalt(te)
 	}
 }
 
 // decideHalt halts the candidate of a comparison.
 func (gu *Guard) decideHalt(te *comparison) {
-	gu.halts[te.candidate] = &haltRecord{Halt: Halt{Version: te.candidate, Why: te.describe(), Reached: te.reached}}
+	gu.halts[te.candidate] = &haltRecord{Halt: Halt{Version: te.candidate, Evidence: te.describe(), Exposed: te.reached}}
 	gu.endTests(te.candidate.Model)
 }
 
@@ -241,8 +241,8 @@
 	return gu.halts[mv] != nil
 }
 
-// Halts returns the halts that the configuration does not contain yet.
-func (gu *Guard) Halts() []Halt {
+// PendingHalts returns the halts that the configuration does not contain yet.
+func (gu *Guard) PendingHalts() []Halt {
 	gu.mu.Lock()
 	defer gu.mu.Unlock()
 	var out []Halt
@@ -254,8 +254,8 @@
 	return out
 }
 
-// New returns the channel on which new halts are signalled, one signal for several.
-func (gu *Guard) New() <-chan struct{} { return gu.haltSignal }
+// HaltSignal returns the channel on which new halts are signalled, one signal for several.
+func (gu *Guard) HaltSignal() <-chan struct{} { return gu.haltSignal }
 
 // evidence returns the weighted mean over the kinds, which is itself an e-process.
 func (te *comparison) evidence() float64 {
--- a/core/rollout/guard_test.go
+++ b/core/rollout/guard_test.go
@@ -66,14 +66,14 @@
 func haltedGuard(t *testing.T) *rollout.Guard {
 	t.Helper()
 	gu := rollout.New()
-	gu.Follow(configuration(t, 1, 20, ""))
+	gu.Apply(configuration(t, 1, 20, ""))
 	now := time.Unix(1_000_000, 0)
 	for i := range 400 {
 		mv := desk1
 		if i%5 == 0 {
 			mv = desk2
 		}
-		gu.Reach(mv)
+		gu.CountExposed(mv)
 		gu.Observe(rollout.Outcome{Version: mv, Kind: rollout.Rating, Bad: mv == desk2, At: now})
 	}
 	assert.Assert(t, gu.Halted(desk2))
@@ -85,17 +85,17 @@
 // Once the configuration has contained the halt, an operator may restart the roll-out.
 func TestLocalHaltStaysInForce(t *testing.T) {
 	gu := haltedGuard(t)
-	assert.Assert(t, cmp.Len(gu.Halts(), 1))
-	assert.Assert(t, gu.Halts()[0].Reached < 30)
+	assert.Assert(t, cmp.Len(gu.PendingHalts(), 1))
+	assert.Assert(t, gu.PendingHalts()[0].Exposed < 30)
 	for _, step := range []struct {
 		number  core.Generation
 		halted  string
 		holds   bool
 		pending int
 	}{{2, "", true, 1}, {3, "evidence", true, 0}, {4, "", false, 0}} {
-		gu.Follow(configuration(t, step.number, 30, step.halted))
+		gu.Apply(configuration(t, step.number, 30, step.halted))
 		assert.Equal(t, gu.Halted(desk2), step.holds)
-		assert.Assert(t, cmp.Len(gu.Halts(), step.pending))
+		assert.Assert(t, cmp.Len(gu.PendingHalts(), step.pending))
 	}
 	assert.Equal(t, gu.RateShare(desk2), 1.0)
 }
@@ -117,11 +117,11 @@
 	} {
 		t.Run(sc.testName, func(t *testing.T) {
 			gu := rollout.New()
-			gu.Follow(configuration(t, 3, 20, ""))
-			ha := rollout.Halt{Version: sc.halted, Why: "elsewhere"}
-			assert.Equal(t, gu.Heed(ha, sc.decided), sc.adopted)
+			gu.Apply(configuration(t, 3, 20, ""))
+			ha := rollout.Halt{Version: sc.halted, Evidence: "elsewhere"}
+			assert.Equal(t, gu.AdoptHalt(ha, sc.decided), sc.adopted)
 			assert.Equal(t, gu.Halted(sc.halted), sc.adopted)
-			assert.Assert(t, !gu.Heed(ha, sc.decided), "a halt that is known already is not new")
+			assert.Assert(t, !gu.AdoptHalt(ha, sc.decided), "a halt that is known already is not new")
 		})
 	}
 }
@@ -147,7 +147,7 @@
 func (an *fakeAnswer) Next() ([]byte, error) { return nil, an.err }
 
 func dispatch(ctx context.Context, gu *rollout.Guard, mv core.ModelVersion, fake *fakeUpstreams) {
-	ans, err := rollout.Watch(fake, gu).Dispatch(ctx, "one", &core.Attempt{Target: mv})
+	ans, err := rollout.ObserveAttempts(fake, gu).Dispatch(ctx, "one", &core.Attempt{Target: mv})
 	if err == nil {
 		_, _ = ans.Next()
 	}
@@ -176,14 +176,14 @@
 	} {
 		t.Run(sc.testName, func(t *testing.T) {
 			gu := rollout.New()
-			gu.Follow(configuration(t, 1, 20, ""))
+			gu.Apply(configuration(t, 1, 20, ""))
 			ctx, cancel := context.WithCancel(context.Background())
 			defer cancel()
 			if sc.gone {
 				cancel()
 			}
 			dispatch(ctx, gu, desk2, &fakeUpstreams{err: sc.err, next: sc.next})
-			assert.Equal(t, len(gu.Batches()[0].Outcomes) > 0, sc.records)
+			assert.Equal(t, len(gu.TakeBatches()[0].Outcomes) > 0, sc.records)
 			for range 40 {
 				dispatch(ctx, gu, desk1, &fakeUpstreams{next: io.EOF})
 				dispatch(ctx, gu, desk2, &fakeUpstreams{err: sc.err, next: sc.next})
--- a/core/rollout/pool.go
+++ b/core/rollout/pool.go
@@ -8,8 +8,8 @@
 // Batch is evidence on one model's roll-out, sent by an entry to the entry that pools it.
 type Batch struct {
 	Model core.ModelID
-	// Reached counts the new callers that were assigned the version since the last batch.
-	Reached  int
+	// Exposed counts the new callers that were assigned the version since the last batch.
+	Exposed  int
 	Outcomes []Outcome
 }
 
@@ -40,31 +40,31 @@
 	return top[0], true
 }
 
-// Batches removes and returns the evidence recorded since the last call, for each roll-out in
+// TakeBatches removes and returns the evidence recorded since the last call, for each roll-out in
 // progress.
-func (gu *Guard) Batches() []Batch {
+func (gu *Guard) TakeBatches() []Batch {
 	gu.mu.Lock()
 	defer gu.mu.Unlock()
 	var out []Batch
 	for mo, te := range gu.ownTests {
-		out = append(out, Batch{Model: mo, Reached: te.nextBatch.Reached, Outcomes: te.nextBatch.Outcomes})
+		out = append(out, Batch{Model: mo, Exposed: te.nextBatch.Exposed, Outcomes: te.nextBatch.Outcomes})
 		te.nextBatch = Batch{}
 	}
 	return out
 }
 
-// Pool merges a batch at the home of a roll-out. The stable version's outcomes are added first, so
-// that they are available as controls for the new version's. The evidence is evaluated once per
-// batch. Pool returns false if there is no such roll-out here: this entry may not have the
-// configuration yet, or the roll-out has been halted.
-func (gu *Guard) Pool(ba Batch) bool {
+// MergeBatch merges a batch at the home of a roll-out. The stable version's outcomes are added
+// first, so that they are available as controls for the new version's. The evidence is evaluated
+// once per batch. MergeBatch returns false if there is no such roll-out here: this entry may not
+// have the configuration yet, or the roll-out has been halted.
+func (gu *Guard) MergeBatch(ba Batch) bool {
 	gu.mu.Lock()
 	defer gu.mu.Unlock()
 	te := gu.pooledTests[ba.Model]
 	if te == nil {
 		return false
 	}
-	te.reached += ba.Reached
+	te.reached += ba.Exposed
 	for _, mv := range []core.ModelVersion{te.stable, te.candidate} {
 		for _, ou := range ba.Outcomes {
 			if ou.Version == mv && !gu.pooledLosses.absorbs(ou) {
@@ -72,16 +72,16 @@
 			}
 		}
 	}
-	if te.evidence() >= 1/FalseHalts {
+	if te.evidence() >= 1/MaxFalseHaltChance {
 		gu.decideHalt(te)
 	}
 	return true
 }
 
-// Alone sets whether this entry must decide on a model's roll-out by its own evidence because the
-// home is unreachable. An entry that waited for an unreachable home would keep assigning callers to
-// a bad version.
-func (gu *Guard) Alone(mo core.ModelID, alone bool) {
+// DecideLocally sets whether this entry must decide on a model's roll-out by its own evidence
+// because the home is unreachable. An entry that waited for an unreachable home would keep
+// assigning callers to a bad version.
+func (gu *Guard) DecideLocally(mo core.ModelID, alone bool) {
 	gu.mu.Lock()
 	defer gu.mu.Unlock()
 	te := gu.ownTests[mo]
@@ -89,18 +89,18 @@
 		return
 	}
 	te.decidedByHome = !alone
-	if alone && te.evidence() >= 1/FalseHalts {
+	if alone && te.evidence() >= 1/MaxFalseHaltChance {
 		gu.decideHalt(te)
 	}
 }
 
-// Heed adopts another entry's halt, which was decided under a generation of the configuration, and
-// reports whether it was new here.
+// AdoptHalt adopts another entry's halt, which was decided under a generation of the configuration,
+// and reports whether it was new here.
 //
 // While the store is unavailable, a halt cannot reach the other entries through the configuration.
 // Once the generation has advanced, the store is available again and the configuration contains the
 // halt itself; a message that arrives later may be about a halt that an operator has lifted since.
-func (gu *Guard) Heed(ha Halt, decided core.Generation) bool {
+func (gu *Guard) AdoptHalt(ha Halt, decided core.Generation) bool {
 	gu.mu.Lock()
 	defer gu.mu.Unlock()
 	te := gu.ownTests[ha.Version.Model]
--- a/core/rollout/recorder.go
+++ b/core/rollout/recorder.go
@@ -46,7 +46,7 @@
 		if err != nil {
 			return false, ErrPending
 		}
-		next, ok := declaration.Halt(gen, ha.Version, ha.Why, when)
+		next, ok := declaration.Halt(gen, ha.Version, ha.Evidence, when)
 		if !ok {
 			return false, rec.adopt(last.Payload)
 		}
--- a/core/rollout/recorder_test.go
+++ b/core/rollout/recorder_test.go
@@ -79,7 +79,7 @@
 	return gen
 }
 
-var badVersion = rollout.Halt{Version: desk2, Why: "17 of 20 answers were rated badly"}
+var badVersion = rollout.Halt{Version: desk2, Evidence: "17 of 20 answers were rated badly"}
 
 // Several entries halt a version at the same moment. The history must contain one halt, not
 // several, and all entries must apply it.
@@ -101,13 +101,13 @@
 		if wrote[i] {
 			writers++
 		}
-		assert.Equal(t, inf.Current().RollOut("desk").Halted, badVersion.Why)
+		assert.Equal(t, inf.Current().RollOut("desk").Halted, badVersion.Evidence)
 	}
 	assert.Equal(t, writers, 1)
 	gen := newest(t, ch)
 	assert.Equal(t, gen.Number, core.Generation(2))
 	assert.Equal(t, gen.Audit.Who, declaration.GuardName)
-	assert.DeepEqual(t, gen.Audit.Changed, []string{"~ model desk: roll-out of v2 halted: " + badVersion.Why})
+	assert.DeepEqual(t, gen.Audit.Changed, []string{"~ model desk: roll-out of v2 halted: " + badVersion.Evidence})
 }
 
 // An operator applies a change between the guard's read and its write. Writing the halt over the
@@ -123,7 +123,7 @@
 	gen := newest(t, ch)
 	assert.Equal(t, gen.Number, core.Generation(3))
 	assert.Equal(t, gen.Document.RollOuts[0].Percent, 35)
-	assert.Equal(t, gen.Document.RollOuts[0].Halted, badVersion.Why)
+	assert.Equal(t, gen.Document.RollOuts[0].Halted, badVersion.Evidence)
 }
 
 // The store is unavailable when the guard halts a version. The recorder must report the halt as
--- a/core/rollout/trial.go
+++ b/core/rollout/sequential.go
@@ -6,9 +6,9 @@
 	"skylarkstand/core"
 )
 
-// FalseHalts bounds the chance that a version that is no worse is halted, over the whole of its
-// roll-out.
-const FalseHalts = 0.01
+// MaxFalseHaltChance bounds the chance that a version that is no worse is halted, over the whole of
+// its roll-out.
+const MaxFalseHaltChance = 0.01
 
 // Kind is the kind of evidence that an outcome provides.
 type Kind int
@@ -24,8 +24,8 @@
 	kinds
 )
 
-// Known reports whether a kind is one of these: a peer of another release may send others.
-func (ki Kind) Known() bool { return ki >= Rating && ki < kinds }
+// Valid reports whether a kind is one of these: a peer of another release may send others.
+func (ki Kind) Valid() bool { return ki >= Rating && ki < kinds }
 
 // String returns the text for a kind in the evidence that operators read.
 func (ki Kind) String() string { return [...]string{"rated badly", "failed", "lost"}[ki] }
--- a/core/rollout/sim_test.go
+++ b/core/rollout/sim_test.go
@@ -71,8 +71,8 @@
 // roll-out.
 func exchangeBatches(guards []*rollout.Guard) bool {
 	for _, gu := range guards {
-		for _, ba := range gu.Batches() {
-			guards[0].Pool(ba)
+		for _, ba := range gu.TakeBatches() {
+			guards[0].MergeBatch(ba)
 		}
 	}
 	return guards[0].Halted(desk2)
@@ -88,8 +88,8 @@
 		if tr.cheaper {
 			quality = 0.8
 		}
-		guards[i].Follow(configurationWithQuality(t, 1, tr.percent, "", quality))
-		guards[i].Alone("desk", tr.noHome)
+		guards[i].Apply(configurationWithQuality(t, 1, tr.percent, "", quality))
+		guards[i].DecideLocally("desk", tr.noHome)
 	}
 	var qu eventqueue.Queue
 	var seen [2][2]int
--- a/core/rollout/watch.go
+++ b/core/rollout/watch.go
@@ -9,10 +9,12 @@
 	"skylarkstand/core"
 )
 
-// Watch wraps upstreams so that a guard observes their attempts. An attempt that is retried on
-// another upstream succeeds for its caller; observed at the caller, a version whose upstreams fail
-// every other attempt would look healthy.
-func Watch(ups core.Upstreams, gu *Guard) core.Upstreams { return &observedUpstreams{ups, gu} }
+// ObserveAttempts wraps upstreams so that a guard observes their attempts. An attempt that is
+// retried on another upstream succeeds for its caller; observed at the caller, a version whose
+// upstreams fail every other attempt would look healthy.
+func ObserveAttempts(ups core.Upstreams, gu *Guard) core.Upstreams {
+	return &observedUpstreams{ups, gu}
+}
 
 type observedUpstreams struct {
 	core.Upstreams
--- a/core/route/route.go
+++ b/core/route/route.go
@@ -46,12 +46,12 @@
 	Prefix string
 	// Stream is set when responses are event streams.
 	Stream bool
-	Repeat core.Repeat
-	// Timeout bounds the time until a caller has its whole response; Aim is the target time of a
-	// response, or of a stream's first event.
-	Timeout, Aim time.Duration
-	// Gap is the target for the longest pause between two events of a stream.
-	Gap time.Duration
+	Retry  core.Repeat
+	// Timeout bounds the time until a caller has its whole response; TargetLatency is the target
+	// time of a response, or of a stream's first event.
+	Timeout, TargetLatency time.Duration
+	// MaxEventGap is the target for the longest pause between two events of a stream.
+	MaxEventGap time.Duration
 	// Priority orders routes; 0 goes first.
 	Priority int
 	// Splits are the services among which the requests are divided, by weight.
@@ -75,8 +75,8 @@
 // Service is a pool of upstreams.
 type Service struct {
 	ID core.ServiceID
-	// targetLatency is the least Aim of the routes that lead here, 0 without any, and minPriority
-	// the priority of those that go first.
+	// targetLatency is the least TargetLatency of the routes that lead here, 0 without any, and
+	// minPriority the priority of those that go first.
 	targetLatency time.Duration
 	minPriority   int
 	// hasCascade is set when a route that leads here has models to choose from.
@@ -84,19 +84,19 @@
 	// MaxConnections bounds the connections to one upstream, of all entries together.
 	MaxConnections int
 	// Warmup is the load that an upstream can take while it is cold.
-	Warmup warmup.Bound
+	Warmup warmup.ColdLimit
 }
 
-// Aim returns the least target latency of the routes that lead to the service; 0 is none.
-func (sv *Service) Aim() time.Duration { return sv.targetLatency }
+// TargetLatency returns the least target latency of the routes that lead to the service; 0 is none.
+func (sv *Service) TargetLatency() time.Duration { return sv.targetLatency }
 
-// First returns the priority of the routes to the service that go first.
-func (sv *Service) First() int { return sv.minPriority }
+// MinPriority returns the priority of the routes to the service that go first.
+func (sv *Service) MinPriority() int { return sv.minPriority }
 
 // addRoute updates the service's values with a route that leads to it.
 func (sv *Service) addRoute(rt *Route) {
-	if rt.Aim > 0 && (sv.targetLatency == 0 || rt.Aim < sv.targetLatency) {
-		sv.targetLatency = rt.Aim
+	if rt.TargetLatency > 0 && (sv.targetLatency == 0 || rt.TargetLatency < sv.targetLatency) {
+		sv.targetLatency = rt.TargetLatency
 	}
 	sv.minPriority = min(sv.minPriority, rt.Priority)
 	sv.hasCascade = sv.hasCascade || len(rt.Cascade) > 0
@@ -106,9 +106,9 @@
 type Workspace struct {
 	ID   core.WorkspaceID
 	Keys []core.APIKey
-	// Priority overrides that of the route if Ranked is set.
-	Priority int
-	Ranked   bool
+	// Priority overrides that of the route if HasPriority is set.
+	Priority    int
+	HasPriority bool
 	// Regions are those in which the workspace's requests may be served.
 	Regions core.Regions
 }
@@ -189,8 +189,8 @@
 	return nil
 }
 
-// Engines lists the services of the routes that have a choice of models.
-func (tb *Table) Engines() []core.ServiceID {
+// EngineServices lists the services of the routes that have a choice of models.
+func (tb *Table) EngineServices() []core.ServiceID {
 	var out []core.ServiceID
 	for id, sv := range tb.services {
 		if sv.hasCascade {
@@ -206,12 +206,12 @@
 // Workspace returns the workspace that holds a key, or nil.
 func (tb *Table) Workspace(key core.APIKey) *Workspace { return tb.keys[key] }
 
-// Keyed reports whether keys are required at all: a configuration without any key admits every
-// caller.
-func (tb *Table) Keyed() bool { return len(tb.keys) > 0 }
+// RequiresKey reports whether keys are required at all: a configuration without any key admits
+// every caller.
+func (tb *Table) RequiresKey() bool { return len(tb.keys) > 0 }
 
-// Choose returns the service for a random number from 0 to 1.
-func (rt *Route) Choose(draw float64) core.ServiceID {
+// ChooseService returns the service for a random number from 0 to 1.
+func (rt *Route) ChooseService(draw float64) core.ServiceID {
 	sum := 0
 	for _, sp := range rt.Splits {
 		sum += sp.Weight
@@ -235,8 +235,8 @@
 // NewInForce returns an InForce without a table.
 func NewInForce() *InForce { return &InForce{loaded: make(chan struct{})} }
 
-// Known returns a channel that is closed once there is a table.
-func (inf *InForce) Known() <-chan struct{} { return inf.loaded }
+// Loaded returns a channel that is closed once there is a table.
+func (inf *InForce) Loaded() <-chan struct{} { return inf.loaded }
 
 // Current returns the table in force, or nil before the first.
 func (inf *InForce) Current() *Table { return inf.cur.Load() }
--- a/core/route/route_test.go
+++ b/core/route/route_test.go
@@ -45,11 +45,11 @@
 	rnd := rand.New(rand.NewPCG(1, 1))
 	count := map[string]int{}
 	for range 10_000 {
-		count[string(tb.Find("a", "/").Choose(rnd.Float64()))]++
+		count[string(tb.Find("a", "/").ChooseService(rnd.Float64()))]++
 	}
 	assert.Assert(t, count["drafter"] > 900 && count["drafter"] < 1100, "%v", count)
 	tb = table(t, 1, route.Route{Host: "a", Prefix: "/", Splits: []route.Split{{"desk", 0}, {"drafter", 3}}})
-	assert.Equal(t, string(tb.Find("a", "/").Choose(0)), "drafter")
+	assert.Equal(t, string(tb.Find("a", "/").ChooseService(0)), "drafter")
 }
 
 // Configurations arrive late, twice and in any order, from the store and from sibling entries. A
--- a/core/session/holder.go
+++ b/core/session/holder.go
@@ -68,10 +68,10 @@
 	return maps.Clone(el.versions)
 }
 
-// Keep records the versions that a session runs on, model by model. The latest one is
+// Record records the versions that a session runs on, model by model. The latest one is
 // authoritative: a version changes only when the old one may not run any more, and every entry
 // refuses to run that one.
-func (ho *Holder) Keep(key Key, vs Versions, now time.Time) {
+func (ho *Holder) Record(key Key, vs Versions, now time.Time) {
 	ho.mu.Lock()
 	defer ho.mu.Unlock()
 	el, ok := ho.sessions[key]
--- a/core/session/session.go
+++ b/core/session/session.go
@@ -9,9 +9,9 @@
 //
 //	kr := session.NewKeyring(secret)
 //	tok := kr.Sign(session.Pin{Workspace: ws, Session: id, Versions: …})
-//	pin, err := kr.Open(tok, ws)
+//	pin, err := kr.Verify(tok, ws)
 //	ho := session.NewHolder()
-//	ho.Keep(session.Key{Workspace: ws, Session: id}, versions, now)
+//	ho.Record(session.Key{Workspace: ws, Session: id}, versions, now)
 package session
 
 import (
@@ -35,9 +35,9 @@
 	Versions  Versions         `json:"versions"`
 }
 
-// ErrForged reports that a token was not signed with this keyring's secret, or is of another
+// ErrInvalidToken reports that a token was not signed with this keyring's secret, or is of another
 // workspace.
-var ErrForged = errors.New("session: token is not valid here")
+var ErrInvalidToken = errors.New("session: token is not valid here")
 
 // Keyring signs and verifies tokens. All entries share its secret.
 type Keyring struct{ secret []byte }
@@ -61,26 +61,26 @@
 	return ma.Sum(nil)
 }
 
-// Open verifies a token and returns its pin.
-func (kr *Keyring) Open(tok string, ws core.WorkspaceID) (Pin, error) {
+// Verify verifies a token and returns its pin.
+func (kr *Keyring) Verify(tok string, ws core.WorkspaceID) (Pin, error) {
 	var pin Pin
 	body, sig, ok := strings.Cut(tok, ".")
 	if !ok {
-		return pin, ErrForged
+		return pin, ErrInvalidToken
 	}
 	mac, err := base64.RawURLEncoding.DecodeString(sig)
 	if err != nil || !hmac.Equal(mac, kr.mac(body)) {
-		return pin, ErrForged
+		return pin, ErrInvalidToken
 	}
 	raw, err := base64.RawURLEncoding.DecodeString(body)
 	if err != nil || json.Unmarshal(raw, &pin) != nil || pin.Workspace != ws {
-		return Pin{}, ErrForged
+		return Pin{}, ErrInvalidToken
 	}
 	return pin, nil
 }
 
-// Draw maps a session to a number from 0 to 1 that determines whether it is part of a roll-out. It
-// depends on the ids alone, so that every entry treats a session alike.
-func Draw(ws core.WorkspaceID, id core.SessionID) float64 {
+// Fraction maps a session to a number from 0 to 1 that determines whether it is part of a roll-out.
+// It depends on the ids alone, so that every entry treats a session alike.
+func Fraction(ws core.WorkspaceID, id core.SessionID) float64 {
 	return float64(xxhash.Sum64String(string(ws)+"\x00"+string(id))) / math.MaxUint64
 }
--- a/core/shed/shed.go
+++ b/core/shed/shed.go
@@ -15,7 +15,7 @@
 // # Usage
 //
 //	ga := shed.New()
-//	retryAfter, ok := ga.Offer(now, shed.Request{Wait: wait, Aim: aim, Workspace: ws, Urgent: urgent, Draw: draw})
+//	retryAfter, ok := ga.Admit(now, shed.Request{Wait: wait, Target: target, Workspace: ws, Urgent: urgent, Draw: draw})
 package shed
 
 import (
@@ -57,8 +57,8 @@
 type Request struct {
 	// Wait is the shortest expected wait before an engine starts the prefill.
 	Wait time.Duration
-	// Aim is the tightest target latency of the service's routes; 0 means no bound.
-	Aim       time.Duration
+	// Target is the tightest target latency of the service's routes; 0 means no bound.
+	Target    time.Duration
 	Workspace core.WorkspaceID
 	// Urgent means that no request of the service has a higher priority.
 	Urgent bool
@@ -97,15 +97,15 @@
 	return ga
 }
 
-// Offer reports whether a request is admitted, and otherwise its Retry-After.
+// Admit reports whether a request is admitted, and otherwise its Retry-After.
 //
 // Each refused caller gets a later Retry-After than those refused before it, spaced at the rate
 // at which requests are admitted now. Callers that all got the current wait would retry at the
 // same time, into the same queue.
-func (ga *Gate) Offer(now time.Time, rq Request) (retryAfter time.Duration, ok bool) {
+func (ga *Gate) Admit(now time.Time, rq Request) (retryAfter time.Duration, ok bool) {
 	ga.rollPeriod(now)
 	ga.arrivals[rq.Workspace]++
-	if rq.Aim <= 0 || ga.off.Has(mechanism.Gate) || rq.Wait <= ga.maxWait(rq) {
+	if rq.Target <= 0 || ga.off.Has(mechanism.Gate) || rq.Wait <= ga.maxWait(rq) {
 		ga.admitted++
 		return 0, true
 	}
@@ -127,7 +127,7 @@
 			part *= noisyPart
 		}
 	}
-	return time.Duration(part * float64(rq.Aim))
+	return time.Duration(part * float64(rq.Target))
 }
 
 // noisy reports whether a workspace sends many times as much as the others.
--- a/core/shed/shed_test.go
+++ b/core/shed/shed_test.go
@@ -55,8 +55,8 @@
 		}
 		co := out[ws]
 		co.arrived++
-		rq := shed.Request{Wait: po.wait(), Aim: target, Workspace: ws, Urgent: true, Draw: rn.Float64()}
-		if _, ok := ga.Offer(po.now, rq); shedding && !ok {
+		rq := shed.Request{Wait: po.wait(), Target: target, Workspace: ws, Urgent: true, Draw: rn.Float64()}
+		if _, ok := ga.Admit(po.now, rq); shedding && !ok {
 			co.refused++
 			continue
 		}
@@ -125,12 +125,12 @@
 	ga, now := shed.New(), time.Unix(0, 0)
 	for range 200 { // Fifty requests per second are admitted.
 		now = now.Add(20 * time.Millisecond)
-		_, ok := ga.Offer(now, shed.Request{Aim: target})
+		_, ok := ga.Admit(now, shed.Request{Target: target})
 		assert.Assert(t, ok)
 	}
 	var retries []time.Time
 	for range 300 {
-		retryAfter, ok := ga.Offer(now, shed.Request{Wait: 4 * target, Aim: target})
+		retryAfter, ok := ga.Admit(now, shed.Request{Wait: 4 * target, Target: target})
 		assert.Assert(t, !ok && retryAfter >= 4*target)
 		retries = append(retries, now.Add(retryAfter))
 		now = now.Add(time.Millisecond)
--- a/core/suspect/suspect.go
+++ b/core/suspect/suspect.go
@@ -12,9 +12,9 @@
 // # Usage
 //
 //	reg := suspect.New()
-//	switch ve := reg.Verdict(fp, now); ve.State { … }
-//	reg.Crashed(fp, solo, now)   // the upstream crashed with it in flight
-//	reg.Cleared(fp)              // it succeeded
+//	switch ve := reg.Lookup(fp, now); ve.State { … }
+//	reg.RecordCrash(fp, solo, now)   // the upstream crashed with it in flight
+//	reg.ClearSuspect(fp)              // it succeeded
 package suspect
 
 import (
@@ -32,9 +32,9 @@
 // service and operation) and body.
 type Fingerprint uint64
 
-// Of returns the fingerprint of an attempt. It excludes the version, since a body
+// FingerprintOf returns the fingerprint of an attempt. It excludes the version, since a body
 // that crashes one version mostly crashes the next.
-func Of(at *core.Attempt) Fingerprint {
+func FingerprintOf(at *core.Attempt) Fingerprint {
 	var dig xxhash.Digest
 	dig.Reset()
 	for _, part := range []string{string(at.Workspace), string(at.Target.Model), string(at.Service), string(at.Operation)} {
@@ -93,9 +93,9 @@
 	return &Registry{records: map[Fingerprint]Record{}, runningAlone: map[Fingerprint]bool{}}
 }
 
-// Verdict returns the record of a request at a time. Its state is Free if there is
+// Lookup returns the record of a request at a time. Its state is Free if there is
 // none.
-func (reg *Registry) Verdict(fp Fingerprint, now time.Time) Record {
+func (reg *Registry) Lookup(fp Fingerprint, now time.Time) Record {
 	reg.mu.Lock()
 	defer reg.mu.Unlock()
 	return reg.lookup(fp, now)
@@ -148,21 +148,21 @@
 	delete(reg.runningAlone, fp)
 }
 
-// Crashed records that an upstream crashed with the request in flight, alone or with
+// RecordCrash records that an upstream crashed with the request in flight, alone or with
 // others, and returns the record to announce to the other entries.
-func (reg *Registry) Crashed(fp Fingerprint, alone bool, now time.Time) Record {
+func (reg *Registry) RecordCrash(fp Fingerprint, alone bool, now time.Time) Record {
 	re := Record{Fingerprint: fp, State: Suspected, Until: now.Add(suspectTTL)}
 	if alone {
 		re.State, re.Until = Quarantined, now.Add(quarantineTTL)
 	}
-	reg.Learn(re, now)
+	reg.Merge(re, now)
 	return re
 }
 
-// Cleared records that the request succeeded, and deletes its record if it is a
+// ClearSuspect records that the request succeeded, and deletes its record if it is a
 // suspect. A quarantine stays, since another copy of the request crashed an upstream
 // alone.
-func (reg *Registry) Cleared(fp Fingerprint) {
+func (reg *Registry) ClearSuspect(fp Fingerprint) {
 	reg.mu.Lock()
 	defer reg.mu.Unlock()
 	if reg.records[fp].State == Suspected {
@@ -170,10 +170,10 @@
 	}
 }
 
-// Learn merges a record, of this or another entry, and reports whether it changed the
+// Merge merges a record, of this or another entry, and reports whether it changed the
 // registry. A record's state only increases, so late and duplicate messages have no
 // effect.
-func (reg *Registry) Learn(re Record, now time.Time) bool {
+func (reg *Registry) Merge(re Record, now time.Time) bool {
 	reg.mu.Lock()
 	defer reg.mu.Unlock()
 	if !now.Before(re.Until) {
--- a/core/suspect/suspect_test.go
+++ b/core/suspect/suspect_test.go
@@ -85,7 +85,7 @@
 	regs := []*suspect.Registry{suspect.New(), suspect.New()}
 	announce := func(re suspect.Record) {
 		for _, reg := range regs {
-			reg.Learn(re, time.Now())
+			reg.Merge(re, time.Now())
 		}
 	}
 	for i := range 50 {
@@ -136,22 +136,22 @@
 // must not quarantine it.
 func TestInnocentRequestIsCleared(t *testing.T) {
 	reg, now := suspect.New(), time.Now()
-	fp := suspect.Of(attempt("innocent"))
-	reg.Crashed(fp, false, now)
-	assert.Equal(t, reg.Verdict(fp, now).State, suspect.Suspected)
+	fp := suspect.FingerprintOf(attempt("innocent"))
+	reg.RecordCrash(fp, false, now)
+	assert.Equal(t, reg.Lookup(fp, now).State, suspect.Suspected)
 	ups := suspect.NewUpstreams(core.NewDeps(), new(pool), reg, func(suspect.Record) {})
 	assert.NilError(t, send(ups, "innocent"))
-	assert.Equal(t, reg.Verdict(fp, now).State, suspect.Free)
-	reg.Crashed(fp, false, now)
-	assert.Equal(t, reg.Verdict(fp, now).State, suspect.Suspected)
+	assert.Equal(t, reg.Lookup(fp, now).State, suspect.Free)
+	reg.RecordCrash(fp, false, now)
+	assert.Equal(t, reg.Lookup(fp, now).State, suspect.Suspected)
 }
 
 // Two copies of a suspect arrive at once. If both ran, each alone on an upstream, they
 // would crash two upstreams where one is enough to quarantine the request.
 func TestOneCopyRunsAtATime(t *testing.T) {
 	reg, now := suspect.New(), time.Now()
-	fp := suspect.Of(attempt("x"))
-	reg.Crashed(fp, false, now)
+	fp := suspect.FingerprintOf(attempt("x"))
+	reg.RecordCrash(fp, false, now)
 	_, first := reg.Begin(fp, now)
 	_, second := reg.Begin(fp, now)
 	assert.Assert(t, first)
@@ -164,10 +164,10 @@
 // Records expire, and a late message with an expired record does not revive it.
 func TestRecordsExpire(t *testing.T) {
 	reg, now := suspect.New(), time.Now()
-	re := reg.Crashed(1, true, now)
-	assert.Equal(t, reg.Verdict(1, now).State, suspect.Quarantined)
-	assert.Equal(t, reg.Verdict(1, re.Until).State, suspect.Free)
-	assert.Assert(t, !reg.Learn(re, re.Until))
+	re := reg.RecordCrash(1, true, now)
+	assert.Equal(t, reg.Lookup(1, now).State, suspect.Quarantined)
+	assert.Equal(t, reg.Lookup(1, re.Until).State, suspect.Free)
+	assert.Assert(t, !reg.Merge(re, re.Until))
 }
 
 func TestFiguresSuspects(t *testing.T) {
--- a/core/suspect/upstreams.go
+++ b/core/suspect/upstreams.go
@@ -32,7 +32,7 @@
 
 // Dispatch implements [core.Upstreams].
 func (ups *Upstreams) Dispatch(ctx context.Context, id core.UpstreamID, at *core.Attempt) (core.Answer, error) {
-	fp, now := Of(at), time.Now()
+	fp, now := FingerprintOf(at), time.Now()
 	re, ok := ups.reg.Begin(fp, now)
 	switch {
 	case re.State == Quarantined:
@@ -78,7 +78,7 @@
 		return
 	}
 	ru.end(func() {
-		re := ru.ups.reg.Crashed(ru.fp, ru.alone, time.Now())
+		re := ru.ups.reg.RecordCrash(ru.fp, ru.alone, time.Now())
 		event.Log(ru.ups.deps.Log, event.UpstreamCrashed, "upstream", ru.upstream, "fingerprint", uint64(ru.fp), "alone", ru.alone)
 		ru.ups.announce(re)
 	})
@@ -95,7 +95,7 @@
 	data, err := an.Answer.Next()
 	switch {
 	case errors.Is(err, io.EOF):
-		an.run.end(func() { an.run.ups.reg.Cleared(an.run.fp) })
+		an.run.end(func() { an.run.ups.reg.ClearSuspect(an.run.fp) })
 	case err != nil:
 		an.run.handleError(err)
 	}
--- a/core/spread/spread.go
+++ b/core/topology/topology.go
@@ -1,5 +1,5 @@
-// Package spread determines how an accepted configuration reaches every entry: which entries watch
-// the platform's store, and which entries the others receive it from.
+// Package topology determines how an accepted configuration reaches every entry: which entries
+// watch the platform's store, and which entries the others receive it from.
 //
 // A waiting watch counts as a call of the store, so 360 entries must not all watch it. In each
 // availability zone two preferred readers do, and the others keep links to them. Agents receive the
@@ -7,9 +7,9 @@
 //
 // # Usage
 //
-//	if spread.Reads(hosts, self, fresh) { follow the store }
-//	for _, ho := range spread.Peers(hosts, self) { keep a link to ho }
-package spread
+//	if topology.WatchesStore(hosts, self, fresh) { follow the store }
+//	for _, ho := range topology.Peers(hosts, self) { keep a link to ho }
+package topology
 
 import (
 	"slices"
@@ -52,10 +52,10 @@
 	return rendezvous.Top(string(zo), entries(hosts, func(ho core.Host) bool { return ho.Zone == zo }), readersPerZone, addr)
 }
 
-// Reads reports whether an entry watches the store itself: if it is a preferred reader, if the host
-// list does not contain it, or if it has received no recent update from its readers. A wrong result
-// costs only an additional watch.
-func Reads(hosts []core.Host, self core.Host, fresh bool) bool {
+// WatchesStore reports whether an entry watches the store itself: if it is a preferred reader, if
+// the host list does not contain it, or if it has received no recent update from its readers. A
+// wrong result costs only an additional watch.
+func WatchesStore(hosts []core.Host, self core.Host, fresh bool) bool {
 	readers := Readers(hosts, self.Zone)
 	listed := slices.ContainsFunc(hosts, func(ho core.Host) bool { return ho.Role == core.RoleEntry && ho.Addr == self.Addr })
 	preferred := slices.ContainsFunc(readers, func(ho core.Host) bool { return ho.Addr == self.Addr })
--- a/core/spread/spread_test.go
+++ b/core/topology/topology_test.go
@@ -1,4 +1,4 @@
-package spread_test
+package topology_test
 
 import (
 	"fmt"
@@ -7,7 +7,7 @@
 	"gotest.tools/v3/assert"
 
 	"skylarkstand/core"
-	"skylarkstand/core/spread"
+	"skylarkstand/core/topology"
 )
 
 // fleet returns entries distributed evenly over zones, four zones a region.
@@ -30,7 +30,7 @@
 	hosts := fleet(16, 22)
 	readers := 0
 	for _, ho := range hosts {
-		if spread.Reads(hosts, ho, true) {
+		if topology.WatchesStore(hosts, ho, true) {
 			readers++
 		}
 	}
@@ -41,7 +41,7 @@
 // relying on it would use an outdated configuration indefinitely.
 func TestEntryWithoutUpdatesWatchesTheStore(t *testing.T) {
 	for _, ho := range fleet(2, 5) {
-		assert.Assert(t, spread.Reads(fleet(2, 5), ho, false))
+		assert.Assert(t, topology.WatchesStore(fleet(2, 5), ho, false))
 	}
 }
 
@@ -53,13 +53,13 @@
 		hosts := append(append([]core.Host{}, all[:gone]...), all[gone+1:]...)
 		links := map[string][]string{}
 		for _, ho := range hosts {
-			for _, pe := range spread.Peers(hosts, ho) {
+			for _, pe := range topology.Peers(hosts, ho) {
 				assert.Assert(t, pe.Addr != ho.Addr)
 				links[ho.Addr] = append(links[ho.Addr], pe.Addr)
 				links[pe.Addr] = append(links[pe.Addr], ho.Addr)
 			}
 		}
-		start := spread.Readers(hosts, hosts[0].Zone)[0].Addr
+		start := topology.Readers(hosts, hosts[0].Zone)[0].Addr
 		seen := map[string]bool{start: true}
 		for queue := []string{start}; len(queue) > 0; queue = queue[1:] {
 			for _, next := range links[queue[0]] {
--- a/core/warmup/doc.go
+++ b/core/warmup/doc.go
@@ -24,7 +24,7 @@
 //
 //	tr := warmup.New(self, warmup.Overshoot(1.5, 5))
 //	tr.Started(now, warmup.Notice{Upstream: id, ColdFor: left, Entries: entries})
-//	open := tr.Open(now, hosts, bound, suspect)
-//	pe, ok := tr.Take(now, ho, bound, suspect)
+//	open := tr.Available(now, hosts, bound, suspect)
+//	pe, ok := tr.Acquire(now, ho, bound, suspect)
 //	defer pe.Release(now) // when the response begins
 package warmup
--- a/core/warmup/tracker.go
+++ b/core/warmup/tracker.go
@@ -9,8 +9,8 @@
 	"skylarkstand/core/rendezvous"
 )
 
-// Bound is the load that a service's upstreams can take while they are cold.
-type Bound struct {
+// ColdLimit is the load that a service's upstreams can take while they are cold.
+type ColdLimit struct {
 	// Rate is in requests a second; 0 is no bound.
 	Rate float64
 	// Duration is how long an upstream is cold after its start.
@@ -80,7 +80,7 @@
 }
 
 // Permits returns how many requests a cold upstream may get in one second from all entries.
-func (tr *Tracker) Permits(bo Bound) int { return int(bo.Rate*tr.overshoot + tr.slack) }
+func (tr *Tracker) Permits(bo ColdLimit) int { return int(bo.Rate*tr.overshoot + tr.slack) }
 
 // Started begins a new span, with its own permits.
 func (tr *Tracker) Started(now time.Time, no Notice) {
@@ -107,17 +107,17 @@
 	delete(tr.spans, id)
 }
 
-// Cold reports whether an upstream is cold, as far as was reported.
-func (tr *Tracker) Cold(now time.Time, id core.UpstreamID, bo Bound) bool {
+// IsCold reports whether an upstream is cold, as far as was reported.
+func (tr *Tracker) IsCold(now time.Time, id core.UpstreamID, bo ColdLimit) bool {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
 	sp := tr.spans[id]
 	return sp != nil && bo.Rate > 0 && sp.cold(now, bo)
 }
 
-// Open returns the upstreams to which this entry may send a request now. Suspect reports whether an
-// upstream may be cold without a notice.
-func (tr *Tracker) Open(now time.Time, hosts []core.Host, bo Bound, suspect func(*core.Host) bool) []core.Host {
+// Available returns the upstreams to which this entry may send a request now. Suspect reports
+// whether an upstream may be cold without a notice.
+func (tr *Tracker) Available(now time.Time, hosts []core.Host, bo ColdLimit, suspect func(*core.Host) bool) []core.Host {
 	if bo.Rate <= 0 {
 		return hosts
 	}
@@ -136,9 +136,9 @@
 	return out
 }
 
-// Take returns a permit for a request to an upstream, or false if none is free. A warm upstream
+// Acquire returns a permit for a request to an upstream, or false if none is free. A warm upstream
 // needs none, and the permit is nil.
-func (tr *Tracker) Take(now time.Time, ho *core.Host, bo Bound, suspect bool) (*Permit, bool) {
+func (tr *Tracker) Acquire(now time.Time, ho *core.Host, bo ColdLimit, suspect bool) (*Permit, bool) {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
 	sp := tr.spans[ho.ID]
@@ -154,7 +154,7 @@
 }
 
 // available reports whether this entry may send a request to an upstream now.
-func (tr *Tracker) available(now time.Time, ho *core.Host, bo Bound, suspect bool) bool {
+func (tr *Tracker) available(now time.Time, ho *core.Host, bo ColdLimit, suspect bool) bool {
 	sp := tr.spans[ho.ID]
 	if sp == nil || bo.Rate <= 0 {
 		return true
@@ -179,7 +179,7 @@
 	sp.coldUntil = now.Add(max(left, 0))
 }
 
-func (sp *span) cold(now time.Time, bo Bound) bool {
+func (sp *span) cold(now time.Time, bo ColdLimit) bool {
 	if sp.unknown {
 		return now.Before(sp.noticedAt.Add(bo.Duration))
 	}
@@ -188,13 +188,13 @@
 
 // limited reports whether requests need permits: for a cold upstream, and for one that was warm in
 // a copy of the list that does not show what came before.
-func (sp *span) limited(now time.Time, bo Bound) bool {
+func (sp *span) limited(now time.Time, bo ColdLimit) bool {
 	return sp.cold(now, bo) || !sp.exact && now.Before(sp.noticedAt.Add(bo.Duration))
 }
 
 // ownPermits returns how many of all permits belong to this entry. They are assigned round-robin.
 // An entry that was not registered may use one where it has no notice that the upstream is cold.
-func (tr *Tracker) ownPermits(id core.UpstreamID, sp *span, bo Bound) int {
+func (tr *Tracker) ownPermits(id core.UpstreamID, sp *span, bo ColdLimit) int {
 	if sp.rank == unranked {
 		sp.rank = rendezvous.Rank(string(id), sp.entries, tr.self)
 	}
--- a/core/warmup/tracker_test.go
+++ b/core/warmup/tracker_test.go
@@ -12,7 +12,7 @@
 
 var (
 	start = time.Unix(1_000_000, 0)
-	bound = warmup.Bound{Rate: 5.2, Duration: 3 * time.Second}
+	bound = warmup.ColdLimit{Rate: 5.2, Duration: 3 * time.Second}
 	host  = core.Host{ID: "up"}
 )
 
@@ -31,7 +31,7 @@
 func takeAll(tr *warmup.Tracker, now time.Time) int {
 	n := 0
 	for {
-		pe, ok := tr.Take(now, &host, bound, false)
+		pe, ok := tr.Acquire(now, &host, bound, false)
 		if !ok || pe == nil {
 			return n
 		}
@@ -63,16 +63,16 @@
 	tr := newTracker("a")
 	tr.Started(start, notice(0, true, "b"))
 	for range 50 { // The upstream is warm.
-		_, ok := tr.Take(start, &host, bound, false)
+		_, ok := tr.Acquire(start, &host, bound, false)
 		assert.Assert(t, ok)
 	}
 	tr.Started(start, notice(time.Hour, true, "b"))
-	_, ok := tr.Take(start, &host, bound, false)
+	_, ok := tr.Acquire(start, &host, bound, false)
 	assert.Assert(t, !ok)
-	assert.Equal(t, len(tr.Open(start, []core.Host{host}, bound, notSuspect)), 0)
-	_, ok = tr.Take(start, &host, warmup.Bound{}, false)
+	assert.Equal(t, len(tr.Available(start, []core.Host{host}, bound, notSuspect)), 0)
+	_, ok = tr.Acquire(start, &host, warmup.ColdLimit{}, false)
 	assert.Assert(t, ok, "the service declares no rate")
-	assert.Equal(t, len(tr.Open(start, []core.Host{host}, warmup.Bound{}, suspect)), 1)
+	assert.Equal(t, len(tr.Available(start, []core.Host{host}, warmup.ColdLimit{}, suspect)), 1)
 }
 
 // TestColdEnds guards against an upstream that stays limited once it is warm, and one that counts
@@ -94,7 +94,7 @@
 		t.Run(sc.testName, func(t *testing.T) {
 			tr := newTracker("a")
 			tr.Started(start, notice(sc.coldFor, true, "b"))
-			cold := func(at time.Duration) bool { return tr.Cold(start.Add(at), host.ID, bound) }
+			cold := func(at time.Duration) bool { return tr.IsCold(start.Add(at), host.ID, bound) }
 			assert.Assert(t, cold(0))
 			if sc.later >= 0 {
 				tr.SetRemaining(start.Add(time.Second), host.ID, sc.later)
@@ -114,7 +114,7 @@
 	tr.Started(start, notice(time.Hour, true, "a"))
 	var last *warmup.Permit
 	for range 12 {
-		last, _ = tr.Take(start, &host, bound, false)
+		last, _ = tr.Acquire(start, &host, bound, false)
 	}
 	at := start.Add(10 * time.Second)
 	assert.Equal(t, takeAll(tr, at), 0, "no response has begun")
@@ -140,7 +140,7 @@
 	tr := newTracker("new")
 	tr.Started(start, notice(0, false, "a", "b"))
 	assert.Equal(t, takeAll(tr, start), 1)
-	_, ok := tr.Take(start.Add(bound.Duration), &host, bound, false)
+	_, ok := tr.Acquire(start.Add(bound.Duration), &host, bound, false)
 	assert.Assert(t, ok, "a cold upstream would be warm by now")
 }
 
@@ -151,11 +151,11 @@
 	tr.Started(start, notice(0, true, "a", "b", "c", "d"))
 	n := 0
 	for range 20 {
-		if _, ok := tr.Take(start, &host, bound, true); ok {
+		if _, ok := tr.Acquire(start, &host, bound, true); ok {
 			n++
 		}
 	}
 	assert.Equal(t, n, 3)
-	assert.Equal(t, len(tr.Open(start, []core.Host{host}, bound, suspect)), 0)
-	assert.Equal(t, len(tr.Open(start, []core.Host{host}, bound, notSuspect)), 1)
+	assert.Equal(t, len(tr.Available(start, []core.Host{host}, bound, suspect)), 0)
+	assert.Equal(t, len(tr.Available(start, []core.Host{host}, bound, notSuspect)), 1)
 }
--- a/core/feed/cold_test.go
+++ b/core/watch/cold_test.go
@@ -1,4 +1,4 @@
-package feed_test
+package watch_test
 
 import (
 	"encoding/json"
@@ -12,29 +12,29 @@
 	"gotest.tools/v3/assert"
 
 	"skylarkstand/core"
-	"skylarkstand/core/feed"
 	"skylarkstand/core/warmup"
+	"skylarkstand/core/watch"
 )
 
 // coldLayout decodes upstream listings whose value is the remaining warm-up time.
 type coldLayout struct{}
 
-func (coldLayout) Decode(it core.Item) (feed.Entry, error) {
+func (coldLayout) Decode(it core.Item) (watch.Record, error) {
 	if it.Key == "out/z" {
-		return feed.Entry{Evacuated: "z"}, nil
+		return watch.Record{Evacuated: "z"}, nil
 	}
 	id := core.UpstreamID(it.Key[3:])
 	var left time.Duration
 	if len(it.Value) > 0 {
 		if err := json.Unmarshal(it.Value, &left); err != nil {
-			return feed.Entry{Upstream: id}, err
+			return watch.Record{Upstream: id}, err
 		}
 	}
-	return feed.Entry{Upstream: id, Host: &core.Host{ID: id, Service: "pool", Zone: "z", Region: "r", Warming: left}}, nil
+	return watch.Record{Upstream: id, Host: &core.Host{ID: id, Service: "pool", Zone: "z", Region: "r", Warming: left}}, nil
 }
 
 // coldBound allows maxPerSecond requests in one second.
-var coldBound = warmup.Bound{Rate: 5.2, Duration: 3 * time.Second}
+var coldBound = warmup.ColdLimit{Rate: 5.2, Duration: 3 * time.Second}
 
 const maxPerSecond = 12
 
@@ -85,7 +85,7 @@
 }
 
 func (wo *coldWorld) join(id string) {
-	wo.write(feed.PrefixEntries+id, feed.Member{Zone: "z"}, false)
+	wo.write(watch.PrefixEntries+id, watch.Member{Zone: "z"}, false)
 }
 
 // snapshot returns the store's content after the first n changes.
@@ -130,7 +130,7 @@
 	now := time.Now()
 	for _, ho := range en.fl.Serving("pool", now, core.Regions{}) {
 		for range maxPerSecond {
-			pe, ok := en.wu.Take(now, &ho, coldBound, false)
+			pe, ok := en.wu.Acquire(now, &ho, coldBound, false)
 			if !ok {
 				break
 			}
@@ -203,7 +203,7 @@
 		wo.entries = append(wo.entries, en)
 	}
 	for range wo.rng.IntN(6) {
-		wo.write(feed.PrefixEntries+fmt.Sprint("p", wo.rng.IntN(40)), nil, true)
+		wo.write(watch.PrefixEntries+fmt.Sprint("p", wo.rng.IntN(40)), nil, true)
 	}
 	if evacuated {
 		wo.write("out/z", nil, true)
@@ -214,7 +214,7 @@
 	for now := time.Now(); now.Before(cold); now = time.Now() {
 		switch wo.rng.IntN(120) {
 		case 0:
-			wo.write(feed.PrefixEntries+fmt.Sprint("p", wo.rng.IntN(40)), nil, true)
+			wo.write(watch.PrefixEntries+fmt.Sprint("p", wo.rng.IntN(40)), nil, true)
 		case 1:
 			id := fmt.Sprint("q", len(wo.log))
 			wo.entries = append(wo.entries, newColdEntry(core.ProcessID(id), 0))
@@ -276,7 +276,7 @@
 				en.mi.Apply([]core.Change{wo.log[en.next].change}, core.Revision(en.next+1), time.Now())
 			}
 		}
-		cold := func() bool { return en.wu.Cold(time.Now(), "1", coldBound) }
+		cold := func() bool { return en.wu.IsCold(time.Now(), "1", coldBound) }
 		deliver()
 		assert.Assert(t, !cold())
 		wo.write("up/1", 2*time.Second, false)
--- a/core/feed/evacuation_test.go
+++ b/core/watch/evacuation_test.go
@@ -1,4 +1,4 @@
-package feed_test
+package watch_test
 
 import (
 	"testing"
@@ -7,21 +7,21 @@
 	"gotest.tools/v3/assert"
 
 	"skylarkstand/core"
-	"skylarkstand/core/feed"
+	"skylarkstand/core/watch"
 )
 
 // layout decodes the keys of a platform with one upstream in each of two zones.
 type layout struct{}
 
-func (layout) Decode(it core.Item) (feed.Entry, error) {
+func (layout) Decode(it core.Item) (watch.Record, error) {
 	switch it.Key {
 	case "out/a", "out/b":
-		return feed.Entry{Evacuated: core.Zone(it.Key[4:])}, nil
+		return watch.Record{Evacuated: core.Zone(it.Key[4:])}, nil
 	case "up/a", "up/b":
 		id := core.UpstreamID(it.Key[3:])
-		return feed.Entry{Upstream: id, Host: &core.Host{ID: id, Service: "desk", Zone: core.Zone(id)}}, nil
+		return watch.Record{Upstream: id, Host: &core.Host{ID: id, Service: "desk", Zone: core.Zone(id)}}, nil
 	}
-	return feed.Entry{}, nil
+	return watch.Record{}, nil
 }
 
 func (wo world) serving() string {
--- a/core/feed/feed.go
+++ b/core/watch/handler.go
@@ -1,4 +1,4 @@
-// Package feed routes the changes of the replicated store to the components that use
+// Package watch routes the changes of the replicated store to the components that use
 // them: the configuration, the fleet of upstreams, the roll-outs and the list of entries.
 //
 // The platform defines the meaning of its keys, which [Layout] decodes. The project's own
@@ -6,9 +6,9 @@
 //
 // # Usage
 //
-//	fd := feed.New(deps, layout, feed.Parts{…})
-//	mi.Subscribe(fd.Changed)
-package feed
+//	fd := watch.New(deps, layout, watch.Targets{…})
+//	mi.Subscribe(fd.HandleChanges)
+package watch
 
 import (
 	"encoding/json"
@@ -26,9 +26,9 @@
 	"skylarkstand/core/warmup"
 )
 
-// Entry is the decoded content of a platform key. It is empty for a key that does not
+// Record is the decoded content of a platform key. It is empty for a key that does not
 // concern the project.
-type Entry struct {
+type Record struct {
 	Configuration *route.Document
 	Order         *canary.Order
 	Status        *canary.Status
@@ -42,9 +42,9 @@
 
 // Layout decodes the platform's keys.
 type Layout interface {
-	// Decode returns the content of a key. With an error, Entry.Upstream and
-	// Entry.Evacuated are still set if the key alone determines them.
-	Decode(it core.Item) (Entry, error)
+	// Decode returns the content of a key. With an error, Record.Upstream and
+	// Record.Evacuated are still set if the key alone determines them.
+	Decode(it core.Item) (Record, error)
 }
 
 // Prefixes of the project's own keys in the store.
@@ -62,8 +62,8 @@
 	Revision core.Revision `json:"-"`
 }
 
-// Parts are the components that receive changes.
-type Parts struct {
+// Targets are the components that receive changes.
+type Targets struct {
 	InForce *route.InForce
 	Fleet   *fleet.Fleet
 	Canary  *canary.Guard
@@ -72,15 +72,15 @@
 	Regions map[core.Zone]core.Region
 	// Doubtful reports whether a removal may have been caused by a store outage.
 	Doubtful func(now time.Time) bool
-	// Gone is called for an upstream whose listing was removed.
-	Gone func(core.Host)
+	// OnRemoved is called for an upstream whose listing was removed.
+	OnRemoved func(core.Host)
 }
 
-// Feed routes changes. The replica calls it with one batch of changes at a time.
-type Feed struct {
+// Handler routes changes. The replica calls it with one batch of changes at a time.
+type Handler struct {
 	deps core.Deps
 	la   Layout
-	pa   Parts
+	pa   Targets
 
 	mu      sync.Mutex
 	members map[core.ProcessID]Member
@@ -95,16 +95,16 @@
 	newest *route.Document
 }
 
-// New returns a Feed that routes changes to pa.
-func New(deps core.Deps, la Layout, pa Parts) *Feed {
-	return &Feed{
+// New returns a Handler that routes changes to pa.
+func New(deps core.Deps, la Layout, pa Targets) *Handler {
+	return &Handler{
 		deps: deps, la: la, pa: pa, members: map[core.ProcessID]Member{},
 		hosts: map[core.UpstreamID]core.Host{}, restored: map[core.UpstreamID]bool{}, holders: map[core.Region][]core.ProcessID{},
 	}
 }
 
-// Changed processes a batch of changes in order.
-func (fd *Feed) Changed(changes []core.Change) {
+// HandleChanges processes a batch of changes in order.
+func (fd *Handler) HandleChanges(changes []core.Change) {
 	now := time.Now()
 	for _, ch := range changes {
 		switch {
@@ -119,7 +119,7 @@
 	fd.adoptConfiguration()
 }
 
-func (fd *Feed) applyMember(ch core.Change) {
+func (fd *Handler) applyMember(ch core.Change) {
 	id := core.ProcessID(strings.TrimPrefix(ch.Key, PrefixEntries))
 	var me Member
 	if !ch.Gone {
@@ -141,7 +141,7 @@
 
 // Members lists the registered entries. Of several entries at one address it contains only
 // the newest: the others have ended, although their leases last for some more seconds.
-func (fd *Feed) Members() []Member {
+func (fd *Handler) Members() []Member {
 	fd.mu.Lock()
 	defer fd.mu.Unlock()
 	newest := map[string]Member{}
@@ -158,15 +158,15 @@
 	return slices.AppendSeq(out, maps.Values(newest))
 }
 
-// Entries returns the number of registered entries. It includes entries that have ended but
+// EntryCount returns the number of registered entries. It includes entries that have ended but
 // whose lease lasts, since their retries still count in the retry budget's window.
-func (fd *Feed) Entries() int {
+func (fd *Handler) EntryCount() int {
 	fd.mu.Lock()
 	defer fd.mu.Unlock()
 	return len(fd.members)
 }
 
-func (fd *Feed) applyStep(now time.Time, ch core.Change) {
+func (fd *Handler) applyStep(now time.Time, ch core.Change) {
 	if ch.Gone {
 		return
 	}
@@ -180,7 +180,7 @@
 	event.Log(fd.deps.Log, event.CanaryStep, "service", st.Service, "step", st.Step, "order", st.Order, "revision", st.Revision)
 }
 
-func (fd *Feed) applyPlatformKey(now time.Time, ch core.Change) {
+func (fd *Handler) applyPlatformKey(now time.Time, ch core.Change) {
 	en, err := fd.la.Decode(ch.Item)
 	switch {
 	case en.Upstream != "":
@@ -205,7 +205,7 @@
 
 // applyEvacuation starts the evacuation of a zone, or ends it. Only the removal of the key
 // ends an evacuation.
-func (fd *Feed) applyEvacuation(now time.Time, ch core.Change, zo core.Zone) {
+func (fd *Handler) applyEvacuation(now time.Time, ch core.Change, zo core.Zone) {
 	if ch.Gone {
 		fd.pa.Fleet.Restore(zo)
 		fd.markZoneCold(now, ch, zo)
@@ -218,7 +218,7 @@
 
 // applyUpstream processes an upstream listing. A listing that cannot be decoded counts as
 // removed, since the upstream did not write it.
-func (fd *Feed) applyUpstream(now time.Time, ch core.Change, en Entry, err error) {
+func (fd *Handler) applyUpstream(now time.Time, ch core.Change, en Record, err error) {
 	old, known := fd.hosts[en.Upstream]
 	if ch.Gone || err != nil {
 		if err != nil && !ch.Gone {
@@ -234,7 +234,7 @@
 		event.Log(fd.deps.Log, event.UpstreamGone, "upstream", en.Upstream, "address", old.Addr, "doubtful", doubtful, "revision", ch.Revision)
 		if !doubtful {
 			fd.pa.Warmup.Forget(en.Upstream)
-			fd.pa.Gone(old)
+			fd.pa.OnRemoved(old)
 		}
 		return
 	}
@@ -249,7 +249,7 @@
 }
 
 // adoptConfiguration puts the newest configuration of a batch in force.
-func (fd *Feed) adoptConfiguration() {
+func (fd *Handler) adoptConfiguration() {
 	doc := fd.newest
 	fd.newest = nil
 	if doc == nil {
@@ -265,6 +265,6 @@
 	}
 }
 
-func (fd *Feed) logMalformed(ch core.Change, err error) {
+func (fd *Handler) logMalformed(ch core.Change, err error) {
 	event.Log(fd.deps.Log, event.EntryMalformed, "key", ch.Key, "revision", ch.Revision, "error", err)
 }
--- a/core/feed/members_test.go
+++ b/core/watch/members_test.go
@@ -1,4 +1,4 @@
-package feed_test
+package watch_test
 
 import (
 	"encoding/json"
@@ -9,7 +9,7 @@
 	"gotest.tools/v3/assert"
 
 	"skylarkstand/core"
-	"skylarkstand/core/feed"
+	"skylarkstand/core/watch"
 )
 
 // TestRestartedEntryReplacesItsPredecessor guards against an entry that is listed twice after
@@ -18,9 +18,9 @@
 func TestRestartedEntryReplacesItsPredecessor(t *testing.T) {
 	wo := newWorld("self", layout{}, false)
 	register := func(id, addr string, re core.Revision) core.Item {
-		raw, err := json.Marshal(feed.Member{Addr: addr, Zone: "a"})
+		raw, err := json.Marshal(watch.Member{Addr: addr, Zone: "a"})
 		assert.NilError(t, err)
-		return core.Item{Key: feed.PrefixEntries + id, Value: raw, Revision: re}
+		return core.Item{Key: watch.PrefixEntries + id, Value: raw, Revision: re}
 	}
 	ids := func() []string {
 		var out []string
@@ -36,7 +36,7 @@
 	again := register("new-1", "one", 5)
 	wo.mi.Apply([]core.Change{{Item: again}}, 5, now)
 	assert.DeepEqual(t, ids(), []string{"new-1", "old-2"})
-	assert.Equal(t, wo.fd.Entries(), 3, "the retries of the ended process count until its lease expires")
-	wo.mi.Apply([]core.Change{{Item: core.Item{Key: feed.PrefixEntries + "old-1", Revision: 6}, Gone: true}}, 6, now)
+	assert.Equal(t, wo.fd.EntryCount(), 3, "the retries of the ended process count until its lease expires")
+	wo.mi.Apply([]core.Change{{Item: core.Item{Key: watch.PrefixEntries + "old-1", Revision: 6}, Gone: true}}, 6, now)
 	assert.DeepEqual(t, ids(), []string{"new-1", "old-2"})
 }
--- a/core/feed/warmup.go
+++ b/core/watch/warmup.go
@@ -1,4 +1,4 @@
-package feed
+package watch
 
 import (
 	"time"
@@ -10,7 +10,7 @@
 
 // updateWarmup starts the warm-up of an upstream that has started or is cold again, or
 // updates its remaining warm-up time.
-func (fd *Feed) updateWarmup(now time.Time, ch core.Change, old core.Host, known bool, ho core.Host) {
+func (fd *Handler) updateWarmup(now time.Time, ch core.Change, old core.Host, known bool, ho core.Host) {
 	// The end of an evacuation has already started the warm-up of a restored upstream.
 	coldAgain := old.Warming == 0 && ho.Warming != 0 && !fd.restored[ho.ID]
 	delete(fd.restored, ho.ID)
@@ -24,7 +24,7 @@
 
 // markZoneCold starts the warm-up of all upstreams of a zone, which had no work while the
 // zone was evacuated.
-func (fd *Feed) markZoneCold(now time.Time, ch core.Change, zo core.Zone) {
+func (fd *Handler) markZoneCold(now time.Time, ch core.Change, zo core.Zone) {
 	for id, ho := range fd.hosts {
 		if ho.Zone == zo {
 			fd.restored[id] = true
@@ -33,7 +33,7 @@
 	}
 }
 
-func (fd *Feed) startWarmup(now time.Time, ch core.Change, ho core.Host, coldFor time.Duration) {
+func (fd *Handler) startWarmup(now time.Time, ch core.Change, ho core.Host, coldFor time.Duration) {
 	no := warmup.Notice{Upstream: ho.ID, ColdFor: coldFor, Entries: fd.permitHolders(ho.Region), Exact: !ch.Skipped}
 	fd.pa.Warmup.Started(now, no)
 	if coldFor != 0 {
@@ -43,7 +43,7 @@
 
 // permitHolders lists the entries that share the permits of an upstream: those of its
 // region, or all entries if the region has none.
-func (fd *Feed) permitHolders(re core.Region) []core.ProcessID {
+func (fd *Handler) permitHolders(re core.Region) []core.ProcessID {
 	if cached, ok := fd.holders[re]; ok {
 		return cached
 	}
--- a/io/caller/admit.go
+++ b/io/caller/admit.go
@@ -52,14 +52,14 @@
 	}
 	pass, err := srv.gate.Enter(ctx, po, admission.Work{
 		Workspace: ws.ID, Share: ws.Share, Limit: ws.Limit, Prompt: core.Tokens(len(dr.Prompt) / bytesPerToken),
-		Priority: admission.Priority(dr.Priority), Deadline: dr.Deadline, Draw: rand.Float64(),
-		Body: len(dr.Body), MayCross: len(dr.Body) <= placement.MaxCrossing,
+		Priority: admission.Priority(dr.Priority), Deadline: dr.Deadline, Jitter: rand.Float64(),
+		Body: len(dr.Body), AllowCrossRegion: len(dr.Body) <= placement.MaxCrossRegionBody,
 	})
 	if err != nil {
 		srv.inFlight.Add(-1)
 		return nil, err
 	}
-	ad.pass, dr.Crossing = pass, pass.Crossing()
+	ad.pass, dr.Crossing = pass, pass.CrossRegion()
 	return ad, nil
 }
 
@@ -78,7 +78,7 @@
 		us.Prompt += li.Usage.Prompt
 		us.Generated += li.Usage.Generated
 	}
-	ad.pass.Used(us)
+	ad.pass.RecordUsage(us)
 }
 
 // release ends the request's admission.
--- a/io/caller/request.go
+++ b/io/caller/request.go
@@ -138,7 +138,7 @@
 func (srv *Server) readSession(rq *http.Request, ws core.WorkspaceID, id core.RequestID) (session.Pin, routing.Session, error) {
 	pin := session.Pin{Workspace: ws, Session: core.SessionID(rq.Header.Get(HeaderSession))}
 	if tok := rq.Header.Get(HeaderPin); tok != "" {
-		opened, err := srv.keys.Open(tok, ws)
+		opened, err := srv.keys.Verify(tok, ws)
 		if err != nil {
 			return pin, routing.Session{}, core.Refuse(core.CodeBadRequest, 0, "the header %s is not a token of this workspace", HeaderPin)
 		}
@@ -150,5 +150,5 @@
 	case pin.Versions == nil:
 		pin.Versions = srv.sessions.Find(rq.Context(), session.Key{Workspace: ws, Session: pin.Session})
 	}
-	return pin, routing.Session{Pins: pin.Versions, Draw: session.Draw(ws, pin.Session), Stale: !srv.inf.Fresh(time.Now(), srv.maxConfigAge)}, nil
+	return pin, routing.Session{Pins: pin.Versions, Draw: session.Fraction(ws, pin.Session), Stale: !srv.inf.Fresh(time.Now(), srv.maxConfigAge)}, nil
 }
--- a/io/front/front.go
+++ b/io/front/front.go
@@ -100,7 +100,7 @@
 		return
 	}
 	if sv.drained.Load() {
-		sv.reject(w, rq, ex.ID, core.Refuse(core.CodeLeaving, forward.Restart, "the process has stopped"))
+		sv.reject(w, rq, ex.ID, core.Refuse(core.CodeLeaving, forward.RestartTime, "the process has stopped"))
 		return
 	}
 	ans, err := sv.fw.Forward(rq.Context(), ex)
--- a/io/front/front_test.go
+++ b/io/front/front_test.go
@@ -69,10 +69,10 @@
 	inf.Adopt(tb)
 	fl := fleet.New()
 	fl.Put(core.Host{ID: "desk-1", Addr: "desk-1", Service: "desk", Slots: 4, Version: "v1"})
-	fw := forward.New(core.NewDeps(), ac, forward.Parts{
+	fw := forward.New(core.NewDeps(), ac, forward.Components{
 		InForce: inf, Warmup: warmup.New("self"), Fleet: fl, Canary: canary.New(),
-		Age:     func() time.Duration { return 0 },
-		Repeats: forward.NewWindows(10*time.Second, 1, func() float64 { return 10 }),
+		ConfigAge:      func() time.Duration { return 0 },
+		NewRetryWindow: forward.RetryWindows(10*time.Second, 1, func() float64 { return 10 }),
 	})
 	sv := front.New(deps, plain{}, fw, inf)
 	li, err := net.Listen("tcp", "127.0.0.1:0")
--- a/io/peer/evidence.go
+++ b/io/peer/evidence.go
@@ -29,7 +29,7 @@
 // poolEvidence adds another entry's batch to the pooled evidence and returns the response to it.
 func (me *Mesh) poolEvidence(ev *frame.Evidence) *frame.Frame {
 	taken := &frame.Evidence{}
-	if me.guard.Pool(readEvidence(ev, time.Now())) {
+	if me.guard.MergeBatch(readEvidence(ev, time.Now())) {
 		taken.Model = ev.Model
 	}
 	return &frame.Frame{Body: &frame.Frame_Evidence{Evidence: taken}}
@@ -38,18 +38,18 @@
 // TellHalt broadcasts a halt that was decided under a generation to all linked entries.
 func (me *Mesh) TellHalt(ha rollout.Halt, decided core.Generation) {
 	me.broadcast(&frame.Frame{Body: &frame.Frame_Halt{Halt: &frame.Halt{
-		Model: string(ha.Version.Model), Version: string(ha.Version.Version), Why: ha.Why,
-		Reached: int64(ha.Reached), Generation: uint64(decided),
+		Model: string(ha.Version.Model), Version: string(ha.Version.Version), Why: ha.Evidence,
+		Reached: int64(ha.Exposed), Generation: uint64(decided),
 	}}})
 }
 
 // receiveHalt applies another entry's halt and forwards it if it is new, as receiveSuspect does.
 func (me *Mesh) receiveHalt(fr *frame.Halt) {
 	ha := rollout.Halt{
-		Version: core.ModelVersion{Model: core.ModelID(fr.Model), Version: core.VersionID(fr.Version)},
-		Why:     fr.Why, Reached: int(fr.Reached),
+		Version:  core.ModelVersion{Model: core.ModelID(fr.Model), Version: core.VersionID(fr.Version)},
+		Evidence: fr.Why, Exposed: int(fr.Reached),
 	}
-	if decided := core.Generation(fr.Generation); me.guard.Heed(ha, decided) {
+	if decided := core.Generation(fr.Generation); me.guard.AdoptHalt(ha, decided) {
 		go me.TellHalt(ha, decided)
 	}
 }
@@ -61,7 +61,7 @@
 		version core.VersionID
 		kind    rollout.Kind
 	}
-	ev := &frame.Evidence{Model: string(ba.Model), Reached: int64(ba.Reached)}
+	ev := &frame.Evidence{Model: string(ba.Model), Reached: int64(ba.Exposed)}
 	groups := map[group]*frame.Observations{}
 	for _, ou := range ba.Outcomes {
 		gr := group{ou.Version.Version, ou.Kind}
@@ -85,10 +85,10 @@
 
 // readEvidence decodes what evidenceFrame encoded. Unknown kinds are skipped.
 func readEvidence(ev *frame.Evidence, now time.Time) rollout.Batch {
-	ba := rollout.Batch{Model: core.ModelID(ev.Model), Reached: int(ev.Reached)}
+	ba := rollout.Batch{Model: core.ModelID(ev.Model), Exposed: int(ev.Reached)}
 	for _, obs := range ev.Observations {
 		kind := rollout.Kind(obs.Kind)
-		if !kind.Known() {
+		if !kind.Valid() {
 			continue
 		}
 		mv := core.ModelVersion{Model: ba.Model, Version: core.VersionID(obs.Version)}
--- a/io/peer/evidence_test.go
+++ b/io/peer/evidence_test.go
@@ -18,7 +18,7 @@
 	now := time.Unix(1000, 0)
 	rapid.Check(t, func(rt *rapid.T) {
 		kind := rapid.SampledFrom([]rollout.Kind{rollout.Rating, rollout.Error, rollout.Crash}).Draw(rt, "kind")
-		sent := rollout.Batch{Model: "desk", Reached: rapid.IntRange(0, 9).Draw(rt, "reached")}
+		sent := rollout.Batch{Model: "desk", Exposed: rapid.IntRange(0, 9).Draw(rt, "reached")}
 		for range rapid.IntRange(0, 30).Draw(rt, "outcomes") {
 			ou := rollout.Outcome{Version: core.ModelVersion{Model: "desk", Version: "v2"}, Kind: kind, Bad: rapid.Bool().Draw(rt, "bad"), At: now}
 			if ou.Bad && kind == rollout.Crash {
--- a/io/peer/halt_test.go
+++ b/io/peer/halt_test.go
@@ -37,7 +37,7 @@
 	_, err = inf.Adopt(raw)
 	assert.NilError(t, err)
 	en := &entry{host: core.Host{Role: core.RoleEntry, Addr: li.Addr().String(), Zone: zone, Region: "muc"}, gu: rollout.New()}
-	en.gu.Follow(inf.Current())
+	en.gu.Apply(inf.Current())
 	en.mesh = peer.New(core.NewDeps(), inf, suspect.New(), en.host, peer.Guard(en.gu))
 	go func() { _ = en.mesh.Serve(ctx, li) }()
 	return en
@@ -67,9 +67,9 @@
 		}
 		assert.Assert(t, !en.gu.Halted(bad))
 	}
-	one.gu.Pool(one.gu.Batches()[0])
+	one.gu.MergeBatch(one.gu.TakeBatches()[0])
 	assert.Assert(t, !one.gu.Halted(bad))
-	sent := two.gu.Batches()[0]
+	sent := two.gu.TakeBatches()[0]
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		if err := two.mesh.SendEvidence(ctx, home, sent); err != nil {
 			return poll.Continue("%v", err)
@@ -77,7 +77,7 @@
 		return poll.Success()
 	}, poll.WithTimeout(10*time.Second))
 	assert.Assert(t, one.gu.Halted(bad))
-	one.mesh.TellHalt(one.gu.Halts()[0], 1)
+	one.mesh.TellHalt(one.gu.PendingHalts()[0], 1)
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		if !two.gu.Halted(bad) {
 			return poll.Continue("the halt has not arrived yet")
--- a/io/peer/peer.go
+++ b/io/peer/peer.go
@@ -24,8 +24,8 @@
 	"skylarkstand/core/event"
 	"skylarkstand/core/rollout"
 	"skylarkstand/core/session"
-	"skylarkstand/core/spread"
 	"skylarkstand/core/suspect"
+	"skylarkstand/core/topology"
 	"skylarkstand/io/frame"
 	"skylarkstand/io/link"
 )
@@ -129,7 +129,7 @@
 		Fingerprint: suspect.Fingerprint(su.Fingerprint), State: suspect.State(su.State),
 		Until: now.Add(time.Duration(su.LeftMicros) * time.Microsecond),
 	}
-	if me.suspects.Learn(re, now) {
+	if me.suspects.Merge(re, now) {
 		go me.Tell(re)
 	}
 }
@@ -160,7 +160,7 @@
 		return
 	}
 	wanted := map[string]bool{}
-	for _, ho := range spread.Peers(hosts, me.self) {
+	for _, ho := range topology.Peers(hosts, me.self) {
 		wanted[ho.Addr] = true
 		if me.peers[ho.Addr] == nil {
 			ctx, cancel := context.WithCancel(me.ctx)
--- a/io/peer/peer_test.go
+++ b/io/peer/peer_test.go
@@ -97,10 +97,10 @@
 		update(all)
 		return all[3].inf.Number() == 1 && all[2].inf.Number() == 1 && all[1].inf.Number() == 1
 	})
-	re := all[2].reg.Crashed(42, true, time.Now())
+	re := all[2].reg.RecordCrash(42, true, time.Now())
 	all[2].mesh.Tell(re)
 	for _, me := range all {
-		eventually(t, func() bool { return me.reg.Verdict(42, time.Now()).State == suspect.Quarantined })
+		eventually(t, func() bool { return me.reg.Lookup(42, time.Now()).State == suspect.Quarantined })
 	}
 }
 
--- a/io/peer/pins.go
+++ b/io/peer/pins.go
@@ -57,7 +57,7 @@
 			continue
 		}
 		if vs := me.fetch(ctx, ho.Addr, key); vs != nil {
-			me.holder.Keep(key, vs, time.Now())
+			me.holder.Record(key, vs, time.Now())
 			return vs
 		}
 	}
@@ -93,7 +93,7 @@
 // Keep records the versions that a session is pinned to: here immediately, and at its holders in
 // the background.
 func (me *Mesh) Keep(key session.Key, vs session.Versions) {
-	me.holder.Keep(key, vs, time.Now())
+	me.holder.Record(key, vs, time.Now())
 	for _, ho := range me.holders(key) {
 		if ho.Addr == me.self.Addr || !me.outbound.acquire() {
 			continue
@@ -131,7 +131,7 @@
 		_ = wr.Write(pinsFrame(key, me.holder.Find(key, now)))
 	case *frame.Frame_Pins:
 		key := session.Key{Workspace: core.WorkspaceID(body.Pins.Workspace), Session: core.SessionID(body.Pins.Session)}
-		me.holder.Keep(key, versionsOf(body.Pins), now)
+		me.holder.Record(key, versionsOf(body.Pins), now)
 		_ = wr.Write(pinsFrame(key, nil))
 	case *frame.Frame_Evidence:
 		_ = wr.Write(me.poolEvidence(body.Evidence))
--- a/io/sibling/take_test.go
+++ b/io/sibling/digest_test.go
@@ -8,7 +8,7 @@
 	"gotest.tools/v3/assert"
 
 	"skylarkstand/core/balance"
-	"skylarkstand/core/mirror"
+	"skylarkstand/core/replica"
 )
 
 // recordingConn records the datagrams that are sent.
@@ -26,24 +26,24 @@
 type fakePeer struct {
 	Loads
 	loads   []balance.Load
-	digests []mirror.Digest
+	digests []replica.Digest
 }
 
-func (pe *fakePeer) Told(_ uint64, lo balance.Load) { pe.loads = append(pe.loads, lo) }
+func (pe *fakePeer) ReceiveLoad(_ uint64, lo balance.Load) { pe.loads = append(pe.loads, lo) }
 
 // fakeDigests provides an entry's digest and records received ones in a fakePeer.
 type fakeDigests struct{ pe *fakePeer }
 
-func (di fakeDigests) Digest(time.Time) mirror.Digest { return mirror.Digest{Revision: 7} }
+func (di fakeDigests) Digest(time.Time) replica.Digest { return replica.Digest{Revision: 7} }
 
-func (di fakeDigests) Told(_ time.Time, got mirror.Digest) {
+func (di fakeDigests) ReceiveDigest(_ time.Time, got replica.Digest) {
 	di.pe.digests = append(di.pe.digests, got)
 }
 
-func newFakePeer() (*Sharer, *fakePeer) {
+func newFakePeer() (*Gossiper, *fakePeer) {
 	pe := &fakePeer{}
 	addrs := func() []string { return []string{"127.0.0.1:7340"} }
-	return NewSharer("p", "127.0.0.1:7341", pe, fakeDigests{pe}, addrs, func() bool { return true }), pe
+	return NewGossiper("p", "127.0.0.1:7341", pe, fakeDigests{pe}, addrs, func() bool { return true }), pe
 }
 
 // TestDigestDatagramLeavesLoadUnchanged guards against an entry whose load is reset to zero
@@ -57,6 +57,6 @@
 	receiver.handleDatagram(wi.sent[0], "127.0.0.1:7342")
 	assert.Equal(t, len(pe.loads), 0)
 	assert.Equal(t, len(pe.digests), 1)
-	assert.Equal(t, pe.digests[0].Revision, mirror.Digest{Revision: 7}.Revision)
+	assert.Equal(t, pe.digests[0].Revision, replica.Digest{Revision: 7}.Revision)
 	assert.Equal(t, pe.digests[0].From, "127.0.0.1:7342")
 }
--- a/io/sibling/facts.go
+++ b/io/sibling/facts.go
@@ -28,8 +28,8 @@
 	for _, fa := range facts {
 		data = binary.BigEndian.AppendUint64(data, fa.Upstream)
 		data = binary.BigEndian.AppendUint16(data, fa.Start)
-		data = binary.BigEndian.AppendUint16(data, uint16(min((fa.Rest+restUnit-1)/restUnit, maxUnits)))
-		data = append(data, byte(min(fa.Away, maxAway)))
+		data = binary.BigEndian.AppendUint16(data, uint16(min((fa.DownFor+restUnit-1)/restUnit, maxUnits)))
+		data = append(data, byte(min(fa.FailedConnects, maxAway)))
 	}
 	return data
 }
@@ -42,10 +42,10 @@
 	var out []balance.Fact
 	for row := data[1:]; len(row) > 0; row = row[factSize:] {
 		out = append(out, balance.Fact{
-			Upstream: binary.BigEndian.Uint64(row),
-			Start:    binary.BigEndian.Uint16(row[8:]),
-			Rest:     time.Duration(binary.BigEndian.Uint16(row[10:])) * restUnit,
-			Away:     int(row[12]),
+			Upstream:       binary.BigEndian.Uint64(row),
+			Start:          binary.BigEndian.Uint16(row[8:]),
+			DownFor:        time.Duration(binary.BigEndian.Uint16(row[10:])) * restUnit,
+			FailedConnects: int(row[12]),
 		})
 	}
 	return out, true
--- a/io/sibling/share.go
+++ b/io/sibling/gossip.go
@@ -12,49 +12,49 @@
 
 	"skylarkstand/core"
 	"skylarkstand/core/balance"
-	"skylarkstand/core/mirror"
+	"skylarkstand/core/replica"
 )
 
 // Loads provides this entry's load at upstreams and records the load of other entries.
 type Loads interface {
-	// Load returns the load that this entry announces.
-	Load() balance.Load
-	// Told records the load announced by another entry.
-	Told(from uint64, lo balance.Load)
-	// Sent signals that SentNow has calls to announce immediately.
-	Sent() <-chan struct{}
-	// SentNow returns the calls sent to upstreams since the previous call of SentNow.
-	SentNow() []balance.Share
-	// ToldSent records calls that another entry has just sent.
-	ToldSent(from uint64, sent []balance.Share)
+	// TakeLoad returns the load that this entry announces.
+	TakeLoad() balance.Load
+	// ReceiveLoad records the load announced by another entry.
+	ReceiveLoad(from uint64, lo balance.Load)
+	// SentSignal signals that TakeCalls has calls to announce immediately.
+	SentSignal() <-chan struct{}
+	// TakeCalls returns the calls sent to upstreams since the previous call of TakeCalls.
+	TakeCalls() []balance.Share
+	// ReceiveCalls records calls that another entry has just sent.
+	ReceiveCalls(from uint64, sent []balance.Share)
 	// RegionLoad returns the load announced to entries of other regions, with at most
-	// the given number of individual upstreams. ToldRegion records such a load.
+	// the given number of individual upstreams. ReceiveRegionLoad records such a load.
 	RegionLoad(maxUpstreams int) balance.RegionLoad
-	ToldRegion(lo balance.RegionLoad)
-	// RemoteCalls returns the calls sent to other regions since the previous call of
-	// RemoteCalls. ToldRemoteCalls records calls that an entry of another region has just
+	ReceiveRegionLoad(lo balance.RegionLoad)
+	// TakeRemoteCalls returns the calls sent to other regions since the previous call of
+	// TakeRemoteCalls. ReceiveRemoteCalls records calls that an entry of another region has just
 	// sent to this region.
-	RemoteCalls() []balance.RemoteCalls
-	ToldRemoteCalls(sent balance.RemoteCalls)
-	// Facts returns the facts about upstreams found by this entry since the previous call
-	// of Facts.
-	Facts() []balance.Fact
-	// ToldFacts records facts found by another entry.
-	ToldFacts(facts []balance.Fact)
+	TakeRemoteCalls() []balance.RemoteCalls
+	ReceiveRemoteCalls(sent balance.RemoteCalls)
+	// TakeFacts returns the facts about upstreams found by this entry since the previous call
+	// of TakeFacts.
+	TakeFacts() []balance.Fact
+	// ReceiveFacts records facts found by another entry.
+	ReceiveFacts(facts []balance.Fact)
 }
 
 // Digests provides this entry's replica digest and processes those of other entries.
 type Digests interface {
 	// Digest returns the digest that this entry announces.
-	Digest(now time.Time) mirror.Digest
-	// Told processes a digest received from another entry.
-	Told(now time.Time, di mirror.Digest)
+	Digest(now time.Time) replica.Digest
+	// ReceiveDigest processes a digest received from another entry.
+	ReceiveDigest(now time.Time, di replica.Digest)
 }
 
-// Sharer is the service that gossips this entry's load and replica digest to the other
+// Gossiper is the service that gossips this entry's load and replica digest to the other
 // entries of the local region by datagrams. The next round makes up for a lost datagram,
 // and an entry that is gone does not delay the others. It implements suture.Service.
-type Sharer struct {
+type Gossiper struct {
 	self  core.ProcessID
 	addr  string
 	ld    Loads
@@ -74,18 +74,18 @@
 	unsentFacts []balance.Fact
 }
 
-// SharerOption configures a Sharer.
-type SharerOption func(*Sharer)
+// GossiperOption configures a Gossiper.
+type GossiperOption func(*Gossiper)
 
-// Remote sets the function that returns the addresses of the entries of each other region.
-func Remote(fn func() map[core.Region][]string) SharerOption {
-	return func(sh *Sharer) { sh.remote = fn }
+// RemoteEntries sets the function that returns the addresses of the entries of each other region.
+func RemoteEntries(fn func() map[core.Region][]string) GossiperOption {
+	return func(sh *Gossiper) { sh.remote = fn }
 }
 
-// NewSharer returns a Sharer that listens at addr and sends to the addresses returned by
+// NewGossiper returns a Gossiper that listens at addr and sends to the addresses returned by
 // addrs. isReader reports whether other entries rely on this entry's replica.
-func NewSharer(self core.ProcessID, addr string, ld Loads, di Digests, addrs func() []string, isReader func() bool, opts ...SharerOption) *Sharer {
-	sh := &Sharer{
+func NewGossiper(self core.ProcessID, addr string, ld Loads, di Digests, addrs func() []string, isReader func() bool, opts ...GossiperOption) *Gossiper {
+	sh := &Gossiper{
 		self: self, addr: addr, ld: ld, di: di, addrs: addrs, isReader: isReader, revisionChanged: make(chan struct{}, 1), rotation: rotation{},
 		limiter: rate.NewLimiter(sentRate, sentBurst), remote: func() map[core.Region][]string { return nil },
 	}
@@ -95,9 +95,9 @@
 	return sh
 }
 
-// Changed triggers an immediate announcement of this entry's replica digest to all
+// AnnounceDigest triggers an immediate announcement of this entry's replica digest to all
 // siblings, if they rely on its replica.
-func (sh *Sharer) Changed() {
+func (sh *Gossiper) AnnounceDigest() {
 	select {
 	case sh.revisionChanged <- struct{}{}:
 	default:
@@ -135,16 +135,16 @@
 )
 
 // Serve implements suture.Service.
-func (sh *Sharer) Serve(ctx context.Context) error {
+func (sh *Gossiper) Serve(ctx context.Context) error {
 	pc, err := net.ListenPacket("udp", sh.addr)
 	if err != nil {
 		return eris.Wrap(err, "sibling")
 	}
 	defer context.AfterFunc(ctx, func() { pc.Close() })()
 	go sh.receive(pc)
-	ti := time.NewTicker(balance.ShareEvery)
+	ti := time.NewTicker(balance.ShareInterval)
 	defer ti.Stop()
-	remoteTicker := time.NewTicker(balance.RemoteEvery)
+	remoteTicker := time.NewTicker(balance.RemoteInterval)
 	defer remoteTicker.Stop()
 	for {
 		select {
@@ -157,7 +157,7 @@
 			sh.sendRegionLoad(pc)
 		case <-sh.revisionChanged:
 			sh.sendDigest(pc)
-		case <-sh.ld.Sent():
+		case <-sh.ld.SentSignal():
 			sh.sendSentCalls(pc)
 			sh.sendRemoteCalls(pc)
 			sh.sendFacts(pc, false) // An attempt at an absent upstream is followed by a retry, which triggers this case.
@@ -167,21 +167,21 @@
 
 // sendLoad gossips this entry's load to some siblings. An entry that is no reader sends
 // nothing when it has no load: its last load expires at the others within seconds.
-func (sh *Sharer) sendLoad(pc net.PacketConn) {
-	lo := sh.ld.Load()
-	if len(lo.Shares) == 0 && len(lo.Kept) == 0 && !sh.isReader() {
+func (sh *Gossiper) sendLoad(pc net.PacketConn) {
+	lo := sh.ld.TakeLoad()
+	if len(lo.Shares) == 0 && len(lo.CachedParts) == 0 && !sh.isReader() {
 		return
 	}
-	sh.rotation.beginRound(sh.addrs(), lo.Kept)
+	sh.rotation.beginRound(sh.addrs(), lo.CachedParts)
 	for _, addr := range sh.rotation.next(siblingsPerRound) {
-		sh.sendTo(pc, []string{addr}, balance.Load{Shares: lo.Shares, Kept: sh.rotation.takePending(addr), Budgets: lo.Budgets})
+		sh.sendTo(pc, []string{addr}, balance.Load{Shares: lo.Shares, CachedParts: sh.rotation.takePending(addr), Budgets: lo.Budgets})
 	}
 }
 
 // sendSentCalls immediately reports calls sent to upstreams to all siblings, unless the
 // rate limit is reached; the next gossip round then carries them.
-func (sh *Sharer) sendSentCalls(pc net.PacketConn) {
-	sent := sh.ld.SentNow()
+func (sh *Gossiper) sendSentCalls(pc net.PacketConn) {
+	sent := sh.ld.TakeCalls()
 	if len(sent) == 0 {
 		return
 	}
@@ -189,13 +189,13 @@
 	if !sh.limiter.AllowN(time.Now(), len(addrs)) {
 		return
 	}
-	write(pc, addrs, encodeSent(balance.HashOf(sh.self), sent))
+	write(pc, addrs, encodeSent(balance.Hash(sh.self), sent))
 }
 
 // sendFacts sends facts about upstreams to all siblings: immediately if the rate limit
 // allows, otherwise with the next gossip round.
-func (sh *Sharer) sendFacts(pc net.PacketConn, round bool) {
-	sh.unsentFacts = append(sh.unsentFacts, sh.ld.Facts()...)
+func (sh *Gossiper) sendFacts(pc net.PacketConn, round bool) {
+	sh.unsentFacts = append(sh.unsentFacts, sh.ld.TakeFacts()...)
 	if len(sh.unsentFacts) == 0 {
 		return
 	}
@@ -208,14 +208,14 @@
 
 // sendDigest sends the replica digest, without the load, to all siblings if they rely on
 // this entry's replica.
-func (sh *Sharer) sendDigest(pc net.PacketConn) {
+func (sh *Gossiper) sendDigest(pc net.PacketConn) {
 	if sh.isReader() {
 		write(pc, sh.addrs(), encodeRevision(sh.di.Digest(time.Now())))
 	}
 }
 
-func (sh *Sharer) sendTo(pc net.PacketConn, addrs []string, lo balance.Load) {
-	write(pc, addrs, encode(balance.HashOf(sh.self), sh.di.Digest(time.Now()), lo))
+func (sh *Gossiper) sendTo(pc net.PacketConn, addrs []string, lo balance.Load) {
+	write(pc, addrs, encode(balance.Hash(sh.self), sh.di.Digest(time.Now()), lo))
 }
 
 func write(pc net.PacketConn, addrs []string, data []byte) {
@@ -226,8 +226,8 @@
 	}
 }
 
-func encode(self uint64, di mirror.Digest, lo balance.Load) []byte {
-	shares, kept := lo.Shares[:min(len(lo.Shares), maxShares)], lo.Kept[:min(len(lo.Kept), maxKept)]
+func encode(self uint64, di replica.Digest, lo balance.Load) []byte {
+	shares, kept := lo.Shares[:min(len(lo.Shares), maxShares)], lo.CachedParts[:min(len(lo.CachedParts), maxKept)]
 	data := make([]byte, 0, loadHeadSize+len(shares)*shareSize+len(kept)*keptSize)
 	data = append(data, loadFormat)
 	data = binary.BigEndian.AppendUint64(data, self)
@@ -243,7 +243,7 @@
 	return data
 }
 
-func appendDigest(data []byte, di mirror.Digest) []byte {
+func appendDigest(data []byte, di replica.Digest) []byte {
 	data = binary.BigEndian.AppendUint64(data, uint64(di.Revision))
 	data = binary.BigEndian.AppendUint16(data, uint16(min(max(di.Age, 0)/digestUnit, maxUnits)))
 	return binary.BigEndian.AppendUint16(data, contactUnits(di.Contact))
@@ -252,12 +252,12 @@
 // revisionFormat is the format byte of a datagram that contains only a digest.
 const revisionFormat = 0x84
 
-func encodeRevision(di mirror.Digest) []byte { return appendDigest([]byte{revisionFormat}, di) }
+func encodeRevision(di replica.Digest) []byte { return appendDigest([]byte{revisionFormat}, di) }
 
 // decodeRevision decodes a digest datagram. It returns false for any other datagram.
-func decodeRevision(data []byte) (mirror.Digest, bool) {
+func decodeRevision(data []byte) (replica.Digest, bool) {
 	if len(data) != 1+digestSize || data[0] != revisionFormat {
-		return mirror.Digest{}, false
+		return replica.Digest{}, false
 	}
 	return decodeDigest(data[1:]), true
 }
@@ -271,7 +271,7 @@
 
 // decode decodes a load datagram. It returns false for any other datagram, including those
 // of other releases.
-func decode(data []byte) (from uint64, di mirror.Digest, lo balance.Load, ok bool) {
+func decode(data []byte) (from uint64, di replica.Digest, lo balance.Load, ok bool) {
 	if len(data) < loadHeadSize || data[0] != loadFormat {
 		return 0, di, lo, false
 	}
@@ -284,16 +284,16 @@
 	lo.Shares = decodeShares(rest[:shares])
 	lo.Budgets = decodeBudgets(rest[shares : shares+budgets])
 	for row := rest[shares+budgets:]; len(row) > 0; row = row[keptSize:] {
-		lo.Kept = append(lo.Kept, balance.Kept{Upstream: binary.BigEndian.Uint64(row), Part: binary.BigEndian.Uint64(row[8:])})
+		lo.CachedParts = append(lo.CachedParts, balance.CachedPart{Upstream: binary.BigEndian.Uint64(row), Part: binary.BigEndian.Uint64(row[8:])})
 	}
 	return from, di, lo, true
 }
 
-func decodeDigest(data []byte) mirror.Digest {
-	di := mirror.Digest{
+func decodeDigest(data []byte) replica.Digest {
+	di := replica.Digest{
 		Revision: core.Revision(binary.BigEndian.Uint64(data)),
 		Age:      time.Duration(binary.BigEndian.Uint16(data[8:])) * digestUnit,
-		Contact:  mirror.NoContact,
+		Contact:  replica.NoContact,
 	}
 	if units := binary.BigEndian.Uint16(data[10:]); units != noContact {
 		di.Contact = time.Duration(units) * digestUnit
@@ -301,7 +301,7 @@
 	return di
 }
 
-func (sh *Sharer) receive(pc net.PacketConn) {
+func (sh *Gossiper) receive(pc net.PacketConn) {
 	buf := make([]byte, loadHeadSize+maxShares*shareSize+maxBudgets*budgetSize+maxKept*keptSize)
 	for {
 		n, addr, err := pc.ReadFrom(buf)
@@ -317,21 +317,21 @@
 
 // handleDatagram decodes a datagram and passes on its content. Datagrams of unknown
 // formats, including those of other releases, are ignored.
-func (sh *Sharer) handleDatagram(data []byte, addr string) {
+func (sh *Gossiper) handleDatagram(data []byte, addr string) {
 	if lo, ok := decodeRegion(data); ok {
-		sh.ld.ToldRegion(lo)
+		sh.ld.ReceiveRegionLoad(lo)
 		return
 	}
 	if sent, ok := decodeRemoteCalls(data); ok {
-		sh.ld.ToldRemoteCalls(sent)
+		sh.ld.ReceiveRemoteCalls(sent)
 		return
 	}
 	if facts, ok := decodeFacts(data); ok {
-		sh.ld.ToldFacts(facts)
+		sh.ld.ReceiveFacts(facts)
 		return
 	}
 	if from, sent, ok := decodeSent(data); ok {
-		sh.ld.ToldSent(from, sent)
+		sh.ld.ReceiveCalls(from, sent)
 		return
 	}
 	if di, ok := decodeRevision(data); ok {
@@ -339,14 +339,14 @@
 		return
 	}
 	if from, di, lo, ok := decode(data); ok {
-		sh.ld.Told(from, lo)
+		sh.ld.ReceiveLoad(from, lo)
 		sh.receiveDigest(di, addr)
 	}
 }
 
 // receiveDigest processes a received digest. The sender serves its replica at the address
 // that it sends from.
-func (sh *Sharer) receiveDigest(di mirror.Digest, addr string) {
+func (sh *Gossiper) receiveDigest(di replica.Digest, addr string) {
 	di.From = addr
-	sh.di.Told(time.Now(), di)
+	sh.di.ReceiveDigest(time.Now(), di)
 }
--- a/io/sibling/share_test.go
+++ b/io/sibling/gossip_test.go
@@ -8,7 +8,7 @@
 	"gotest.tools/v3/assert"
 
 	"skylarkstand/core/balance"
-	"skylarkstand/core/mirror"
+	"skylarkstand/core/replica"
 )
 
 // Guards against load datagrams that are altered by encoding, and against accepting bytes
@@ -16,11 +16,11 @@
 // from an idle upstream.
 func TestLoadDatagram(t *testing.T) {
 	lo := balance.Load{
-		Shares:  []balance.Share{{Upstream: 1 << 60, Own: 3, Pending: 250 * time.Millisecond}, {Upstream: 7, Own: 70_000, Pending: time.Hour}},
-		Kept:    []balance.Kept{{Upstream: 7, Part: 1 << 63}},
-		Budgets: []balance.Budget{{Service: 1 << 61, Left: -3}, {Service: 2, Left: 40}},
+		Shares:      []balance.Share{{Upstream: 1 << 60, Own: 3, Pending: 250 * time.Millisecond}, {Upstream: 7, Own: 70_000, Pending: time.Hour}},
+		CachedParts: []balance.CachedPart{{Upstream: 7, Part: 1 << 63}},
+		Budgets:     []balance.RetryBudget{{Service: 1 << 61, Left: -3}, {Service: 2, Left: 40}},
 	}
-	wo := mirror.Digest{Revision: 1 << 40, Age: 2 * time.Second, Contact: 40 * time.Millisecond}
+	wo := replica.Digest{Revision: 1 << 40, Age: 2 * time.Second, Contact: 40 * time.Millisecond}
 	data := encode(42, wo, lo)
 	from, digest, got, ok := decode(data)
 	assert.Assert(t, ok)
@@ -35,9 +35,9 @@
 	data[0]++
 	_, _, _, ok = decode(data)
 	assert.Assert(t, !ok)
-	wo = mirror.Digest{Age: time.Hour, Contact: mirror.NoContact}
+	wo = replica.Digest{Age: time.Hour, Contact: replica.NoContact}
 	_, digest, _, _ = decode(encode(42, wo, lo))
-	assert.Equal(t, digest, mirror.Digest{Age: maxUnits * digestUnit, Contact: mirror.NoContact})
+	assert.Equal(t, digest, replica.Digest{Age: maxUnits * digestUnit, Contact: replica.NoContact})
 }
 
 // Guards against a load datagram that exceeds one packet, or is not sent, if an entry has
@@ -45,30 +45,30 @@
 func TestLoadDatagramFitsPacket(t *testing.T) {
 	var lo balance.Load
 	for i := range 500 {
-		lo.Shares = append(lo.Shares, balance.Share{Upstream: balance.HashOf("x"), Own: i})
-		lo.Kept = append(lo.Kept, balance.Kept{Part: uint64(i)})
-		lo.Budgets = append(lo.Budgets, balance.Budget{Left: 1e9})
+		lo.Shares = append(lo.Shares, balance.Share{Upstream: balance.Hash("x"), Own: i})
+		lo.CachedParts = append(lo.CachedParts, balance.CachedPart{Part: uint64(i)})
+		lo.Budgets = append(lo.Budgets, balance.RetryBudget{Left: 1e9})
 	}
-	data := encode(1, mirror.Digest{}, lo)
+	data := encode(1, replica.Digest{}, lo)
 	assert.Assert(t, len(data) <= 1472, "%d", len(data))
 	_, _, got, ok := decode(data)
 	assert.Assert(t, ok)
-	assert.Equal(t, fmt.Sprint(len(got.Shares), " ", len(got.Kept)), "64 36")
+	assert.Equal(t, fmt.Sprint(len(got.Shares), " ", len(got.CachedParts)), "64 36")
 }
 
 // Guards against facts that are altered by encoding, and against decoding other bytes as
 // facts: a spurious cooldown keeps a healthy upstream idle.
 func TestFactsDatagram(t *testing.T) {
-	facts := []balance.Fact{{Upstream: 1 << 63, Start: 9, Rest: 400 * time.Millisecond, Away: 2}, {Upstream: 3}}
+	facts := []balance.Fact{{Upstream: 1 << 63, Start: 9, DownFor: 400 * time.Millisecond, FailedConnects: 2}, {Upstream: 3}}
 	data := encodeFacts(facts)
 	got, ok := decodeFacts(data)
 	assert.Assert(t, ok)
 	assert.DeepEqual(t, got, facts)
-	got, ok = decodeFacts(encodeFacts([]balance.Fact{{Upstream: 1, Rest: time.Millisecond}}))
-	assert.Assert(t, ok && got[0].Rest > 0, "a short cooldown must not be rounded to zero, which means that the upstream answers")
+	got, ok = decodeFacts(encodeFacts([]balance.Fact{{Upstream: 1, DownFor: time.Millisecond}}))
+	assert.Assert(t, ok && got[0].DownFor > 0, "a short cooldown must not be rounded to zero, which means that the upstream answers")
 	_, ok = decodeFacts(data[:len(data)-1])
 	assert.Assert(t, !ok)
-	_, ok = decodeFacts(encode(1, mirror.Digest{}, balance.Load{}))
+	_, ok = decodeFacts(encode(1, replica.Digest{}, balance.Load{}))
 	assert.Assert(t, !ok)
 	_, _, _, ok = decode(data)
 	assert.Assert(t, !ok)
--- a/io/sibling/remote.go
+++ b/io/sibling/remote.go
@@ -19,7 +19,7 @@
 // sendRegionLoad sends the load of the local region's entries to one entry of each other
 // region, in rotation. This keeps cross-region traffic low: if the regions have the same
 // number of entries, each entry receives one datagram per other region and round.
-func (sh *Sharer) sendRegionLoad(pc net.PacketConn) {
+func (sh *Gossiper) sendRegionLoad(pc net.PacketConn) {
 	sh.remoteRound++
 	regions := sh.remote()
 	if len(regions) == 0 {
@@ -30,7 +30,7 @@
 		return
 	}
 	data := encodeRegion(lo)
-	first := int(balance.HashOf(sh.self) % (1 << 16)) //nolint:gosec // Below 1<<16.
+	first := int(balance.Hash(sh.self) % (1 << 16)) //nolint:gosec // Below 1<<16.
 	for _, addrs := range regions {
 		slices.Sort(addrs)
 		write(pc, []string{addrs[(first+sh.remoteRound)%len(addrs)]}, data)
@@ -39,14 +39,14 @@
 
 // sendRemoteCalls immediately reports cross-region calls to the entries of the region whose
 // upstreams received them.
-func (sh *Sharer) sendRemoteCalls(pc net.PacketConn) {
-	sent := sh.ld.RemoteCalls()
+func (sh *Gossiper) sendRemoteCalls(pc net.PacketConn) {
+	sent := sh.ld.TakeRemoteCalls()
 	if len(sent) == 0 {
 		return
 	}
 	for region, addrs := range sh.remote() {
 		for _, se := range sent {
-			if se.To == balance.HashOf(region) && sh.limiter.AllowN(time.Now(), len(addrs)) {
+			if se.To == balance.Hash(region) && sh.limiter.AllowN(time.Now(), len(addrs)) {
 				write(pc, addrs, encodeRemoteCalls(se))
 			}
 		}
@@ -81,7 +81,7 @@
 	data := make([]byte, 0, regionHeadSize+len(shares)*shareSize)
 	data = append(data, regionFormat)
 	data = binary.BigEndian.AppendUint64(data, lo.Region)
-	data = appendShares(data, []balance.Share{lo.Rest})
+	data = appendShares(data, []balance.Share{lo.Others})
 	return appendShares(data, shares)
 }
 
@@ -92,7 +92,7 @@
 	}
 	return balance.RegionLoad{
 		Region: binary.BigEndian.Uint64(data[1:]),
-		Rest:   decodeShares(data[1+8 : regionHeadSize])[0],
+		Others: decodeShares(data[1+8 : regionHeadSize])[0],
 		Shares: decodeShares(data[regionHeadSize:]),
 	}, true
 }
--- a/io/sibling/remote_test.go
+++ b/io/sibling/remote_test.go
@@ -13,7 +13,7 @@
 // as another kind of datagram, or exceeds the packet size.
 func TestRegionDatagram(t *testing.T) {
 	lo := balance.RegionLoad{
-		Region: 1 << 60, Rest: balance.Share{Own: 1, Pending: 30 * time.Millisecond},
+		Region: 1 << 60, Others: balance.Share{Own: 1, Pending: 30 * time.Millisecond},
 		Shares: []balance.Share{{Upstream: 9, Own: 3, Pending: 250 * time.Millisecond}},
 	}
 	data := encodeRegion(lo)
--- a/io/sibling/turns.go
+++ b/io/sibling/rotation.go
@@ -18,11 +18,11 @@
 	// roundsWaited is the number of rounds since the sibling's previous datagram.
 	roundsWaited int
 	// kept are the cached prefixes not yet sent to the sibling.
-	kept []balance.Kept
+	kept []balance.CachedPart
 }
 
 // beginRound removes siblings that are gone and queues new cached prefixes for the others.
-func (tu rotation) beginRound(addrs []string, kept []balance.Kept) {
+func (tu rotation) beginRound(addrs []string, kept []balance.CachedPart) {
 	for addr := range tu {
 		if !slices.Contains(addrs, addr) {
 			delete(tu, addr)
@@ -52,7 +52,7 @@
 }
 
 // takePending returns the cached prefixes not yet sent to a sibling, and resets its wait.
-func (tu rotation) takePending(addr string) []balance.Kept {
+func (tu rotation) takePending(addr string) []balance.CachedPart {
 	kept := tu[addr].kept
 	*tu[addr] = siblingState{}
 	return kept
--- a/io/sibling/turns_test.go
+++ b/io/sibling/rotation_test.go
@@ -19,7 +19,7 @@
 	tu, got := rotation{}, map[string]int{}
 	const rounds = 40
 	for n := range rounds {
-		tu.beginRound(addrs, []balance.Kept{{Part: uint64(n)}, {Part: uint64(n)}})
+		tu.beginRound(addrs, []balance.CachedPart{{Part: uint64(n)}, {Part: uint64(n)}})
 		next := tu.next(siblingsPerRound)
 		assert.Equal(t, len(next), siblingsPerRound)
 		for _, addr := range next {
--- a/io/sibling/sibling.go
+++ b/io/sibling/sibling.go
@@ -9,9 +9,9 @@
 //
 // # Usage
 //
-//	mux.Handle("GET "+sibling.Path, sibling.Handler(mi, follower.Doubtful))
-//	sibs := sibling.New(cl, addrs, rand.IntN)     // mirror.Siblings
-//	ne, err := sibs.Ask(ctx, revision)
+//	mux.Handle("GET "+sibling.ReplicaPath, sibling.ReplicaHandler(mi, follower.Doubtful))
+//	sibs := sibling.New(cl, addrs, rand.IntN)     // replica.Siblings
+//	ne, err := sibs.Fetch(ctx, revision)
 package sibling
 
 import (
@@ -29,14 +29,14 @@
 
 	"skylarkstand/core"
 	"skylarkstand/core/canary"
-	"skylarkstand/core/mirror"
+	"skylarkstand/core/replica"
 	"skylarkstand/io/upstream"
 )
 
-// Path is the URL path of the replica. The query parameter "after" is the client's revision;
+// ReplicaPath is the URL path of the replica. The query parameter "after" is the client's revision;
 // with changesOnly the server returns an error instead of the whole replica.
 const (
-	Path        = "/mirror"
+	ReplicaPath = "/mirror"
 	changesOnly = "changes-only"
 )
 
@@ -64,10 +64,10 @@
 	Gone bool `json:"gone,omitempty"`
 }
 
-// Handler serves a replica to siblings: the changes since their revision, or the whole
+// ReplicaHandler serves a replica to siblings: the changes since their revision, or the whole
 // replica if they lag too far behind. doubtful reports whether a removal may have been
 // caused by a store outage.
-func Handler(mi *mirror.Mirror, doubtful func(now time.Time) bool) http.Handler {
+func ReplicaHandler(mi *replica.Replica, doubtful func(now time.Time) bool) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, rq *http.Request) {
 		after, err := strconv.ParseUint(rq.FormValue("after"), 10, 64)
 		if err != nil {
@@ -111,7 +111,7 @@
 }
 
 // updateSince returns what the replica contains beyond a revision.
-func updateSince(mi *mirror.Mirror, after core.Revision) message {
+func updateSince(mi *replica.Replica, after core.Revision) message {
 	age := mi.Age(time.Now())
 	changes, rev, ok := mi.Since(after)
 	ms := message{Revision: rev, AgeMs: age.Milliseconds(), Newer: rev > after, Whole: !ok}
@@ -134,8 +134,8 @@
 // ReportsPath is the URL path of an entry's evidence about roll-outs in progress.
 const ReportsPath = "/roll-outs"
 
-// Reports returns a handler that serves a guard's evidence to siblings.
-func Reports(gu *canary.Guard) http.Handler {
+// ReportsHandler returns a handler that serves a guard's evidence to siblings.
+func ReportsHandler(gu *canary.Guard) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "application/json")
 		_ = json.NewEncoder(w).Encode(gu.Reports(time.Now()))
@@ -150,8 +150,8 @@
 	maxReporters = 24
 )
 
-// Siblings is the HTTP client for other entries. It implements mirror.Siblings and
-// canary.Entries.
+// Siblings is the HTTP client for other entries. It implements replica.Siblings and
+// canary.Siblings.
 type Siblings struct {
 	cl    *upstream.Client
 	addrs func() []string
@@ -172,14 +172,14 @@
 // to date.
 const fetchFanout = 3
 
-// Ask implements mirror.Siblings. It returns the newest response of a few siblings.
-func (si *Siblings) Ask(ctx context.Context, after core.Revision) (mirror.News, error) {
+// Fetch implements replica.Siblings. It returns the newest response of a few siblings.
+func (si *Siblings) Fetch(ctx context.Context, after core.Revision) (replica.Update, error) {
 	addrs := si.addrs()
 	if len(addrs) == 0 {
-		return mirror.News{}, eris.New("sibling: no other entry is registered")
+		return replica.Update{}, eris.New("sibling: no other entry is registered")
 	}
 	type result struct {
-		ne  mirror.News
+		ne  replica.Update
 		err error
 	}
 	n := min(fetchFanout, len(addrs))
@@ -192,7 +192,7 @@
 			got <- result{ne, err}
 		}()
 	}
-	best, found := mirror.News{}, false
+	best, found := replica.Update{}, false
 	var lastErr error
 	for range n {
 		re := <-got
@@ -210,21 +210,21 @@
 	return best, nil
 }
 
-// AskAt implements mirror.Siblings. It fails if the sibling has dropped some of the changes
+// FetchFrom implements replica.Siblings. It fails if the sibling has dropped some of the changes
 // from its log: serving whole replicas to all entries of a region would cost one entry more
 // than watching the store costs each of them.
-func (si *Siblings) AskAt(ctx context.Context, addr string, after core.Revision) (mirror.News, error) {
+func (si *Siblings) FetchFrom(ctx context.Context, addr string, after core.Revision) (replica.Update, error) {
 	return si.requestUpdate(ctx, addr, "?after="+formatRevision(after)+"&"+changesOnly+"=true")
 }
 
 func formatRevision(rev core.Revision) string { return strconv.FormatUint(uint64(rev), 10) }
 
-func (si *Siblings) requestUpdate(ctx context.Context, addr, query string) (mirror.News, error) {
+func (si *Siblings) requestUpdate(ctx context.Context, addr, query string) (replica.Update, error) {
 	var ms message
-	if err := si.get(ctx, addr, Path+query, &ms); err != nil {
-		return mirror.News{}, err
+	if err := si.get(ctx, addr, ReplicaPath+query, &ms); err != nil {
+		return replica.Update{}, err
 	}
-	ne := mirror.News{
+	ne := replica.Update{
 		Newer: ms.Newer, Whole: ms.Whole, Revision: ms.Revision, Age: time.Duration(ms.AgeMs) * time.Millisecond, Doubtful: ms.Doubtful,
 	}
 	for _, ch := range ms.Changes {
@@ -236,7 +236,7 @@
 	return ne, nil
 }
 
-// Reports implements canary.Entries. Siblings that do not respond are left out.
+// Reports implements canary.Siblings. Siblings that do not respond are left out.
 func (si *Siblings) Reports(ctx context.Context) []canary.Report {
 	addrs := si.addrs()
 	slices.Sort(addrs)
--- a/io/sibling/sibling_test.go
+++ b/io/sibling/sibling_test.go
@@ -11,7 +11,7 @@
 	"gotest.tools/v3/assert"
 
 	"skylarkstand/core"
-	"skylarkstand/core/mirror"
+	"skylarkstand/core/replica"
 	"skylarkstand/io/sibling"
 	"skylarkstand/io/upstream"
 )
@@ -23,7 +23,7 @@
 	for i := range 1000 {
 		fmt.Fprintf(&doc, `{"id":"route-%d","host":"a.example","prefix":"/draft-%d/","splits":[{"service":"pool","weight":1}]}`, i, i)
 	}
-	mi := mirror.New()
+	mi := replica.New()
 	mi.Replace(nil, 4, time.Now())
 	changes := []core.Change{
 		{Item: core.Item{Key: "a", Value: []byte(doc.String()), Revision: 5}},
@@ -32,26 +32,26 @@
 	mi.Apply(changes, 6, time.Now())
 	doubtful := func(time.Time) bool { return true }
 	rec := httptest.NewRecorder()
-	sibling.Handler(mi, doubtful).ServeHTTP(rec, httptest.NewRequest(http.MethodGet, sibling.Path+"?after=4", nil))
+	sibling.ReplicaHandler(mi, doubtful).ServeHTTP(rec, httptest.NewRequest(http.MethodGet, sibling.ReplicaPath+"?after=4", nil))
 	assert.Assert(t, rec.Body.Len() < doc.Len()/4, "%d of %d bytes", rec.Body.Len(), doc.Len())
 
-	srv := httptest.NewServer(sibling.Handler(mi, doubtful))
+	srv := httptest.NewServer(sibling.ReplicaHandler(mi, doubtful))
 	defer srv.Close()
 	cl, cleanup := upstream.New()
 	defer cleanup()
 	addr := strings.TrimPrefix(srv.URL, "http://")
 	si := sibling.New(cl, func() []string { return []string{addr} }, func(int) int { return 0 })
-	ne, err := si.AskAt(t.Context(), addr, 4)
+	ne, err := si.FetchFrom(t.Context(), addr, 4)
 	assert.NilError(t, err)
 	assert.Assert(t, ne.Newer && !ne.Whole && ne.Doubtful)
 	assert.DeepEqual(t, ne.Changes, changes)
-	_, err = si.AskAt(t.Context(), addr, 2)
+	_, err = si.FetchFrom(t.Context(), addr, 2)
 	assert.ErrorContains(t, err, "410")
-	ne, err = si.Ask(t.Context(), 2)
+	ne, err = si.Fetch(t.Context(), 2)
 	assert.NilError(t, err)
 	assert.Assert(t, ne.Whole)
 	assert.Equal(t, len(ne.Items), 1)
-	ne, err = si.AskAt(t.Context(), addr, 6)
+	ne, err = si.FetchFrom(t.Context(), addr, 6)
 	assert.NilError(t, err)
 	assert.Assert(t, !ne.Newer)
 	assert.Equal(t, ne.Revision, core.Revision(6))
--- a/test/matrix/promises.go
+++ b/test/matrix/promises.go
@@ -99,7 +99,7 @@
 		Text: "An accepted configuration is in force everywhere within seconds and never reverts.",
 		Proofs: []Proof{
 			{"model check of the propagation between entries with restarts, duplicated messages and an outage, with mutations of the model", modelCheck},
-			{"late and duplicated generations are not adopted; a configuration propagates without the store", "go test ./core/declaration ./io/peer ./core/spread"},
+			{"late and duplicated generations are not adopted; a configuration propagates without the store", "go test ./core/declaration ./io/peer ./core/topology"},
 			{"a change is applied while each fault strikes, and the command reports its outcome truthfully", operatorCells + "/apply"},
 			{"time until a change is in force, at today's sizes", "go run ./test/measure apply"},
 		},
--- a/test/measure/apply.go
+++ b/test/measure/apply.go
@@ -12,7 +12,7 @@
 	"skylarkstand/core"
 	"skylarkstand/core/declaration"
 	"skylarkstand/core/declaration/publish"
-	"skylarkstand/core/inforce"
+	"skylarkstand/core/propagation"
 	"skylarkstand/io/peer"
 	"skylarkstand/io/store"
 	"skylarkstand/test/figure"
@@ -118,7 +118,7 @@
 		_, err := peer.Await(ctx, deps, addr, gen)
 		return err
 	}
-	rep := inforce.Follow(ctx, fl.Hosts(), res.After.Number, awaitGeneration, func(inforce.Zone) {})
+	rep := propagation.Follow(ctx, fl.Hosts(), res.After.Number, awaitGeneration, func(propagation.ZoneReport) {})
 	if len(rep.Missing) > 0 {
 		return 0, fmt.Errorf("generation %d is not in force after one minute at %v", res.After.Number, rep.Missing)
 	}
--- a/test/slopes/entries.go
+++ b/test/slopes/entries.go
@@ -10,13 +10,13 @@
 	"skylarkstand/core"
 	"skylarkstand/core/declaration"
 	"skylarkstand/core/session"
-	"skylarkstand/core/spread"
 	"skylarkstand/core/suspect"
+	"skylarkstand/core/topology"
 	"skylarkstand/io/peer"
 )
 
 // measureEntries measures the propagation of changes between entries, over the links that
-// core/spread selects, and compares other strategies by the measured costs.
+// core/topology selects, and compares other strategies by the measured costs.
 func measureEntries(re *report) error {
 	if err := measureSessions(re); err != nil {
 		return err
@@ -59,7 +59,7 @@
 		ho := session.NewHolder()
 		for i := range count {
 			key := session.Key{Workspace: "workspace-0001", Session: core.SessionID(fmt.Sprintf("session-%d", i))}
-			ho.Keep(key, session.Versions{desk.Model: desk.Version}, time.Unix(0, 0))
+			ho.Record(key, session.Versions{desk.Model: desk.Version}, time.Unix(0, 0))
 		}
 		pts = append(pts, point{float64(count), liveHeap() - before})
 		runtime.KeepAlive(ho)
@@ -71,7 +71,7 @@
 // meshIdleTime covers two rounds of keep-alives and of notices.
 const meshIdleTime = 4 * time.Second
 
-// mesh is a set of entries in this process, linked as core/spread selects.
+// mesh is a set of entries in this process, linked as core/topology selects.
 type mesh struct {
 	hosts  []core.Host
 	infs   []*declaration.InForce
@@ -105,7 +105,7 @@
 	}
 	time.Sleep(50 * time.Millisecond) // Update has no effect before Serve runs.
 	for i, part := range parts {
-		me.links += len(spread.Peers(me.hosts, me.hosts[i]))
+		me.links += len(topology.Peers(me.hosts, me.hosts[i]))
 		part.Update(me.hosts)
 	}
 	err := poll("links between entries", func() (bool, error) { return me.meter.conns.Load() >= int64(me.links), nil })
@@ -128,7 +128,7 @@
 			return sum, err
 		}
 		began, before := time.Now(), me.meter.read()
-		for _, ho := range spread.Readers(me.hosts, meshZones[0].Zone) {
+		for _, ho := range topology.Readers(me.hosts, meshZones[0].Zone) {
 			for j := range me.hosts {
 				if me.hosts[j].Addr != ho.Addr {
 					continue
--- a/test/slopes/weigh.go
+++ b/test/slopes/weigh.go
@@ -10,7 +10,7 @@
 	"strings"
 
 	"skylarkstand/core"
-	"skylarkstand/core/spread"
+	"skylarkstand/core/topology"
 )
 
 // Planned sizes at which strategies of propagation are compared.
@@ -112,7 +112,7 @@
 	return sb.String()
 }
 
-// describePeerLinks formats the numbers of links between entries that core/spread selects at the
+// describePeerLinks formats the numbers of links between entries that core/topology selects at the
 // planned size.
 func describePeerLinks() string {
 	const zones, regions = 16, 5
@@ -127,7 +127,7 @@
 	held := map[string]int{}
 	total, crossRegion := 0, 0
 	for _, ho := range hosts {
-		for _, pe := range spread.Peers(hosts, ho) {
+		for _, pe := range topology.Peers(hosts, ho) {
 			held[ho.Addr]++
 			held[pe.Addr]++
 			total++
@@ -137,7 +137,7 @@
 		}
 	}
 	counts := slices.Sorted(maps.Values(held))
-	return fmt.Sprintf("## Links between entries at %d entries, %d zones, %d regions\n\nComputed by core/spread: %s links in all, %s of them between regions; an entry holds\n%d at least, %d at the median, %d at most.\n",
+	return fmt.Sprintf("## Links between entries at %d entries, %d zones, %d regions\n\nComputed by core/topology: %s links in all, %s of them between regions; an entry holds\n%d at least, %d at the median, %d at most.\n",
 		plannedEntries, zones, regions, formatInteger(int64(total)), formatInteger(int64(crossRegion)), counts[0], counts[len(counts)/2], counts[len(counts)-1])
 }
 
