--- a/app/app.go
+++ b/app/app.go
@@ -27,10 +27,10 @@
 	ExitUsage = 2
 	// ExitRefused: a configuration was refused; nothing was changed.
 	ExitRefused = 3
-	// ExitUncertain: it is unknown whether the change was accepted.
-	ExitUncertain = 4
-	// ExitSpreading: the change was accepted, but was not in force everywhere before the timeout.
-	ExitSpreading = 5
+	// ExitOutcomeUnknown: it is unknown whether the change was accepted.
+	ExitOutcomeUnknown = 4
+	// ExitNotInForce: the change was accepted, but was not in force everywhere before the timeout.
+	ExitNotInForce = 5
 )
 
 type args struct {
--- a/app/apply.go
+++ b/app/apply.go
@@ -59,7 +59,7 @@
 	if ctx.Err() != nil {
 		return publish.ErrInterrupted
 	}
-	if errors.Is(err, publish.ErrSame) {
+	if errors.Is(err, publish.ErrUnchanged) {
 		fmt.Printf("no change: generation %d has the same content\n", res.Before.Number)
 		return nil
 	}
@@ -71,7 +71,7 @@
 	defer cancel()
 	shown := res.Before.Number
 	res, err = pub.Apply(ctx, pr)
-	if errors.Is(err, publish.ErrSame) {
+	if errors.Is(err, publish.ErrUnchanged) {
 		fmt.Printf("no change: generation %d has the same content\n", res.Before.Number)
 		return nil
 	}
@@ -93,8 +93,8 @@
 	var un *publish.Uncertain
 	switch {
 	case errors.As(err, &un):
-		return &exitError{ExitUncertain, eris.Errorf("%s: the store's reply was lost; check `skylarkstand history`, or apply the same file again, which is safe", un)}
-	case errors.Is(err, publish.ErrAway), errors.Is(err, publish.ErrBusy), errors.Is(err, publish.ErrInterrupted):
+		return &exitError{ExitOutcomeUnknown, eris.Errorf("%s: the store's reply was lost; check `skylarkstand history`, or apply the same file again, which is safe", un)}
+	case errors.Is(err, publish.ErrUnreachable), errors.Is(err, publish.ErrContended), errors.Is(err, publish.ErrInterrupted):
 		return err
 	}
 	return refusalError(name, err)
--- a/app/bill.go
+++ b/app/bill.go
@@ -27,8 +27,8 @@
 	for _, id := range slices.Sorted(maps.Keys(acc.Workspaces)) {
 		ba := acc.Workspaces[id]
 		fmt.Printf("%-24s %8d requests %12.5f", id, ba.Requests, float64(ba.Total)/100_000)
-		if ba.Resent > 0 {
-			fmt.Printf("  (%d more answers to retried requests, not charged)", ba.Resent)
+		if ba.Retried > 0 {
+			fmt.Printf("  (%d more answers to retried requests, not charged)", ba.Retried)
 		}
 		fmt.Println()
 	}
@@ -55,11 +55,11 @@
 	for _, fa := range acc.Faults {
 		fmt.Println("fault:", fa)
 	}
-	for _, rq := range acc.Doubled {
+	for _, rq := range acc.Duplicated {
 		fmt.Println("fault: the bill of request", rq, "is duplicated; it is charged once")
 	}
-	if len(acc.Faults)+len(acc.Doubled) > 0 {
-		return eris.Errorf("the ledger has %d chain faults and %d duplicated bills", len(acc.Faults), len(acc.Doubled))
+	if len(acc.Faults)+len(acc.Duplicated) > 0 {
+		return eris.Errorf("the ledger has %d chain faults and %d duplicated bills", len(acc.Faults), len(acc.Duplicated))
 	}
 	return nil
 }
--- a/app/config_reader.go
+++ b/app/config_reader.go
@@ -45,7 +45,7 @@
 	// maxReaderSilence is how long an entry relies on readers from which it receives nothing
 	// before it reads the store itself. It covers a reader's watch timeout and two notices, so
 	// that a normal pause does not make 360 entries read the store at once.
-	maxReaderSilence = watchTimeout + 3*peer.NoticeEvery
+	maxReaderSilence = watchTimeout + 3*peer.NoticeInterval
 )
 
 // Update sets the current host list.
@@ -75,10 +75,10 @@
 	for ctx.Err() == nil {
 		if cr.isReader() {
 			err := cr.follow(ctx)
-			if errors.Is(err, chain.ErrAway) && !storeDown {
+			if errors.Is(err, chain.ErrStoreUnavailable) && !storeDown {
 				event.Log(cr.deps.Log, event.StoreDown, "use", "configuration")
 			}
-			storeDown = errors.Is(err, chain.ErrAway)
+			storeDown = errors.Is(err, chain.ErrStoreUnavailable)
 		}
 		select {
 		case <-time.After(storeRetryDelay):
--- a/app/diff.go
+++ b/app/diff.go
@@ -22,7 +22,7 @@
 		return err
 	}
 	res, err := pub.Prepare(ctx, pr)
-	if errors.Is(err, publish.ErrSame) {
+	if errors.Is(err, publish.ErrUnchanged) {
 		fmt.Printf("no change: generation %d has the same content\n", res.Before.Number)
 		return nil
 	}
--- a/app/evacuate.go
+++ b/app/evacuate.go
@@ -28,10 +28,10 @@
 	reason, accept := cmd.Why, []declaration.AcceptRisk(nil)
 	if cmd.End {
 		reason = ""
-		accept = append(accept, declaration.AcceptEnd(core.Zone(cmd.Zone), cmd.Why))
+		accept = append(accept, declaration.AcceptEvacuationEnd(core.Zone(cmd.Zone), cmd.Why))
 	}
 	// The accepted risks of the previous generation do not carry over.
-	now := declaration.Again(newest, accept)
+	now := declaration.Restore(newest, accept)
 	doc, ok := now.Evacuate(core.Zone(cmd.Zone), reason)
 	if !ok {
 		var declared []string
--- a/app/explain.go
+++ b/app/explain.go
@@ -7,7 +7,7 @@
 	"github.com/rotisserie/eris"
 
 	"skylarkstand/core"
-	"skylarkstand/core/story"
+	"skylarkstand/core/trace"
 )
 
 type explainCmd struct {
@@ -21,7 +21,7 @@
 	if err != nil {
 		return err
 	}
-	st := lo.Tell(core.RequestID(cmd.Request))
+	st := lo.Trace(core.RequestID(cmd.Request))
 	if err := st.Write(os.Stdout); err != nil {
 		return err
 	}
@@ -32,8 +32,8 @@
 }
 
 // readLogs reads the named files, or standard input if there are none.
-func readLogs(names []string) (*story.Log, error) {
-	var lo story.Log
+func readLogs(names []string) (*trace.Log, error) {
+	var lo trace.Log
 	if len(names) == 0 {
 		return &lo, lo.Read("standard input", os.Stdin)
 	}
@@ -45,7 +45,7 @@
 	return &lo, nil
 }
 
-func readLog(lo *story.Log, name string) error {
+func readLog(lo *trace.Log, name string) error {
 	fi, err := os.Open(name)
 	if err != nil {
 		return &exitError{ExitUsage, eris.Wrap(err, "log")}
--- a/app/gateway_providers.go
+++ b/app/gateway_providers.go
@@ -83,13 +83,15 @@
 }
 
 // newOff returns the disabled mechanisms. The settings are validated before.
-func newOff(set settings.Gateway) (mechanism.Off, error) { return mechanism.Parse(set.Without) }
+func newOff(set settings.Gateway) (mechanism.Disabled, error) {
+	return mechanism.Parse(set.DisabledMechanisms)
+}
 
-func newGuard(set settings.Gateway, off mechanism.Off) *canary.Guard {
+func newGuard(set settings.Gateway, off mechanism.Disabled) *canary.Guard {
 	return canary.New(canary.SessionGap(time.Duration(set.SessionGap)), canary.Exposure(set.Exposure), canary.Without(off))
 }
 
-func newCodec() front.Codec { return platform.Callers{} }
+func newCodec() front.Codec { return platform.CallerCodec{} }
 
 // members provides the registered entries. Its functions are set when the feed is created, since
 // the feed depends on components that use members.
@@ -176,16 +178,16 @@
 	return sibling.New(cl, func() []string { return me.others(set.Siblings) }, rand.IntN)
 }
 
-func newFollower(set settings.Gateway, deps core.Deps, mi *replica.Replica, st *platform.Store, si *sibling.Siblings, me *members, off mechanism.Off) *replica.Follower {
-	if off.Has(mechanism.Readers) {
+func newFollower(set settings.Gateway, deps core.Deps, mi *replica.Replica, st *platform.Store, si *sibling.Siblings, me *members, off mechanism.Disabled) *replica.Follower {
+	if off.Has(mechanism.StoreReaders) {
 		return replica.NewFollower(deps, mi, st, si)
 	}
 	isReader := func() bool { return me.isReader(deps.Self, set.Regions, deps.Region) }
 	return replica.NewFollower(deps, mi, st, si, replica.IsReader(isReader))
 }
 
-func newForwarder(set settings.Gateway, deps core.Deps, inf *route.InForce, fl *fleet.Fleet, gu *canary.Guard, wu *warmup.Tracker, mi *replica.Replica, ac core.Access, sc *shutdownState, me *members, off mechanism.Off) *forward.Forwarder {
-	re := set.Repeats
+func newForwarder(set settings.Gateway, deps core.Deps, inf *route.InForce, fl *fleet.Fleet, gu *canary.Guard, wu *warmup.Tracker, mi *replica.Replica, ac core.UpstreamClient, sc *shutdownState, me *members, off mechanism.Disabled) *forward.Forwarder {
+	re := set.RetryBudget
 	slack := func() float64 { return retry.SlackShare(re.Slack, me.count()) }
 	return forward.New(deps, ac, forward.Components{
 		InForce: inf, Fleet: fl, Canary: gu, Warmup: wu,
@@ -199,7 +201,7 @@
 	fd := watch.New(deps, la, watch.Targets{
 		InForce: inf, Fleet: fl, Canary: gu, Warmup: wu, Regions: la.Regions, Doubtful: fo.Doubtful,
 		OnRemoved: func(ho core.Host) {
-			cl.Forget(ho.Addr)
+			cl.CloseIdle(ho.Addr)
 			fw.Forget(ho.ID)
 		},
 	})
@@ -227,6 +229,6 @@
 	return sibling.NewGossiper(deps.Self, set.Siblings, fw, fo, local, isReader, sibling.RemoteEntries(remote))
 }
 
-func newRecaller(deps core.Deps, inf *route.InForce, fl *fleet.Fleet, mem core.Memory, fw *forward.Forwarder, off mechanism.Off) *prefixsync.Syncer {
+func newRecaller(deps core.Deps, inf *route.InForce, fl *fleet.Fleet, mem core.PrefixCaches, fw *forward.Forwarder, off mechanism.Disabled) *prefixsync.Syncer {
 	return prefixsync.New(deps, inf, fl, mem, fw, prefixsync.Without(off))
 }
--- a/app/gauges.go
+++ b/app/gauges.go
@@ -50,7 +50,7 @@
 }
 
 func (ga *gauges) set(now time.Time) {
-	meter.InFlight.Set(ga.scope, float64(ga.srv.Flying()))
+	meter.InFlight.Set(ga.scope, float64(ga.srv.InFlight()))
 	if tb := ga.inf.Current(); tb != nil {
 		meter.ReplicaAge.Set(ga.scope, ga.mirror.Age(now).Seconds())
 		meter.ConfigVersion.Set(ga.scope, float64(tb.Version))
--- a/app/guard_duty.go
+++ b/app/guard_service.go
@@ -110,7 +110,7 @@
 func (gd *guardService) logStale() {
 	stale := gd.inf.Current() != nil && !gd.inf.Fresh(time.Now(), gd.maxAge)
 	if stale && !gd.stale {
-		event.Log(gd.deps.Log, event.ConfigStale, "generation", gd.inf.Number(), "heard", gd.inf.Heard())
+		event.Log(gd.deps.Log, event.ConfigStale, "generation", gd.inf.Number(), "heard", gd.inf.ConfirmedAt())
 	}
 	gd.stale = stale
 }
@@ -126,7 +126,7 @@
 			gd.announced[ha.Version] = true
 			event.Log(gd.deps.Log, event.RollOutHalted, "version", ha.Version.String(), "why", ha.Evidence, "reached", ha.Exposed)
 			meter.RollOutsHalted.Inc(gd.deps.Metrics)
-			gd.mesh.TellHalt(ha, gd.inf.Number())
+			gd.mesh.BroadcastHalt(ha, gd.inf.Number())
 		}
 		gd.recordOne(ctx, ha)
 	}
--- a/app/order.go
+++ b/app/order.go
@@ -66,11 +66,11 @@
 		return eris.Wrap(err, "the order was not sent: the agent is unreachable")
 	}
 	if err := frame.NewWriter(st).Write(&frame.Frame{Body: &frame.Frame_Order{Order: or}}); err != nil {
-		return &exitError{ExitUncertain, eris.Wrap(err, "it is unknown whether the engine received the order")}
+		return &exitError{ExitOutcomeUnknown, eris.Wrap(err, "it is unknown whether the engine received the order")}
 	}
 	fr, err := frame.NewReader(st).Read()
 	if err != nil || fr.GetOrderDone() == nil {
-		return &exitError{ExitUncertain, eris.New("it is unknown whether the engine received the order; send it again, a new fencing number supersedes this one")}
+		return &exitError{ExitOutcomeUnknown, eris.New("it is unknown whether the engine received the order; send it again, a new fencing number supersedes this one")}
 	}
 	if msg := fr.GetOrderDone().Error; msg != "" {
 		return eris.New(msg)
--- a/app/in_force.go
+++ b/app/propagation.go
@@ -18,16 +18,16 @@
 func reportInForce(ctx context.Context, list string, gen core.Generation) error {
 	hos, err := hosts.New(list).List(ctx)
 	if err != nil {
-		return &exitError{ExitSpreading, eris.Wrap(err, "the change is accepted; its propagation is unknown, since the host list could not be read")}
+		return &exitError{ExitNotInForce, eris.Wrap(err, "the change is accepted; its propagation is unknown, since the host list could not be read")}
 	}
 	deps := core.NewDeps()
 	wait := func(ctx context.Context, addr string, gen core.Generation) error {
-		_, err := peer.Await(ctx, deps, addr, gen)
+		_, err := peer.AwaitGeneration(ctx, deps, addr, gen)
 		return err
 	}
 	rep := propagation.Follow(ctx, hos, gen, wait, printZone)
 	if len(rep.Missing) > 0 {
-		return &exitError{ExitSpreading, eris.Errorf("generation %d is accepted, and %d processes do not have it in force yet; those that are up will adopt it", gen, len(rep.Missing))}
+		return &exitError{ExitNotInForce, eris.Errorf("generation %d is accepted, and %d processes do not have it in force yet; those that are up will adopt it", gen, len(rep.Missing))}
 	}
 	fmt.Printf("generation %d is in force everywhere\n", gen)
 	return nil
--- a/app/providers.go
+++ b/app/providers.go
@@ -72,23 +72,23 @@
 func newKeyring(set settings.Entry) *session.Keyring { return session.NewKeyring(set.PinSecret) }
 
 func newLedger(set settings.Entry, deps core.Deps, st core.Store, po *agent.Pool) *ledger.Writer {
-	return ledger.New(deps, st, ledger.Pace(time.Duration(set.LedgerPace)),
-		ledger.Budget(set.LedgerWrites, po.Listed), ledger.OnDurable(po.Durable))
+	return ledger.New(deps, st, ledger.MinInterval(time.Duration(set.LedgerPace)),
+		ledger.WriteBudget(set.LedgerWrites, po.ListedEntries), ledger.OnDurable(po.ReportDurable))
 }
 
 func newSuccessor(deps core.Deps, st core.Store, po *agent.Pool, led *ledger.Writer) *ledger.Successor {
 	su := ledger.NewSuccessor(deps, st, led)
-	po.OnOffered(su.Offer)
+	po.OnBills(su.Offer)
 	return su
 }
 
 func newCaller(set settings.Entry, deps core.Deps, page metricsPage, inf *declaration.InForce, dis *dispatch.Dispatcher, kr *session.Keyring, mesh *peer.Mesh) *caller.Server {
 	capacity := func(po admission.Pool) admission.Capacity {
-		return admission.Capacity(dis.Room(po.Target, po.Service, po.CrossRegion))
+		return admission.Capacity(dis.Capacity(po.Target, po.Service, po.CrossRegion))
 	}
 	gt := admission.NewGate(capacity, admission.MaxWait(time.Duration(set.MaxWait)), admission.MaxQueue(set.MaxQueue))
 	return caller.New(deps, inf, dis, kr, caller.Gate(gt),
-		caller.WithSessions(mesh), caller.Freshness(time.Duration(set.Freshness)), caller.MaxBody(set.MaxBody), caller.MaxInFlight(set.MaxInFlight), caller.Metrics(page))
+		caller.WithSessions(mesh), caller.MaxConfigAge(time.Duration(set.Freshness)), caller.MaxBody(set.MaxBody), caller.MaxInFlight(set.MaxInFlight), caller.Metrics(page))
 }
 
 // entryHost returns the entry's own record in the host list.
@@ -101,7 +101,7 @@
 }
 
 func newUpstreams(deps core.Deps, po *agent.Pool, reg *suspect.Registry, mesh *peer.Mesh) core.Upstreams {
-	return suspect.NewUpstreams(deps, po, reg, mesh.Tell)
+	return suspect.NewUpstreams(deps, po, reg, mesh.BroadcastSuspect)
 }
 
 func newDispatcher(set settings.Entry, deps core.Deps, inf *declaration.InForce, ups core.Upstreams, po *agent.Pool, ra core.Rater, bi dispatch.Biller, gu *rollout.Guard) *dispatch.Dispatcher {
@@ -125,7 +125,7 @@
 }
 
 func newClaims(set settings.Agent, deps core.Deps, st core.Store) (*claim.Table, func()) {
-	return claim.New(deps, st, claim.Retention(time.Duration(set.ClaimRetention)), claim.Writes(set.ClaimWrites))
+	return claim.New(deps, st, claim.Retention(time.Duration(set.ClaimRetention)), claim.WriteBudget(set.ClaimWrites))
 }
 
 func newExecutor(set settings.Agent, deps core.Deps, ho core.Host, inf *declaration.InForce, ru core.Runner, tbl *claim.Table) *execute.Executor {
--- a/app/roll_back.go
+++ b/app/roll_back.go
@@ -39,7 +39,7 @@
 	if err != nil {
 		return err
 	}
-	return cmd.apply(ctx, pub, name, publish.Proposal{Document: declaration.Again(old, accept), Base: newest.Number})
+	return cmd.apply(ctx, pub, name, publish.Proposal{Document: declaration.Restore(old, accept), Base: newest.Number})
 }
 
 func (cmd *rollBackCmd) acceptedRisks() ([]declaration.AcceptRisk, error) {
--- a/app/settings/gateway.go
+++ b/app/settings/gateway.go
@@ -37,9 +37,9 @@
 	// Exposure is the share of a service's requests that a bad version may receive during its
 	// roll-out.
 	Exposure float64 `json:"exposure,omitempty"`
-	// Repeats bounds the retries and hedged requests at a service, that is, the arrivals beyond the
-	// first of each request.
-	Repeats Repeats `json:"repeats"`
+	// RetryBudget bounds the retries and hedged requests at a service, that is, the arrivals beyond
+	// the first of each request.
+	RetryBudget RetryBudget `json:"repeats"`
 	// WarmUp bounds the requests per second to a cold upstream, over all gateways.
 	WarmUp WarmUp `json:"warm-up"`
 	// DrainLimit is the time from the termination signal until the process must have exited.
@@ -48,12 +48,12 @@
 	Memory int64 `json:"memory,omitempty"`
 	// LogLevel is "debug", "info", "warn" or "error".
 	LogLevel string `json:"log-level,omitempty"`
-	// Without names mechanisms to disable, to measure their benefit.
-	Without []string `json:"without,omitempty"`
+	// DisabledMechanisms names mechanisms to disable, to measure their benefit.
+	DisabledMechanisms []string `json:"without,omitempty"`
 }
 
-// Repeats is the retry budget in a sliding window, over all gateways.
-type Repeats struct {
+// RetryBudget is the retry budget in a sliding window, over all gateways.
+type RetryBudget struct {
 	// Window is the length of the sliding window.
 	Window Duration `json:"window,omitempty"`
 	// Ratio is the number of retries allowed per request.
@@ -75,8 +75,8 @@
 func DefaultGateway() Gateway {
 	return Gateway{
 		ReadinessPath: "/readyz", SessionGap: Duration(5 * time.Second), Exposure: 0.1,
-		Repeats: Repeats{Window: Duration(10 * time.Second), Ratio: 0.5, Slack: 20},
-		WarmUp:  WarmUp{Overshoot: 1}, DrainLimit: Duration(30 * time.Second), LogLevel: "info",
+		RetryBudget: RetryBudget{Window: Duration(10 * time.Second), Ratio: 0.5, Slack: 20},
+		WarmUp:      WarmUp{Overshoot: 1}, DrainLimit: Duration(30 * time.Second), LogLevel: "info",
 	}
 }
 
@@ -128,9 +128,9 @@
 	if set.Exposure <= 0 || set.Exposure > 1 {
 		fa.add("exposure", "%g is not a share of all requests; give more than 0 and at most 1", set.Exposure)
 	}
-	fa.positive("repeats.window", set.Repeats.Window, "retries would have no bound")
-	if set.Repeats.Ratio < 0 || set.Repeats.Slack < 0 {
-		fa.add("repeats", "ratio %g and slack %g must not be below 0", set.Repeats.Ratio, set.Repeats.Slack)
+	fa.positive("repeats.window", set.RetryBudget.Window, "retries would have no bound")
+	if set.RetryBudget.Ratio < 0 || set.RetryBudget.Slack < 0 {
+		fa.add("repeats", "ratio %g and slack %g must not be below 0", set.RetryBudget.Ratio, set.RetryBudget.Slack)
 	}
 	if set.WarmUp.Overshoot < 0 || set.WarmUp.Slack < 0 {
 		fa.add("warm-up", "overshoot %g and slack %g must not be below 0", set.WarmUp.Overshoot, set.WarmUp.Slack)
@@ -138,7 +138,7 @@
 	fa.positive("drain-limit", set.DrainLimit, "a graceful shutdown would cut off requests")
 	fa.atLeast("memory", set.Memory, 0, "a bound cannot be negative")
 	fa.logLevel(set.LogLevel)
-	if _, err := mechanism.Parse(set.Without); err != nil {
+	if _, err := mechanism.Parse(set.DisabledMechanisms); err != nil {
 		fa.add("without", "%s", err)
 	}
 }
--- a/app/settings/load.go
+++ b/app/settings/load.go
@@ -14,7 +14,7 @@
 	"github.com/tailscale/hujson"
 
 	"skylarkstand/core/schema"
-	"skylarkstand/core/spelling"
+	"skylarkstand/core/suggest"
 )
 
 // Faults lists all faults of a settings file.
@@ -120,7 +120,7 @@
 		return err
 	}
 	for _, el := range list {
-		if el.Shape {
+		if el.WrongType {
 			name, _, _ := strings.Cut(el.Place, ".")
 			name, _, _ = strings.Cut(name, "[")
 			delete(fields, name)
@@ -189,7 +189,7 @@
 		return
 	}
 	remedy := "choose one of " + strings.Join(levels, ", ")
-	if near, ok := spelling.Nearest(val, levels); ok {
+	if near, ok := suggest.Nearest(val, levels); ok {
 		remedy = fmt.Sprintf("did you mean %q?", near)
 	}
 	fa.add("log-level", "there is no level %q; %s", val, remedy)
--- a/app/status.go
+++ b/app/status.go
@@ -58,7 +58,7 @@
 	ro := sn.RollOut(mo.ID)
 	switch {
 	case sn.Withdrawn(mv):
-		return "withdrawn: " + sn.Reason(mv)
+		return "withdrawn: " + sn.WithdrawalReason(mv)
 	case ro != nil && ro.Version == id && ro.Halted != "":
 		return "roll-out halted: " + ro.Halted
 	case ro != nil && ro.Version == id:
--- a/app/status_page.go
+++ b/app/status_page.go
@@ -59,7 +59,7 @@
 
 func (sp *statusPage) status(now time.Time) entryStatus {
 	es := entryStatus{Process: sp.deps.Self, Zone: sp.deps.Zone, Generation: sp.inf.Number(), Heard: -1}
-	if heard := sp.inf.Heard(); !heard.IsZero() {
+	if heard := sp.inf.ConfirmedAt(); !heard.IsZero() {
 		es.Heard = now.Sub(heard).Seconds()
 	}
 	for _, up := range sp.pool.All() {
@@ -75,7 +75,7 @@
 
 func describe(up core.Upstream) upstreamStatus {
 	us := upstreamStatus{
-		ID: up.Host.ID, Serves: up.Host.Serves().String(), Zone: up.Host.Zone, State: "up",
+		ID: up.Host.ID, Serves: up.Host.ModelVersion().String(), Zone: up.Host.Zone, State: "up",
 		Running: up.Load.Running, Queued: up.Load.Queued, Slots: up.Load.Slots,
 	}
 	if up.Host.Service != "" {
@@ -84,7 +84,7 @@
 	switch {
 	case up.Leaving:
 		us.State = "leaving"
-	case !up.Up:
+	case !up.Connected:
 		us.State = "down"
 	}
 	return us
--- a/app/wire.go
+++ b/app/wire.go
@@ -54,7 +54,7 @@
 		newGatewayProcess, wire.FieldsOf(new(process), "Deps", "Page"), newUpstreamClient, newPlatformStore, newLayout,
 		newFleet, newWarmup, newOff, newGuard, newCodec, newMembers, newSiblings, newFollower, newForwarder, newFeed, newRegistrar, newRecorder, newPooler, newSharer, newRecaller, newGauges, newShutdownState,
 		route.NewInForce, replica.New, front.New, platform.NewUpstreams,
-		wire.Bind(new(core.Access), new(*platform.Upstreams)), wire.Bind(new(core.Memory), new(*platform.Upstreams)),
+		wire.Bind(new(core.UpstreamClient), new(*platform.Upstreams)), wire.Bind(new(core.PrefixCaches), new(*platform.Upstreams)),
 		wire.Struct(new(gatewayProcess), "set", "deps", "inf", "fleet", "mirror", "feed", "follower", "reg", "guard", "recorder", "pooler", "sharer", "recaller", "gauges", "srv", "admin", "stop"),
 	)
 	return nil, nil, nil
--- a/core/admission/figures_test.go
+++ b/core/admission/figures_test.go
@@ -29,15 +29,15 @@
 		figure.AtLeast("goodput-3x-over-1x-"+sh.name, triple.goodput()/full.goodput(), "ratio", 0.95)
 		figure.AtLeast("tokens-in-time-3x-over-1x-"+sh.name, triple.goodTokens()/full.goodTokens(), "ratio", 0.95)
 		fifoFull, fifo := simulate(sit, policy{fifo: true}), simulate(sit.atLoad(3), policy{fifo: true})
-		figure.Plain("goodput-3x-over-1x-fifo-"+sh.name, fifo.goodput()/fifoFull.goodput(), "ratio")
-		figure.Plain("tokens-in-time-3x-over-1x-fifo-"+sh.name, fifo.goodTokens()/fifoFull.goodTokens(), "ratio")
+		figure.Unbounded("goodput-3x-over-1x-fifo-"+sh.name, fifo.goodput()/fifoFull.goodput(), "ratio")
+		figure.Unbounded("tokens-in-time-3x-over-1x-fifo-"+sh.name, fifo.goodTokens()/fifoFull.goodTokens(), "ratio")
 		for _, ou := range []*outcome{full, simulate(sit.atLoad(2), policy{}), triple, simulate(sit.atLoad(2).with(func(si *scenario) { si.burst = 5 }), policy{}), simulate(sit.atLoad(0.8).withHog(), policy{})} {
 			late += ou.lateRefusals()
 			missed += ou.count(expired)
 		}
 	}
 	figure.AtMost("refusals-late", float64(late), "count", 0)
-	figure.Plain("admitted-and-missed-deadline", float64(missed), "count")
+	figure.Unbounded("admitted-and-missed-deadline", float64(missed), "count")
 	lateMixed, refusedMixed := 0, 0
 	for _, sh := range shapes() {
 		ou := simulate(sh.make().atLoad(2).withMixedSizes(), policy{})
@@ -45,7 +45,7 @@
 		refusedMixed += ou.count(refused)
 	}
 	figure.AtMost("refusals-late-mixed-work", float64(lateMixed), "count", 0)
-	figure.Plain("refusals-mixed-work", float64(refusedMixed), "count")
+	figure.Unbounded("refusals-mixed-work", float64(refusedMixed), "count")
 }
 
 func TestFiguresLoadSlowUpstream(t *testing.T) {
@@ -68,7 +68,7 @@
 				figure.AtMost("p99-first-token-with-slow-upstream-over-without-"+sh.name, firstTokenRatio, "ratio", 1.5)
 				continue
 			}
-			figure.Plain("p99-with-slow-upstream-over-without-"+pl+"-"+sh.name, totalRatio, "ratio")
+			figure.Unbounded("p99-with-slow-upstream-over-without-"+pl+"-"+sh.name, totalRatio, "ratio")
 		}
 	}
 }
@@ -81,7 +81,7 @@
 		figure.AtMost("harm-p95-of-hog-"+sh.name, hog.percentile(0.95, "w9", whole)/calm.percentile(0.95, "w9", whole), "ratio", 1.10)
 		figure.AtMost("harm-p95-first-token-of-hog-"+sh.name, hog.percentile(0.95, "w9", first)/calm.percentile(0.95, "w9", first), "ratio", 1.10)
 		fifoCalm, fifo := simulate(sit, policy{fifo: true}), simulate(sit.withHog(), policy{fifo: true})
-		figure.Plain("harm-p95-of-hog-fifo-"+sh.name, fifo.percentile(0.95, "w9", whole)/fifoCalm.percentile(0.95, "w9", whole), "ratio")
+		figure.Unbounded("harm-p95-of-hog-fifo-"+sh.name, fifo.percentile(0.95, "w9", whole)/fifoCalm.percentile(0.95, "w9", whole), "ratio")
 	}
 }
 
@@ -92,7 +92,7 @@
 		figure.AtMost("retry-amplification-3x-"+sh.name, simulate(sit, policy{}).attemptsPerRequest(), "ratio", 1.1)
 		failing := sit.with(func(sit *scenario) { sit.failing = 0.2 })
 		figure.AtMost("retry-amplification-3x-failing-"+sh.name, simulate(failing, policy{}).attemptsPerRequest(), "ratio", 1.1)
-		figure.Plain("retry-amplification-3x-failing-no-budget-"+sh.name, simulate(failing, policy{retries: true}).attemptsPerRequest(), "ratio")
+		figure.Unbounded("retry-amplification-3x-failing-no-budget-"+sh.name, simulate(failing, policy{retries: true}).attemptsPerRequest(), "ratio")
 	}
 }
 
@@ -120,12 +120,12 @@
 			for _, name := range append([]string{"product", "fifo"}, baselines...) {
 				ou := simulate(sit, policies[name])
 				label := fmt.Sprintf("%s-%s-%s", st.name, sh.name, name)
-				figure.Plain("in-time-"+label, float64(ou.count(answered))/float64(len(ou.requests)), "ratio")
-				figure.Plain("p50-first-token-"+label, ou.percentile(0.5, "", first), "s")
-				figure.Plain("p95-first-token-"+label, ou.percentile(0.95, "", first), "s")
-				figure.Plain("p99-first-token-"+label, ou.percentile(0.99, "", first), "s")
+				figure.Unbounded("in-time-"+label, float64(ou.count(answered))/float64(len(ou.requests)), "ratio")
+				figure.Unbounded("p50-first-token-"+label, ou.percentile(0.5, "", first), "s")
+				figure.Unbounded("p95-first-token-"+label, ou.percentile(0.95, "", first), "s")
+				figure.Unbounded("p99-first-token-"+label, ou.percentile(0.99, "", first), "s")
 				if name == "product" {
-					figure.Plain("crossed-"+label, float64(ou.crossed)/sit.length.Seconds(), "byte/s")
+					figure.Unbounded("crossed-"+label, float64(ou.crossed)/sit.length.Seconds(), "byte/s")
 				}
 			}
 		}
--- a/core/admission/simulation_job_test.go
+++ b/core/admission/simulation_job_test.go
@@ -23,7 +23,7 @@
 	if jo.rq.dispatches == 1 {
 		jo.rq.entryWait = si.now - jo.rq.arrived
 	}
-	en.views[ix].Own++
+	en.views[ix].OwnAttempts++
 	en.pk.RecordSent(si.clock(), ch.ID)
 	si.after(jo.delay(), func() { jo.arriveAtAgent(jo.up) })
 }
@@ -36,7 +36,7 @@
 	}
 	var available []int
 	for ix, up := range en.views {
-		if up.Up && up.Host.Region == en.site.region && !slices.Contains(jo.tried, up.Host.ID) {
+		if up.Connected && up.Host.Region == en.site.region && !slices.Contains(jo.tried, up.Host.ID) {
 			available = append(available, ix)
 		}
 	}
@@ -76,7 +76,7 @@
 	if jo.si.pol.fifo {
 		left = 0
 	}
-	pl, started, fl := up.bo.Enter(jo.si.clock(), 0, left)
+	pl, started, fl := up.bo.Acquire(jo.si.clock(), 0, left)
 	if fl != nil {
 		jo.si.after(jo.delay(), func() { jo.fail(fl) })
 		return
@@ -174,7 +174,7 @@
 	if !jo.si.sit.stale {
 		jo.en.updateView(jo.si.clock(), ix, up)
 	}
-	jo.en.views[ix].Own--
+	jo.en.views[ix].OwnAttempts--
 	if !up.jobs[jo] {
 		return
 	}
@@ -182,7 +182,7 @@
 	if up.bo.Cancel(jo.pl) {
 		return
 	}
-	next := up.bo.Exit(jo.si.clock(), jo.pl)
+	next := up.bo.Release(jo.si.clock(), jo.pl)
 	if next == nil || up.down {
 		return
 	}
--- a/core/admission/simulation_test.go
+++ b/core/admission/simulation_test.go
@@ -124,7 +124,7 @@
 
 type upstream struct {
 	host core.Host
-	bo   *execute.Bound
+	bo   *execute.SlotQueue
 	down bool
 	jobs map[*job]bool
 }
@@ -146,7 +146,7 @@
 	en            *entry
 	up            *upstream
 	rq            *request
-	pl            *execute.Place
+	pl            *execute.Ticket
 	ti            *admission.Ticket
 	con           *admission.Controller
 	tries         *retry.Attempts
@@ -180,7 +180,7 @@
 			id := core.UpstreamID(fmt.Sprintf("%s-%d", st.zone, len(si.ups)))
 			si.ups = append(si.ups, &upstream{
 				host: core.Host{ID: id, Zone: st.zone, Region: st.region},
-				bo:   execute.NewBound(sit.slots, limit), jobs: map[*job]bool{},
+				bo:   execute.NewSlotQueue(sit.slots, limit), jobs: map[*job]bool{},
 			})
 		}
 	}
@@ -217,8 +217,8 @@
 
 func (en *entry) updateView(now time.Time, ix int, up *upstream) {
 	vi := &en.views[ix]
-	vi.Host, vi.Up, vi.Load = up.host, !up.down, up.bo.Load()
-	vi.Reported, vi.OwnThen = now, vi.Own
+	vi.Host, vi.Connected, vi.Load = up.host, !up.down, up.bo.Load()
+	vi.ReportedAt, vi.OwnAtReport = now, vi.OwnAttempts
 }
 
 func (si *sim) scheduleFaults() {
@@ -241,12 +241,12 @@
 	}
 	slices.SortFunc(lost, func(aa, bb *job) int { return int(aa.rq.arrived - bb.rq.arrived) })
 	for _, jo := range lost {
-		jo.fail(core.Lost("upstream lost"))
+		jo.fail(core.OutcomeUnknown("upstream lost"))
 	}
 	for _, en := range si.entries {
 		for ix := range en.views {
 			if en.views[ix].Host.ID == up.host.ID {
-				en.views[ix].Up = false // The entry detects the lost link.
+				en.views[ix].Connected = false // The entry detects the lost link.
 			}
 		}
 	}
--- a/core/attempt.go
+++ b/core/attempt.go
@@ -22,10 +22,10 @@
 	// Priority is the rank of the work; the highest runs first.
 	Priority int
 	Stream   bool
-	// Solo makes the upstream run nothing else at the same time. It is set for a request that is
-	// suspected of crashing upstreams.
-	Solo bool
-	Body []byte
+	// Exclusive makes the upstream run nothing else at the same time. It is set for a request that
+	// is suspected of crashing upstreams.
+	Exclusive bool
+	Body      []byte
 }
 
 // Usage counts the tokens that an answer consumed.
--- a/core/balance/balance.go
+++ b/core/balance/balance.go
@@ -57,7 +57,7 @@
 	// newRemoteCalls are the calls to other regions that were not announced yet, by region.
 	newRemoteCalls map[uint64][]Share
 	totals         loadTotals
-	off            mechanism.Off
+	off            mechanism.Disabled
 	// localWait is the mean prefill queue, as time, of the engines in the local region.
 	localWait time.Duration
 	// meanPrefill is a moving average of the prefill time of prompts, in nanoseconds.
@@ -83,7 +83,7 @@
 type Option func(*Picker)
 
 // Without disables mechanisms.
-func Without(off mechanism.Off) Option { return func(pk *Picker) { pk.off = off } }
+func Without(off mechanism.Disabled) Option { return func(pk *Picker) { pk.off = off } }
 
 // Pick returns the upstream for an attempt, or false when every upstream was tried. Draw returns a
 // random number from 0 to 1.
--- a/core/balance/balance_test.go
+++ b/core/balance/balance_test.go
@@ -195,8 +195,8 @@
 // prefix cache belong to the old start and must be dropped.
 func TestRestartResetsUpstreamState(t *testing.T) {
 	pk := balance.New("muc-a", "muc")
-	ho := core.Host{ID: "up-0", Service: "s", Zone: "muc-a", Region: "muc", Slots: 64, Born: 1}
-	other := core.Host{ID: "up-1", Service: "s", Zone: "muc-a", Region: "muc", Slots: 64, Born: 1}
+	ho := core.Host{ID: "up-0", Service: "s", Zone: "muc-a", Region: "muc", Slots: 64, StartedAt: 1}
+	other := core.Host{ID: "up-1", Service: "s", Zone: "muc-a", Region: "muc", Slots: 64, StartedAt: 1}
 	rnd := rand.New(rand.NewPCG(7, 1))
 	for i := range 20 {
 		fl := pk.Sent(start, ho, draft("plan", i))
@@ -204,7 +204,7 @@
 	}
 	got, _ := pk.Pick(start, []core.Host{ho, other}, draft("plan", 99), rnd.Float64)
 	assert.Equal(t, got.ID, other.ID)
-	ho.Born = 2
+	ho.StartedAt = 2
 	counts := map[core.UpstreamID]int{}
 	for i := range 20 {
 		got, _ := pk.Pick(start, []core.Host{ho, other}, draft(fmt.Sprint("p", i), i), rnd.Float64)
@@ -314,10 +314,10 @@
 	hosts := pool(12, 64)
 	rnd := rand.New(rand.NewPCG(9, 1))
 	rq := draft("plan-7", 0)
-	held := func(mo core.ModelID, parts []core.Part) []core.Held {
-		var out []core.Held
+	held := func(mo core.ModelID, parts []core.Part) []core.CachedPart {
+		var out []core.CachedPart
 		for _, pa := range parts {
-			out = append(out, core.Held{Model: mo, Part: pa})
+			out = append(out, core.CachedPart{Model: mo, Part: pa})
 		}
 		return out
 	}
--- a/core/balance/cache.go
+++ b/core/balance/cache.go
@@ -67,7 +67,7 @@
 }
 
 // RecordCached records the parts that an engine reports as cached.
-func (pk *Picker) RecordCached(now time.Time, ho core.Host, held []core.Held) {
+func (pk *Picker) RecordCached(now time.Time, ho core.Host, held []core.CachedPart) {
 	pe := pk.peer(&ho)
 	for _, he := range held {
 		pe.recordPart(now, partHash(he.Model, he.Part.ID))
@@ -113,7 +113,7 @@
 // the assumption that the home has the prefix cached would then only hide how long the prefill
 // takes.
 func (pk *Picker) prefixHome(now time.Time, hosts []core.Host, rq Request) core.UpstreamID {
-	if len(rq.Parts) < 2 || pk.off.Has(mechanism.PrefixHomes) || pk.hasSiblingLoads(now) {
+	if len(rq.Parts) < 2 || pk.off.Has(mechanism.PrefixAffinity) || pk.hasSiblingLoads(now) {
 		return ""
 	}
 	key := string(rq.Model)
--- a/core/balance/cost.go
+++ b/core/balance/cost.go
@@ -92,7 +92,7 @@
 	if ho.Slots > 0 && load >= float64(ho.Slots) {
 		cost += fullCost
 	}
-	if pk.off.Has(mechanism.Slowness) {
+	if pk.off.Has(mechanism.SlowUpstreamPenalty) {
 		return cost
 	}
 	return time.Duration(float64(cost) * pe.slowFactor())
@@ -100,7 +100,7 @@
 
 // latenessCost is the penalty for a response whose first event is expected after the given time.
 func (pk *Picker) latenessCost(rq Request, first time.Duration) time.Duration {
-	if rq.Slack <= 0 || pk.off.Has(mechanism.Slack) {
+	if rq.Slack <= 0 || pk.off.Has(mechanism.LatenessPenalty) {
 		return 0
 	}
 	return max(time.Duration(lateFactor*(float64(first)-slackShare*float64(rq.Slack))), 0)
@@ -114,7 +114,7 @@
 
 // sharedPrefillCost is the penalty, as time, for repeating the prefill of so many shared tokens.
 func (pk *Picker) sharedPrefillCost(tok core.Tokens) time.Duration {
-	if pk.off.Has(mechanism.SharedPrice) {
+	if pk.off.Has(mechanism.SharedPrefillPenalty) {
 		return 0
 	}
 	return scale(sharedCost, tok)
--- a/core/balance/fact.go
+++ b/core/balance/fact.go
@@ -45,7 +45,7 @@
 
 // ReceiveFacts applies the facts that another entry announced.
 func (pk *Picker) ReceiveFacts(now time.Time, facts []Fact) {
-	if pk.off.Has(mechanism.ToldFacts) {
+	if pk.off.Has(mechanism.SiblingFacts) {
 		return
 	}
 	for _, fa := range facts {
@@ -86,5 +86,5 @@
 // as this entry or another one observed.
 func (pk *Picker) UnreachableWithin(now time.Time, ho *core.Host, span time.Duration) bool {
 	pe := pk.peers[ho.ID]
-	return pe != nil && pe.born == ho.Born && !pe.unreachableUntil.IsZero() && now.Before(pe.unreachableUntil.Add(span))
+	return pe != nil && pe.born == ho.StartedAt && !pe.unreachableUntil.IsZero() && now.Before(pe.unreachableUntil.Add(span))
 }
--- a/core/balance/fact_test.go
+++ b/core/balance/fact_test.go
@@ -60,14 +60,14 @@
 // Guards against a restarted upstream that gets no work because of facts about its previous start,
 // and against unavailability without an end.
 func TestFactsApplyToOneStart(t *testing.T) {
-	ho := core.Host{ID: "up-0", Service: "s", Zone: "muc-a", Region: "muc", Slots: 64, Born: 1}
+	ho := core.Host{ID: "up-0", Service: "s", Zone: "muc-a", Region: "muc", Slots: 64, StartedAt: 1}
 	rnd := rand.New(rand.NewPCG(4, 1))
 	one, two := balance.New("muc-a", "muc"), balance.New("muc-a", "muc")
 	one.Ended(start, one.Sent(start, ho, draft("p", 0)), balance.Replaced)
 	facts := one.TakeFacts(start)
 	assert.Equal(t, len(facts), 1)
 	avoided := func(born int64, at time.Time) bool {
-		ho.Born = born
+		ho.StartedAt = born
 		two.Pick(at, []core.Host{ho}, draft("p", 1), rnd.Float64)
 		two.ReceiveFacts(at, facts)
 		return two.CountAvoided(at, []core.Host{ho}) > 0
--- a/core/balance/flight.go
+++ b/core/balance/flight.go
@@ -78,7 +78,7 @@
 		fl.basis.CachedTokens = pe.cachedTokens(now, rq)
 		fl.uncached = rq.Prompt - fl.basis.CachedTokens
 		fl.cost = scale(pk.prefill.perThousand(rq.Model), fl.uncached)
-		fl.measuresPrefill = fl.basis.QueueTime == 0 && ho.Region == pk.region && !pk.off.Has(mechanism.ReadPace)
+		fl.measuresPrefill = fl.basis.QueueTime == 0 && ho.Region == pk.region && !pk.off.Has(mechanism.PrefillRate)
 		pk.recordPrompt(now, pe, rq)
 		pe.pending += fl.cost
 		pk.meanPrefill += (float64(fl.cost) - pk.meanPrefill) / 32
--- a/core/balance/peer.go
+++ b/core/balance/peer.go
@@ -122,8 +122,8 @@
 // gets a new state.
 func (pk *Picker) peer(ho *core.Host) *peer {
 	pe := pk.peers[ho.ID]
-	if pe == nil || pe.born != ho.Born {
-		pe = &peer{born: ho.Born, hash: Hash(ho.ID), remote: ho.Region != pk.region, region: Hash(ho.Region), slowRatio: 1, cache: newPrefixCache()}
+	if pe == nil || pe.born != ho.StartedAt {
+		pe = &peer{born: ho.StartedAt, hash: Hash(ho.ID), remote: ho.Region != pk.region, region: Hash(ho.Region), slowRatio: 1, cache: newPrefixCache()}
 		pk.peers[ho.ID], pk.byHash[pe.hash] = pe, pe
 	}
 	return pe
--- a/core/balance/prefill_test.go
+++ b/core/balance/prefill_test.go
@@ -156,7 +156,7 @@
 func TestSharedPartsArePrefilledOnce(t *testing.T) {
 	with, without := newEngines(9, 1), newEngines(9, 1)
 	with.run(30*time.Millisecond, 900, 40)
-	without.run(30*time.Millisecond, 900, 40, balance.Without(mechanism.Without(mechanism.SharedPrice)))
+	without.run(30*time.Millisecond, 900, 40, balance.Without(mechanism.Disable(mechanism.SharedPrefillPenalty)))
 	assert.Assert(t, with.repeated < without.repeated/2, "%d shared tokens needed prefill again, %d without their cost", with.repeated, without.repeated)
 }
 
--- a/core/balance/remote.go
+++ b/core/balance/remote.go
@@ -68,7 +68,7 @@
 
 // ReceiveRegionLoad applies the load that another region announced.
 func (pk *Picker) ReceiveRegionLoad(now time.Time, lo RegionLoad) {
-	if pk.off.Has(mechanism.ToldRegions) || lo.Region == Hash(pk.region) {
+	if pk.off.Has(mechanism.RegionLoads) || lo.Region == Hash(pk.region) {
 		return
 	}
 	rl := remoteLoad{at: now, shares: make(map[uint64]Share, len(lo.Shares)), rest: lo.Others}
--- a/core/balance/shares.go
+++ b/core/balance/shares.go
@@ -115,7 +115,7 @@
 // ReceiveCalls adds the calls that another entry has just sent to the load that it announced
 // before.
 func (pk *Picker) ReceiveCalls(now time.Time, from uint64, sent []Share) {
-	if pk.off.Has(mechanism.ToldLoads) || pk.off.Has(mechanism.ToldCalls) {
+	if pk.off.Has(mechanism.SiblingLoads) || pk.off.Has(mechanism.SiblingCalls) {
 		return
 	}
 	pk.totals.until = time.Time{}
@@ -140,7 +140,7 @@
 // responses, seconds apart, and all of them would select the upstream that looked idle then. Each
 // entry itself has the most accurate count of its work there.
 func (pk *Picker) ReceiveLoad(now time.Time, from uint64, lo Load) {
-	if pk.off.Has(mechanism.ToldPrompts) {
+	if pk.off.Has(mechanism.SiblingPrompts) {
 		lo.CachedParts = nil
 	}
 	pk.totals.until = time.Time{}
@@ -153,7 +153,7 @@
 	for _, sh := range lo.Shares {
 		to.shares[sh.Upstream] = sh
 	}
-	if !pk.off.Has(mechanism.ToldLoads) {
+	if !pk.off.Has(mechanism.SiblingLoads) {
 		pk.siblings[from] = to
 	}
 	for id, old := range pk.siblings {
--- a/core/canary/guard.go
+++ b/core/canary/guard.go
@@ -10,7 +10,7 @@
 
 // Guard controls the roll-outs of all services. It is safe for concurrent use.
 type Guard struct {
-	off   mechanism.Off
+	off   mechanism.Disabled
 	gap   time.Duration
 	steps [3]step
 
@@ -38,7 +38,7 @@
 func SessionGap(du time.Duration) Option { return func(gu *Guard) { gu.gap = du } }
 
 // Without disables mechanisms.
-func Without(off mechanism.Off) Option { return func(gu *Guard) { gu.off = off } }
+func Without(off mechanism.Disabled) Option { return func(gu *Guard) { gu.off = off } }
 
 // Exposure sets the fraction of a service's requests that a bad version may receive during a
 // roll-out.
--- a/core/cascade/figures_test.go
+++ b/core/cascade/figures_test.go
@@ -154,10 +154,10 @@
 	figure.AtMost("cascade-cost-over-clairvoyant", calm.cost/clairvoyant(requests, figureTarget), "ratio", 1.15)
 	figure.AtLeast("cascade-cost-below-always-costliest", 1-calm.cost/costliest.cost, "share", 0.4)
 	figure.AtMost("cascade-p95-association-over-landesamt", five[2].tailRatio(), "ratio", 0.8)
-	figure.Plain("cascade-p95-association-over-landesamt-worst-of-five-seeds", five[4].tailRatio(), "ratio")
-	figure.Plain("cascade-p95-ratio-at-a-third-of-the-weight", simulateBoth(requests, associationPrice/3, 1).tailRatio(), "ratio")
-	figure.Plain("cascade-p95-ratio-at-a-weight-of-80", simulateBoth(requests, 80, 1).tailRatio(), "ratio")
-	figure.Plain("cascade-p95-ratio-with-one-draft-in-ten", simulateBoth(generate(figureRequests, 1, withDrafts[:]), associationPrice, 1).tailRatio(), "ratio")
+	figure.Unbounded("cascade-p95-association-over-landesamt-worst-of-five-seeds", five[4].tailRatio(), "ratio")
+	figure.Unbounded("cascade-p95-ratio-at-a-third-of-the-weight", simulateBoth(requests, associationPrice/3, 1).tailRatio(), "ratio")
+	figure.Unbounded("cascade-p95-ratio-at-a-weight-of-80", simulateBoth(requests, 80, 1).tailRatio(), "ratio")
+	figure.Unbounded("cascade-p95-ratio-with-one-draft-in-ten", simulateBoth(generate(figureRequests, 1, withDrafts[:]), associationPrice, 1).tailRatio(), "ratio")
 	worst := 1.0
 	for _, ou := range five {
 		worst = min(worst, ou.calm.mean(), ou.hasty.mean())
@@ -167,8 +167,8 @@
 		name string
 		re   *result
 	}{{"landesamt", calm}, {"association", hasty}, {"always-cheapest", alwaysStage(requests, 0)}, {"always-costliest", costliest}, {"fixed-cascade", fixedCascade(requests)}} {
-		figure.Plain("cascade-"+row.name+"-cost-over-best", row.re.cost/best, "ratio")
-		figure.Plain("cascade-"+row.name+"-quality", row.re.mean(), "share")
-		figure.Plain("cascade-"+row.name+"-p95", float64(row.re.p95())/float64(time.Millisecond), "ms")
+		figure.Unbounded("cascade-"+row.name+"-cost-over-best", row.re.cost/best, "ratio")
+		figure.Unbounded("cascade-"+row.name+"-quality", row.re.mean(), "share")
+		figure.Unbounded("cascade-"+row.name+"-p95", float64(row.re.p95())/float64(time.Millisecond), "ms")
 	}
 }
--- a/core/cascade/simulation_test.go
+++ b/core/cascade/simulation_test.go
@@ -111,7 +111,7 @@
 	for _, as := range requests {
 		now = now.Add(time.Duration(rnd.ExpFloat64() * float64(50*time.Millisecond)))
 		began := now
-		lo.At(began, func(at time.Time) {
+		lo.Schedule(began, func(at time.Time) {
 			wk := &execution{le: le, lo: lo, re: re, as: as, qu: question(as.class, target, price), began: began, rnd: rnd}
 			wk.stage(at, le.Start(at, wk.qu, rnd.Float64()), cascade.First)
 		})
@@ -133,18 +133,18 @@
 }
 
 func (wk *execution) stage(at time.Time, de cascade.Decision, pl cascade.Position) {
-	wk.lo.At(at.Add(wk.as.latency[de.Stage]), func(at time.Time) {
+	wk.lo.Schedule(at.Add(wk.as.latency[de.Stage]), func(at time.Time) {
 		wk.cost += wk.as.cost[de.Stage]
 		wk.le.RecordRun(at, wk.qu, de.Stage, wk.as.cost[de.Stage], wk.as.latency[de.Stage])
 		if !de.Final {
-			wk.lo.At(at.Add(wk.as.ratingDelay), func(at time.Time) { wk.rated(at, de, pl) })
+			wk.lo.Schedule(at.Add(wk.as.ratingDelay), func(at time.Time) { wk.rated(at, de, pl) })
 			return
 		}
 		wk.finish(at, de.Stage)
 		expected := wk.le.Expected(at, wk.qu, de.Stage, pl)
 		wk.le.RecordResult(wk.qu, expected, at.Sub(wk.began))
 		if wk.rnd.Float64() < sampleShare {
-			wk.lo.At(at.Add(wk.as.ratingDelay), func(at time.Time) {
+			wk.lo.Schedule(at.Add(wk.as.ratingDelay), func(at time.Time) {
 				wk.le.RecordRating(at, wk.qu, de.Stage, pl, wk.rating(de.Stage))
 				wk.le.RecordSampledRating(wk.qu, expected, wk.rating(de.Stage), sampleShare)
 			})
--- a/core/chain/chain.go
+++ b/core/chain/chain.go
@@ -11,11 +11,11 @@
 //
 // # Snapshots
 //
-// Fold compacts a chain: it writes a snapshot under <name>/snapshot that replaces the entries up to
-// a number. These entries are pruned only by the next Fold, so that a reader that has just read the
-// older snapshot still finds the entries that follow it. A pruned entry's key remains, with its
-// nonce and without its payload. If the key were deleted, a writer that was paused before its
-// create would find the key absent, write an entry that nobody reads, and conclude that it was
+// Compact compacts a chain: it writes a snapshot under <name>/snapshot that replaces the entries up
+// to a number. These entries are pruned only by the next Compact, so that a reader that has just
+// read the older snapshot still finds the entries that follow it. A pruned entry's key remains,
+// with its nonce and without its payload. If the key were deleted, a writer that was paused before
+// its create would find the key absent, write an entry that nobody reads, and conclude that it was
 // accepted.
 //
 // # Usage
@@ -48,10 +48,10 @@
 	ErrAbsent = errors.New("chain: no such entry")
 	// ErrPruned: the entry's payload was deleted; the snapshot replaces it.
 	ErrPruned = errors.New("chain: entry is pruned, read the snapshot")
-	// ErrAway: the store is unreachable. This call wrote nothing.
-	ErrAway = errors.New("chain: store is unreachable, nothing was written")
-	// ErrUnsettled: the context ended while it was unknown whether the write took effect.
-	ErrUnsettled = errors.New("chain: unknown whether the write took effect")
+	// ErrStoreUnavailable: the store is unreachable. This call wrote nothing.
+	ErrStoreUnavailable = errors.New("chain: store is unreachable, nothing was written")
+	// ErrOutcomeUnknown: the context ended while it was unknown whether the write took effect.
+	ErrOutcomeUnknown = errors.New("chain: unknown whether the write took effect")
 )
 
 // Entry is one accepted entry of a chain. Number 0 is the position before the first entry.
@@ -84,14 +84,14 @@
 func (ch *Chain) headKey() string     { return ch.name + "/head" }
 
 // Create writes entry n with a JSON payload. It returns nil once the entry is known to be this
-// call's. Errors: ErrTaken, ErrSealed, ErrAway, ErrUnsettled.
+// call's. Errors: ErrTaken, ErrSealed, ErrStoreUnavailable, ErrOutcomeUnknown.
 func (ch *Chain) Create(ctx context.Context, n uint64, payload []byte) error {
 	return ch.CreateAs(ctx, n, core.NewID(), payload)
 }
 
 // CreateAs is Create with a nonce that the caller chooses. A writer whose call ended with
-// ErrUnsettled calls it again with the same nonce, number and payload; with a new nonce it would
-// take its own earlier write for another writer's.
+// ErrOutcomeUnknown calls it again with the same nonce, number and payload; with a new nonce it
+// would take its own earlier write for another writer's.
 func (ch *Chain) CreateAs(ctx context.Context, n uint64, nonce string, payload []byte) error {
 	return ch.createWithRetry(ctx, n, record{Nonce: nonce, Payload: payload})
 }
@@ -122,7 +122,7 @@
 		case errors.Is(err, core.ErrConflict):
 			return struct{}{}, ch.confirmOwn(ctx, n, rec.Nonce)
 		case errors.Is(err, core.ErrUnavailable) && !uncertain:
-			return struct{}{}, backoff.Permanent(ErrAway)
+			return struct{}{}, backoff.Permanent(ErrStoreUnavailable)
 		default:
 			uncertain = true
 			return struct{}{}, err
@@ -133,14 +133,14 @@
 	case err == nil:
 		// The seal updates the head too: it is the last entry, so a reader can tell a chain that lost
 		// an entry before the seal from one that never had it.
-		if n%HintEvery == 0 || rec.Seal {
+		if n%HeadInterval == 0 || rec.Seal {
 			ch.updateHead(ctx, n)
 		}
 		return nil
-	case errors.Is(err, ErrTaken), errors.Is(err, ErrSealed), errors.Is(err, ErrAway):
+	case errors.Is(err, ErrTaken), errors.Is(err, ErrSealed), errors.Is(err, ErrStoreUnavailable):
 		return unwrapPermanent(err)
 	default:
-		return ErrUnsettled
+		return ErrOutcomeUnknown
 	}
 }
 
@@ -175,7 +175,7 @@
 	return bo
 }
 
-// Read returns entry n. Errors: ErrAbsent, ErrPruned, ErrAway.
+// Read returns entry n. Errors: ErrAbsent, ErrPruned, ErrStoreUnavailable.
 func (ch *Chain) Read(ctx context.Context, n uint64) (Entry, error) {
 	en, err := ch.readEntry(ctx, n)
 	if err == nil && en.Pruned {
@@ -190,7 +190,7 @@
 	return decode(n, it, err)
 }
 
-// Watch waits for entry n. Errors: ErrAway, the context's.
+// Watch waits for entry n. Errors: ErrStoreUnavailable, the context's.
 func (ch *Chain) Watch(ctx context.Context, n uint64) (Entry, error) {
 	it, err := ch.store.Watch(ctx, ch.key(n), 0)
 	return decode(n, it, err)
@@ -201,7 +201,7 @@
 	case errors.Is(err, core.ErrNotFound):
 		return Entry{}, ErrAbsent
 	case err != nil:
-		return Entry{}, ErrAway
+		return Entry{}, ErrStoreUnavailable
 	}
 	var rec record
 	if err := json.Unmarshal(it.Value, &rec); err != nil {
@@ -239,7 +239,7 @@
 	case errors.Is(err, core.ErrNotFound):
 		return 1, nil
 	case err != nil:
-		return 0, ErrAway
+		return 0, ErrStoreUnavailable
 	}
 	n, err := strconv.ParseUint(string(it.Value), 10, 64)
 	if err != nil || n == 0 {
@@ -248,9 +248,9 @@
 	return n, nil
 }
 
-// HintEvery is the number of entries between two updates of the head. An update takes two calls and
-// saves its readers at most this many.
-const HintEvery = 8
+// HeadInterval is the number of entries between two updates of the head. An update takes two calls
+// and saves its readers at most this many.
+const HeadInterval = 8
 
 // updateHead moves the head forward, at best effort.
 func (ch *Chain) updateHead(ctx context.Context, n uint64) {
--- a/core/chain/chain_test.go
+++ b/core/chain/chain_test.go
@@ -58,7 +58,7 @@
 	called := time.Now().UnixNano()
 	out := fn()
 	op := porcupine.Operation{Input: in, Output: out, Call: called, Return: time.Now().UnixNano()}
-	if errors.Is(out.err, chain.ErrUnsettled) {
+	if errors.Is(out.err, chain.ErrOutcomeUnknown) {
 		op.Return = math.MaxInt64
 	}
 	wo.mu.Lock()
@@ -98,7 +98,7 @@
 		if err == nil && !en.Seal && string(en.Payload) != fmt.Sprintf("%q", en.Nonce) {
 			wo.addViolation("entry %d holds the payload %s, its nonce is %s", n, en.Payload, en.Nonce)
 		}
-		if !errors.Is(err, chain.ErrAway) && !en.Seal {
+		if !errors.Is(err, chain.ErrStoreUnavailable) && !en.Seal {
 			wo.record(operation{number: n}, func() outcome { return outcome{nonce: en.Nonce, err: err} })
 		}
 	})
@@ -112,8 +112,8 @@
 		if err != nil || last < 2 || len(sum) < int(last) {
 			return
 		}
-		err = wo.ch.Fold(context.Background(), last-1, fmt.Appendf(nil, "%q", fmt.Sprint(sum[:last-1])))
-		if errors.Is(err, chain.ErrAhead) {
+		err = wo.ch.Compact(context.Background(), last-1, fmt.Appendf(nil, "%q", fmt.Sprint(sum[:last-1])))
+		if errors.Is(err, chain.ErrNotAccepted) {
 			wo.addViolation("entry %d was read but Fold reports that it is not accepted", last)
 		}
 	})
@@ -158,9 +158,9 @@
 			wo := newHarness()
 			defer wo.tasks.Wait()
 			rt.Repeat(wo.actions())
-			wo.st.Set(fakestore.Faults{})
+			wo.st.SetFaults(fakestore.Faults{})
 			wo.tasks.Wait()
-			wo.st.Land()
+			wo.st.ApplyLateWrites()
 			wo.checkFinalState(rt)
 		})
 	})
@@ -176,14 +176,14 @@
 		},
 		"read": func(rt *rapid.T) { wo.read(rapid.Uint64Range(1, 6).Draw(rt, "number")) },
 		"fold": func(*rapid.T) { wo.compact() },
-		"land": func(*rapid.T) { wo.st.Land() },
+		"land": func(*rapid.T) { wo.st.ApplyLateWrites() },
 		"wait": func(rt *rapid.T) { time.Sleep(durations(time.Millisecond, time.Second).Draw(rt, "time")) },
 		"faults": func(rt *rapid.T) {
-			wo.st.Set(fakestore.Faults{
+			wo.st.SetFaults(fakestore.Faults{
 				Down:      rapid.IntRange(0, 4).Draw(rt, "down") == 0,
-				LoseReply: 0.2, LoseWrite: 0.1, Late: 0.2, Refuse: 0.1,
-				LateBy:  durations(0, 30*time.Millisecond, time.Second).Draw(rt, "late"),
-				Latency: durations(0, 5*time.Millisecond).Draw(rt, "latency"),
+				LoseReply: 0.2, LoseWrite: 0.1, DelayWrite: 0.2, Refuse: 0.1,
+				WriteDelay: durations(0, 30*time.Millisecond, time.Second).Draw(rt, "late"),
+				Latency:    durations(0, 5*time.Millisecond).Draw(rt, "latency"),
 			})
 		},
 	}
@@ -246,7 +246,7 @@
 		return []any{in.nonce}
 	case out.err == nil:
 		return nil
-	case errors.Is(out.err, chain.ErrUnsettled) && before == "":
+	case errors.Is(out.err, chain.ErrOutcomeUnknown) && before == "":
 		return []any{"", in.nonce}
 	case errors.Is(out.err, chain.ErrTaken) && before == "":
 		return nil
@@ -265,10 +265,10 @@
 	for n := uint64(1); n <= 9; n++ {
 		assert.NilError(t, ch.Create(t.Context(), n, fmt.Appendf(nil, "%d", n)))
 	}
-	assert.ErrorIs(t, ch.Fold(t.Context(), 9, []byte(`"nine"`)), chain.ErrAhead)
-	assert.NilError(t, ch.Fold(t.Context(), 4, []byte(`"four"`)))
-	assert.NilError(t, ch.Fold(t.Context(), 8, []byte(`"eight"`)))
-	assert.NilError(t, ch.Fold(t.Context(), 6, []byte(`"six"`)))
+	assert.ErrorIs(t, ch.Compact(t.Context(), 9, []byte(`"nine"`)), chain.ErrNotAccepted)
+	assert.NilError(t, ch.Compact(t.Context(), 4, []byte(`"four"`)))
+	assert.NilError(t, ch.Compact(t.Context(), 8, []byte(`"eight"`)))
+	assert.NilError(t, ch.Compact(t.Context(), 6, []byte(`"six"`)))
 	sn, err := ch.Snapshot(t.Context())
 	assert.NilError(t, err)
 	assert.Equal(t, sn.Through, uint64(8))
--- a/core/chain/snapshot.go
+++ b/core/chain/snapshot.go
@@ -18,14 +18,14 @@
 	Payload json.RawMessage `json:"payload"`
 }
 
-// ErrAhead means that the entry after the snapshot's last entry is not accepted yet: the snapshot
-// would replace the chain's last entry or entries that do not exist.
-var ErrAhead = errors.New("chain: entries of the snapshot are not all accepted yet")
+// ErrNotAccepted means that the entry after the snapshot's last entry is not accepted yet: the
+// snapshot would replace the chain's last entry or entries that do not exist.
+var ErrNotAccepted = errors.New("chain: entries of the snapshot are not all accepted yet")
 
 func (ch *Chain) snapshotKey() string { return ch.name + "/snapshot" }
 
 // Snapshot returns the newest snapshot, or one with Through 0 when there is none. A reader
-// continues with entry Through+1. Error: ErrAway.
+// continues with entry Through+1. Error: ErrStoreUnavailable.
 func (ch *Chain) Snapshot(ctx context.Context) (Snapshot, error) {
 	sn, _, err := ch.snapshot(ctx)
 	return sn, err
@@ -38,28 +38,28 @@
 	case errors.Is(err, core.ErrNotFound):
 		return sn, 0, nil
 	case err != nil:
-		return sn, 0, ErrAway
+		return sn, 0, ErrStoreUnavailable
 	}
 	err = json.Unmarshal(it.Value, &sn)
 	return sn, it.Revision, eris.Wrap(err, "decode chain snapshot")
 }
 
-// Fold compacts the chain: it prunes the entries that the previous snapshot replaces, then writes a
-// snapshot with a JSON payload that replaces the entries 1 to through. The entry after through must
-// be accepted, so that the last entry is never pruned. If a snapshot already replaces the entries
-// up to through, whichever process wrote it, Fold does nothing.
+// Compact compacts the chain: it prunes the entries that the previous snapshot replaces, then
+// writes a snapshot with a JSON payload that replaces the entries 1 to through. The entry after
+// through must be accepted, so that the last entry is never pruned. If a snapshot already replaces
+// the entries up to through, whichever process wrote it, Compact does nothing.
 //
-// Fold may run twice or be interrupted at any point: pruning proceeds upwards and is restarted by
-// the next Fold, and a snapshot only moves forward. Errors: ErrAhead, ErrAway, ErrUnsettled; after
-// the last two, call Fold again.
-func (ch *Chain) Fold(ctx context.Context, through uint64, payload []byte) error {
+// Compact may run twice or be interrupted at any point: pruning proceeds upwards and is restarted
+// by the next Compact, and a snapshot only moves forward. Errors: ErrNotAccepted,
+// ErrStoreUnavailable, ErrOutcomeUnknown; after the last two, call Compact again.
+func (ch *Chain) Compact(ctx context.Context, through uint64, payload []byte) error {
 	sn, rev, err := ch.snapshot(ctx)
 	if err != nil || sn.Through >= through {
 		return err
 	}
 	switch _, err := ch.readEntry(ctx, through+1); {
 	case errors.Is(err, ErrAbsent):
-		return ErrAhead
+		return ErrNotAccepted
 	case err != nil:
 		return err
 	}
@@ -87,20 +87,20 @@
 	case err == nil:
 		return nil
 	case errors.Is(err, core.ErrUnavailable):
-		return ErrAway
+		return ErrStoreUnavailable
 	}
 	sn, _, err := ch.snapshot(ctx)
 	if err == nil && sn.Through >= through {
 		return nil
 	}
-	return ErrUnsettled
+	return ErrOutcomeUnknown
 }
 
 // prune deletes the payload of an entry and keeps its nonce.
 func (ch *Chain) prune(ctx context.Context, n uint64) error {
 	it, err := ch.store.Get(ctx, ch.key(n))
 	if err != nil {
-		return ErrAway
+		return ErrStoreUnavailable
 	}
 	en, err := decode(n, it, nil)
 	if err != nil || en.Pruned {
@@ -116,8 +116,8 @@
 	case err == nil, errors.Is(err, core.ErrConflict):
 		return nil
 	case errors.Is(err, core.ErrUnavailable):
-		return ErrAway
+		return ErrStoreUnavailable
 	default:
-		return ErrUnsettled
+		return ErrOutcomeUnknown
 	}
 }
--- a/core/claim/fold_test.go
+++ b/core/claim/archive_test.go
@@ -20,7 +20,7 @@
 func TestFullBucketRefuses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		st := fakestore.New()
-		tbl, cleanup := claim.New(core.NewDeps(), st, claim.Room(64<<10))
+		tbl, cleanup := claim.New(core.NewDeps(), st, claim.MaxBucketBytes(64<<10))
 		defer cleanup()
 		reqs := sameBucket(1000)
 		for i, req := range reqs {
@@ -31,7 +31,7 @@
 			assert.NilError(t, err)
 			assert.Equal(t, out.State, claim.Owned)
 			if i%2 == 0 {
-				tbl.Forget(req, core.Lost("the service broke the call off"))
+				tbl.MarkOutcomeUnknown(req, core.OutcomeUnknown("the service broke the call off"))
 				continue
 			}
 			assert.NilError(t, tbl.Finish(t.Context(), req, claim.Answer{Status: 200, Body: make([]byte, 900)}))
@@ -98,7 +98,7 @@
 		// claims.
 		wo.claimAndFinishAll(t, reqs[many:])
 		time.Sleep(2 * time.Hour)
-		longer, cleanup := claim.New(core.NewDeps(), wo.st, claim.Retention(1000*time.Hour), claim.Room(4<<10))
+		longer, cleanup := claim.New(core.NewDeps(), wo.st, claim.Retention(1000*time.Hour), claim.MaxBucketBytes(4<<10))
 		defer cleanup()
 		wo.claimAndFinishAll(t, fresh[:1])
 		_, err = longer.Claim(t.Context(), reqs[0])
@@ -134,13 +134,13 @@
 			wo := newHarness(2)
 			defer wo.stop()
 			done := false
-			wo.st.Before(func(op fakestore.Op) {
+			wo.st.SetHook(func(op fakestore.Op) {
 				switch {
 				case op.Key == "claims/booking/0/1" && op.Name == "create" && !done:
 					done = true
-					wo.st.Set(faults)
+					wo.st.SetFaults(faults)
 				case done:
-					wo.st.Set(fakestore.Faults{})
+					wo.st.SetFaults(fakestore.Faults{})
 				}
 			})
 			reqs := sameBucket(12)
--- a/core/claim/bucket.go
+++ b/core/claim/bucket.go
@@ -246,7 +246,7 @@
 	var kept []*change
 	for _, ch := range open {
 		if ch.kind == claiming && !ch.maybeWritten {
-			ch.deliver(result{err: ErrAway})
+			ch.deliver(result{err: ErrStoreUnavailable})
 			continue
 		}
 		kept = append(kept, ch)
--- a/core/claim/figures_test.go
+++ b/core/claim/figures_test.go
@@ -32,7 +32,7 @@
 	if os.Getenv("SKYLARKSTAND_MEASURE") != "1" {
 		t.Skip("set SKYLARKSTAND_MEASURE=1 to measure")
 	}
-	st := fakestore.New(fakestore.With(fakestore.Faults{Latency: 5 * time.Millisecond, WritesPerSecond: 100}))
+	st := fakestore.New(fakestore.WithFaults(fakestore.Faults{Latency: 5 * time.Millisecond, WritesPerSecond: 100}))
 	var tables []*claim.Table
 	for range figureAgents {
 		tbl, cleanup := claim.New(core.NewDeps(), st)
@@ -68,10 +68,10 @@
 	done := float64(len(took))
 	figure.AtLeast("at-most-once-calls-per-second", done/lasted, "1/s", 2000)
 	figure.AtMost("store-calls-per-at-most-once-call", float64(counts.Reads+counts.Writes)/done, "calls", 0.05)
-	figure.Plain("at-most-once-added-p50", took[len(took)/2].Seconds()*1000, "ms")
-	figure.Plain("at-most-once-added-p99", took[len(took)*99/100].Seconds()*1000, "ms")
-	figure.Plain("at-most-once-refused", float64(refused)/(done+float64(refused)), "share")
-	figure.Plain("claim-store-calls-per-second-idle", float64(idle.Reads+idle.Writes-counts.Reads-counts.Writes), "1/s")
+	figure.Unbounded("at-most-once-added-p50", took[len(took)/2].Seconds()*1000, "ms")
+	figure.Unbounded("at-most-once-added-p99", took[len(took)*99/100].Seconds()*1000, "ms")
+	figure.Unbounded("at-most-once-refused", float64(refused)/(done+float64(refused)), "share")
+	figure.Unbounded("claim-store-calls-per-second-idle", float64(idle.Reads+idle.Writes-counts.Reads-counts.Writes), "1/s")
 }
 
 func operation(tables []*claim.Table, key string) (time.Duration, error) {
--- a/core/claim/world_test.go
+++ b/core/claim/harness_test.go
@@ -58,7 +58,7 @@
 }
 
 func (wo *harness) newAgent() *agent {
-	tbl, cleanup := claim.New(core.NewDeps(), wo.st, claim.Writes(50), claim.Room(4<<10))
+	tbl, cleanup := claim.New(core.NewDeps(), wo.st, claim.WriteBudget(50), claim.MaxBucketBytes(4<<10))
 	return &agent{tbl: tbl, stop: cleanup}
 }
 
@@ -114,7 +114,7 @@
 		err := ag.tbl.Release(context.Background(), req)
 		wo.recordReturn(op, output{err: err})
 	case "lost":
-		ag.tbl.Forget(req, core.Lost("the service broke the call off"))
+		ag.tbl.MarkOutcomeUnknown(req, core.OutcomeUnknown("the service broke the call off"))
 	}
 }
 
@@ -204,14 +204,14 @@
 			})
 		},
 		"faults": func(rt *rapid.T) {
-			wo.st.Set(fakestore.Faults{
+			wo.st.SetFaults(fakestore.Faults{
 				Down:      rapid.IntRange(0, 3).Draw(rt, "down") == 0,
-				LoseReply: 0.2, LoseWrite: 0.1, Late: 0.3, Refuse: 0.1,
-				LateBy:  durations(0, 30*time.Millisecond, time.Second).Draw(rt, "late"),
-				Latency: durations(0, 5*time.Millisecond, time.Second).Draw(rt, "latency"),
+				LoseReply: 0.2, LoseWrite: 0.1, DelayWrite: 0.3, Refuse: 0.1,
+				WriteDelay: durations(0, 30*time.Millisecond, time.Second).Draw(rt, "late"),
+				Latency:    durations(0, 5*time.Millisecond, time.Second).Draw(rt, "latency"),
 			})
 		},
-		"land": func(*rapid.T) { wo.st.Land() },
+		"land": func(*rapid.T) { wo.st.ApplyLateWrites() },
 		"kill": func(rt *rapid.T) { wo.kill(rapid.IntRange(0, len(wo.agents)-1).Draw(rt, "agent")) },
 		"wait": func(rt *rapid.T) {
 			time.Sleep(durations(time.Millisecond, 50*time.Millisecond, 5*time.Second).Draw(rt, "time"))
@@ -221,10 +221,10 @@
 
 // heal removes all faults and waits until every pending call and write has ended.
 func (wo *harness) heal() {
-	wo.st.Set(fakestore.Faults{})
+	wo.st.SetFaults(fakestore.Faults{})
 	wo.calls.Wait()
 	time.Sleep(10 * time.Second)
-	wo.st.Land()
+	wo.st.ApplyLateWrites()
 }
 
 func (wo *harness) stop() {
--- a/core/claim/history_test.go
+++ b/core/claim/linearizability_test.go
@@ -55,7 +55,7 @@
 	defer wo.mu.Unlock()
 	wo.history[op].Output = out
 	in := wo.history[op].Input.(input)
-	if !errors.Is(out.err, claim.ErrUnsettled) {
+	if !errors.Is(out.err, claim.ErrOutcomeUnknown) {
 		wo.history[op].Return = now()
 		return
 	}
@@ -86,7 +86,7 @@
 		after = en
 	}
 	switch {
-	case errors.Is(out.err, claim.ErrUnsettled), errors.Is(out.err, errNeverReturned):
+	case errors.Is(out.err, claim.ErrOutcomeUnknown), errors.Is(out.err, errNeverReturned):
 		return []modelClaim{en, after}
 	case out.err != nil:
 		return []modelClaim{en}
--- a/core/claim/hold.go
+++ b/core/claim/owned.go
@@ -44,10 +44,10 @@
 	delete(tbl.owned, id)
 }
 
-// Await waits until the context ends for the ending of an attempt that this process runs. It
+// AwaitEnding waits until the context ends for the ending of an attempt that this process runs. It
 // returns false when this process runs no such attempt or the context ended first: the outcome is
 // then unknown to the caller.
-func (tbl *Table) Await(ctx context.Context, id core.AttemptID) (Ending, bool) {
+func (tbl *Table) AwaitEnding(ctx context.Context, id core.AttemptID) (Ending, bool) {
 	tbl.mu.Lock()
 	ho := tbl.owned[id]
 	tbl.mu.Unlock()
--- a/core/claim/table.go
+++ b/core/claim/table.go
@@ -23,8 +23,8 @@
 // A write whose reply was lost may take effect at any later time, until the bucket's revision has
 // changed. To settle it, the process reads the bucket back and, while the revision is unchanged,
 // writes again from the same revision. Until then no claim of that write is reported as owned. A
-// caller that stops waiting receives ErrUnsettled and must not dispatch; its claim is released in
-// the background, so that the key stays usable.
+// caller that stops waiting receives ErrOutcomeUnknown and must not dispatch; its claim is released
+// in the background, so that the key stays usable.
 //
 // # Retention
 //
@@ -133,10 +133,10 @@
 	ErrFull = errors.New("claim: bucket is full of claims without an answer")
 	// ErrBusy: too many claims wait in this process.
 	ErrBusy = errors.New("claim: too many claims wait to be written in this process")
-	// ErrAway: the store is unreachable; nothing was claimed.
-	ErrAway = errors.New("claim: store is unreachable, nothing was claimed")
-	// ErrUnsettled: it is unknown whether the claim was written.
-	ErrUnsettled = errors.New("claim: unknown whether the write took effect")
+	// ErrStoreUnavailable: the store is unreachable; nothing was claimed.
+	ErrStoreUnavailable = errors.New("claim: store is unreachable, nothing was claimed")
+	// ErrOutcomeUnknown: it is unknown whether the claim was written.
+	ErrOutcomeUnknown = errors.New("claim: unknown whether the write took effect")
 	// ErrNotOwner: the claim to finish or release belongs to another attempt.
 	ErrNotOwner = errors.New("claim: claim belongs to another attempt")
 )
@@ -206,19 +206,19 @@
 // differ, the shortest takes effect.
 func Retention(d time.Duration) Option { return func(tbl *Table) { tbl.retention = d } }
 
-// Writes sets the process's write budget for the store, in writes per second.
-func Writes(n float64) Option {
+// WriteBudget sets the process's write budget for the store, in writes per second.
+func WriteBudget(n float64) Option {
 	return func(tbl *Table) { tbl.budget = rate.NewLimiter(rate.Limit(n), writeBurst) }
 }
 
-// Waiting bounds the number of claims that wait in the process.
-func Waiting(n int) Option { return func(tbl *Table) { tbl.maxWaiting = n } }
+// MaxWaiting bounds the number of claims that wait in the process.
+func MaxWaiting(n int) Option { return func(tbl *Table) { tbl.maxWaiting = n } }
 
-// Room bounds a bucket's value, in bytes, up to MaxBucket.
-func Room(n int) Option { return func(tbl *Table) { tbl.maxBucketBytes = min(n, MaxBucket) } }
+// MaxBucketBytes bounds a bucket's value, in bytes, up to MaxBucket.
+func MaxBucketBytes(n int) Option { return func(tbl *Table) { tbl.maxBucketBytes = min(n, MaxBucket) } }
 
-// Settle bounds the wait for a claim whose write is unsettled.
-func Settle(d time.Duration) Option { return func(tbl *Table) { tbl.settleLimit = d } }
+// SettleLimit bounds the wait for a claim whose write is unsettled.
+func SettleLimit(d time.Duration) Option { return func(tbl *Table) { tbl.settleLimit = d } }
 
 // drainTimeout bounds how long the clean-up waits for answers that are not stored yet.
 const drainTimeout = 5 * time.Second
@@ -231,7 +231,7 @@
 		deps: deps, store: st, retention: defaultRetention, settleLimit: defaultSettleLimit, maxWaiting: defaultMaxWaiting, maxBucketBytes: MaxBucket, ctx: ctx, cancel: cancel,
 		buckets: map[path]*bucket{}, owned: map[core.AttemptID]*ownedClaim{},
 	}
-	Writes(defaultWrites)(tbl)
+	WriteBudget(defaultWrites)(tbl)
 	for _, opt := range opts {
 		opt(tbl)
 	}
@@ -259,7 +259,7 @@
 func (tbl *Table) Kill() { tbl.cancel() }
 
 // Claim requests the right to run an operation. Only after an Outcome in state Owned may the caller
-// send the operation to the upstream. It must then call Finish, Release or Forget.
+// send the operation to the upstream. It must then call Finish, Release or MarkOutcomeUnknown.
 func (tbl *Table) Claim(ctx context.Context, req Request) (Outcome, error) {
 	ch := newChange(claiming, req)
 	if err := tbl.enqueue(ch); err != nil {
@@ -278,7 +278,7 @@
 	// change out of pending first decides: an abandoned claim is never reported as owned, and the
 	// bucket releases it if it was written.
 	if ch.abandon() {
-		return Outcome{}, ErrUnsettled
+		return Outcome{}, ErrOutcomeUnknown
 	}
 	res := <-ch.result
 	return res.out, res.err
@@ -305,9 +305,9 @@
 // to be in the store.
 const retryAfterRelease = time.Second
 
-// Forget records that an owned claim was sent to the upstream and returned no answer that can be
-// stored. The key stays claimed: it never runs again.
-func (tbl *Table) Forget(req Request, fl *core.Failure) {
+// MarkOutcomeUnknown records that an owned claim was sent to the upstream and returned no answer
+// that can be stored. The key stays claimed: it never runs again.
+func (tbl *Table) MarkOutcomeUnknown(req Request, fl *core.Failure) {
 	tbl.recordEnding(req.Attempt, Ending{Failure: fl})
 	tbl.untrackOwned(req.Attempt)
 }
@@ -322,7 +322,7 @@
 	case <-ctx.Done():
 		return ctx.Err()
 	case <-tbl.ctx.Done():
-		return ErrUnsettled
+		return ErrOutcomeUnknown
 	}
 }
 
--- a/core/claim/table_test.go
+++ b/core/claim/table_test.go
@@ -24,21 +24,21 @@
 		faults   fakestore.Faults
 	}{
 		{"slow", fakestore.Faults{Latency: time.Second}},
-		{"takes effect late", fakestore.Faults{Late: 1}},
+		{"takes effect late", fakestore.Faults{DelayWrite: 1}},
 	}
 	for _, sc := range scenarios {
 		t.Run(sc.testName, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				wo := newHarness(2)
 				defer wo.stop()
-				wo.st.Set(sc.faults)
+				wo.st.SetFaults(sc.faults)
 				ctx, cancel := context.WithTimeout(t.Context(), 1500*time.Millisecond)
 				defer cancel()
 				_, err := wo.agents[0].tbl.Claim(ctx, request("key", "one"))
-				assert.ErrorIs(t, err, claim.ErrUnsettled)
-				wo.st.Set(fakestore.Faults{})
+				assert.ErrorIs(t, err, claim.ErrOutcomeUnknown)
+				wo.st.SetFaults(fakestore.Faults{})
 				time.Sleep(5 * time.Second)
-				wo.st.Land()
+				wo.st.ApplyLateWrites()
 				out, err := wo.agents[1].tbl.Claim(t.Context(), request("key", "two"))
 				assert.NilError(t, err)
 				assert.Equal(t, out.State, claim.Owned)
@@ -53,12 +53,12 @@
 	synctest.Test(t, func(t *testing.T) {
 		wo := newHarness(1)
 		defer wo.agents[0].stop()
-		wo.st.Set(fakestore.Faults{Down: true})
+		wo.st.SetFaults(fakestore.Faults{Down: true})
 		began := time.Now()
 		_, err := wo.agents[0].tbl.Claim(t.Context(), request("key", "one"))
-		assert.ErrorIs(t, err, claim.ErrAway)
+		assert.ErrorIs(t, err, claim.ErrStoreUnavailable)
 		assert.Assert(t, time.Since(began) < time.Second)
-		wo.st.Set(fakestore.Faults{})
+		wo.st.SetFaults(fakestore.Faults{})
 		out, err := wo.agents[0].tbl.Claim(t.Context(), request("key", "two"))
 		assert.NilError(t, err)
 		assert.Equal(t, out.State, claim.Owned)
@@ -75,8 +75,8 @@
 		req := request("key", "one")
 		_, err := wo.agents[0].tbl.Claim(t.Context(), req)
 		assert.NilError(t, err)
-		wo.st.Set(fakestore.Faults{Down: true})
-		time.AfterFunc(3*time.Second, func() { wo.st.Set(fakestore.Faults{}) })
+		wo.st.SetFaults(fakestore.Faults{Down: true})
+		time.AfterFunc(3*time.Second, func() { wo.st.SetFaults(fakestore.Faults{}) })
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
 		assert.ErrorIs(t, wo.agents[0].tbl.Finish(ctx, req, claim.Answer{Status: 200}), context.DeadlineExceeded)
@@ -157,7 +157,7 @@
 			time.Sleep(time.Second)
 			_ = ag.tbl.Finish(context.Background(), first, claim.Answer{Status: 201})
 		}()
-		en, ok := ag.tbl.Await(t.Context(), out.Attempt)
+		en, ok := ag.tbl.AwaitEnding(t.Context(), out.Attempt)
 		assert.Assert(t, ok)
 		assert.Equal(t, en.Answer.Status, 201)
 		assert.NilError(t, ag.tbl.Release(t.Context(), first))
--- a/core/declaration/check.go
+++ b/core/declaration/check.go
@@ -97,6 +97,6 @@
 		fi.add(NoReason, place+".reason", "the risk is accepted without a reason", "give a reason; it is recorded in the audit trail")
 	}
 	if (change || subject == ofDocument) && !slices.ContainsFunc(found, ar.covers) {
-		fi.add(IdleRisk, place, fmt.Sprintf("there is no risk %s at %s", ar.Rule, ar.Place), "remove the entry or correct its place")
+		fi.add(UnusedRisk, place, fmt.Sprintf("there is no risk %s at %s", ar.Rule, ar.Place), "remove the entry or correct its place")
 	}
 }
--- a/core/declaration/check_rollouts.go
+++ b/core/declaration/check_rollouts.go
@@ -22,7 +22,7 @@
 			ch.add(RollOutStable, place+".version", fmt.Sprintf("%s is the stable version already, so all sessions get it", ro.target()), "remove the roll-out or name another version as stable")
 		}
 		if ch.sn.Withdrawn(ro.target()) {
-			ch.add(RollOutGone, place+".version", fmt.Sprintf("%s is withdrawn and rolled out at the same time", ro.target()), "remove the roll-out or the withdrawal")
+			ch.add(RollOutWithdrawn, place+".version", fmt.Sprintf("%s is withdrawn and rolled out at the same time", ro.target()), "remove the roll-out or the withdrawal")
 		}
 		if !ch.allowedAnywhere(ro.target()) {
 			ch.add(RollOutUnseen, place+".version", fmt.Sprintf("no workspace may use %s, so the roll-out reaches nobody", ro.target()), "add the version to the allow list of the intended workspaces")
--- a/core/declaration/check_workspaces.go
+++ b/core/declaration/check_workspaces.go
@@ -81,7 +81,7 @@
 		left -= vs.Percent
 	}
 	if left > 0 {
-		ch.add(RollOutOnly, place, fmt.Sprintf("only %s, which is being rolled out, can serve the workspace, so the other %d%% of new sessions have no version", ro.target(), left),
+		ch.add(OnlyRollOutAllowed, place, fmt.Sprintf("only %s, which is being rolled out, can serve the workspace, so the other %d%% of new sessions have no version", ro.target(), left),
 			fmt.Sprintf("allow the stable version %s too", mo.Stable))
 	}
 }
--- a/core/declaration/diff.go
+++ b/core/declaration/diff.go
@@ -50,7 +50,7 @@
 func Compare(from, to *Document) []Change {
 	old, now := from.parts(), to.parts()
 	var out []Change
-	for _, sc := range Touched(from, to) {
+	for _, sc := range ChangedScopes(from, to) {
 		op, np := old.get(sc), now.get(sc)
 		switch {
 		case !op.declared():
--- a/core/declaration/document.go
+++ b/core/declaration/document.go
@@ -210,7 +210,7 @@
 	}
 	var mis []schemaFault
 	for _, fa := range faults {
-		mis = append(mis, schemaFault{Mistake{SchemaRule, fa.Place, fa.Reason, fa.Remedy}, fa.Shape})
+		mis = append(mis, schemaFault{Mistake{SchemaRule, fa.Place, fa.Reason, fa.Remedy}, fa.WrongType})
 	}
 	if err := json.Unmarshal(std, &doc); err != nil && len(mis) == 0 {
 		return doc, nil, eris.Wrap(err, "decode the document, which passed its schema")
--- a/core/declaration/effect.go
+++ b/core/declaration/effect.go
@@ -196,5 +196,5 @@
 	return strings.Join(out, ", ")
 }
 
-// Reason returns why a version was withdrawn. It is empty if it was not.
-func (sn *Snapshot) Reason(mv core.ModelVersion) string { return sn.withdrawn[mv] }
+// WithdrawalReason returns why a version was withdrawn. It is empty if it was not.
+func (sn *Snapshot) WithdrawalReason(mv core.ModelVersion) string { return sn.withdrawn[mv] }
--- a/core/declaration/in_force.go
+++ b/core/declaration/in_force.go
@@ -60,20 +60,20 @@
 	return true, nil
 }
 
-// AskAgain is the time after which a generation's body that was requested and
+// FetchRetryDelay is the time after which a generation's body that was requested and
 // did not arrive is requested again, possibly from another peer.
-const AskAgain = time.Second
+const FetchRetryDelay = time.Second
 
-// Asks reports whether the body of a generation should be requested now. If so,
+// ShouldFetch reports whether the body of a generation should be requested now. If so,
 // it records the request.
 //
 // All peers of a process announce a new generation within milliseconds. If the
 // body were requested from each, an agent with 40 links would receive 40 copies
 // of a document that may have a megabyte.
-func (inf *InForce) Asks(gen core.Generation, now time.Time) bool {
+func (inf *InForce) ShouldFetch(gen core.Generation, now time.Time) bool {
 	inf.mu.Lock()
 	defer inf.mu.Unlock()
-	if gen <= inf.Number() || gen <= inf.requested && now.Sub(inf.requestedAt) < AskAgain {
+	if gen <= inf.Number() || gen <= inf.requested && now.Sub(inf.requestedAt) < FetchRetryDelay {
 		return false
 	}
 	inf.requested, inf.requestedAt = gen, now
@@ -92,9 +92,9 @@
 	}
 }
 
-// Heard returns when the current generation was last confirmed to be the
+// ConfirmedAt returns when the current generation was last confirmed to be the
 // newest, or the zero time if it never was.
-func (inf *InForce) Heard() time.Time {
+func (inf *InForce) ConfirmedAt() time.Time {
 	if at := inf.confirmed.Load(); at != 0 {
 		return time.Unix(0, at)
 	}
@@ -104,7 +104,7 @@
 // Fresh reports whether the current generation was confirmed to be the newest
 // within a bound before now.
 func (inf *InForce) Fresh(now time.Time, bound time.Duration) bool {
-	confirmed := inf.Heard()
+	confirmed := inf.ConfirmedAt()
 	return !confirmed.IsZero() && now.Sub(confirmed) <= bound
 }
 
--- a/core/declaration/in_force_test.go
+++ b/core/declaration/in_force_test.go
@@ -38,12 +38,12 @@
 // from one of them, and from another if the first does not respond in time.
 func TestBodyIsRequestedOnce(t *testing.T) {
 	inf, now := declaration.NewInForce(), time.Unix(0, 0)
-	assert.Assert(t, inf.Asks(3, now))
-	assert.Assert(t, !inf.Asks(3, now.Add(time.Millisecond)))
-	assert.Assert(t, !inf.Asks(2, now.Add(time.Millisecond)))
-	assert.Assert(t, inf.Asks(4, now.Add(time.Millisecond)))
-	assert.Assert(t, inf.Asks(4, now.Add(2*time.Second)))
+	assert.Assert(t, inf.ShouldFetch(3, now))
+	assert.Assert(t, !inf.ShouldFetch(3, now.Add(time.Millisecond)))
+	assert.Assert(t, !inf.ShouldFetch(2, now.Add(time.Millisecond)))
+	assert.Assert(t, inf.ShouldFetch(4, now.Add(time.Millisecond)))
+	assert.Assert(t, inf.ShouldFetch(4, now.Add(2*time.Second)))
 	_, err := inf.Adopt(encode(t, 4, "test"))
 	assert.NilError(t, err)
-	assert.Assert(t, !inf.Asks(4, now.Add(time.Hour)))
+	assert.Assert(t, !inf.ShouldFetch(4, now.Add(time.Hour)))
 }
--- a/core/declaration/mistake.go
+++ b/core/declaration/mistake.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"strings"
 
-	"skylarkstand/core/spelling"
+	"skylarkstand/core/suggest"
 )
 
 // Mistake is one fault in a document or a change: the rule that it breaks, the
@@ -61,7 +61,7 @@
 // declared name.
 func (fi *findings) unknown(place, kind, name string, known []string) {
 	remedy := "declare it or correct its name"
-	if near, ok := spelling.Nearest(name, known); ok {
+	if near, ok := suggest.Nearest(name, known); ok {
 		remedy = fmt.Sprintf("did you mean %q?", near)
 	}
 	fi.add(UnknownName, place, fmt.Sprintf("%s %q is not declared", kind, name), remedy)
--- a/core/declaration/publish/publish.go
+++ b/core/declaration/publish/publish.go
@@ -33,17 +33,17 @@
 // Errors of a publisher, in addition to [declaration.Mistakes] and
 // [declaration.Clashes].
 var (
-	// ErrAway reports that the store cannot be reached.
-	ErrAway = errors.New("publish: the store cannot be reached; nothing was changed")
+	// ErrUnreachable reports that the store cannot be reached.
+	ErrUnreachable = errors.New("publish: the store cannot be reached; nothing was changed")
 	// ErrInterrupted reports that the context ended before anything was written.
 	ErrInterrupted = errors.New("publish: interrupted before the change was written; nothing was changed")
 	// ErrNoGeneration reports that a generation does not exist.
 	ErrNoGeneration = errors.New("publish: no such generation")
-	// ErrBusy reports that other operators' changes were accepted first on every
+	// ErrContended reports that other operators' changes were accepted first on every
 	// attempt.
-	ErrBusy = errors.New("publish: other operators' changes were accepted first on every attempt; nothing was changed")
-	// ErrSame reports that the document equals the current configuration.
-	ErrSame = errors.New("publish: the document equals the current configuration; nothing was changed")
+	ErrContended = errors.New("publish: other operators' changes were accepted first on every attempt; nothing was changed")
+	// ErrUnchanged reports that the document equals the current configuration.
+	ErrUnchanged = errors.New("publish: the document equals the current configuration; nothing was changed")
 )
 
 // Uncertain is the error of a write whose outcome is unknown. The change may be
@@ -110,7 +110,7 @@
 }
 
 // Newest returns the newest generation, or an empty generation 0 if there is none.
-// Errors: ErrAway.
+// Errors: ErrUnreachable.
 func (pub *Publisher) Newest(ctx context.Context) (*declaration.Generation, error) {
 	last, err := pub.chain.Last(ctx)
 	if err != nil {
@@ -120,7 +120,7 @@
 }
 
 // Read returns a generation; generation 0 is empty. Errors: ErrNoGeneration,
-// ErrAway.
+// ErrUnreachable.
 func (pub *Publisher) Read(ctx context.Context, number core.Generation) (*declaration.Generation, error) {
 	if number == 0 {
 		return &declaration.Generation{}, nil
@@ -142,8 +142,8 @@
 // mapError translates the errors of package chain.
 func mapError(err error) error {
 	switch {
-	case errors.Is(err, chain.ErrAway):
-		return ErrAway
+	case errors.Is(err, chain.ErrStoreUnavailable):
+		return ErrUnreachable
 	case errors.Is(err, chain.ErrAbsent):
 		return ErrNoGeneration
 	}
@@ -151,8 +151,8 @@
 }
 
 // Prepare returns the generation that Apply would write now, without writing it.
-// Errors: [declaration.Mistakes], [declaration.Clashes], ErrAway, ErrNoGeneration,
-// ErrSame.
+// Errors: [declaration.Mistakes], [declaration.Clashes], ErrUnreachable, ErrNoGeneration,
+// ErrUnchanged.
 func (pub *Publisher) Prepare(ctx context.Context, pr Proposal) (Result, error) {
 	base, err := pub.Read(ctx, pr.Base)
 	if errors.Is(err, ErrNoGeneration) {
@@ -185,8 +185,8 @@
 	old := &newest.Document
 	// This precedes the check: if an operator retries an apply whose reply was lost,
 	// the check would report that the risks it accepts do not exist.
-	if len(declaration.Touched(old, &doc)) == 0 {
-		return res, ErrSame
+	if len(declaration.ChangedScopes(old, &doc)) == 0 {
+		return res, ErrUnchanged
 	}
 	if err := declaration.CheckChange(old, &doc); err != nil {
 		return res, err
@@ -202,8 +202,8 @@
 }
 
 // Apply writes a proposal as the next generation and returns what was accepted.
-// Errors: [declaration.Mistakes], [declaration.Clashes], ErrAway, ErrNoGeneration,
-// ErrInterrupted, ErrBusy, ErrSame, *[Uncertain]. Except with Uncertain, nothing was
+// Errors: [declaration.Mistakes], [declaration.Clashes], ErrUnreachable, ErrNoGeneration,
+// ErrInterrupted, ErrContended, ErrUnchanged, *[Uncertain]. Except with Uncertain, nothing was
 // changed.
 func (pub *Publisher) Apply(ctx context.Context, pr Proposal) (Result, error) {
 	for range maxAttempts {
@@ -220,14 +220,14 @@
 		}
 		nonce := core.NewID()
 		err = pub.chain.CreateAs(ctx, uint64(res.After.Number), nonce, raw)
-		if errors.Is(err, chain.ErrUnsettled) {
+		if errors.Is(err, chain.ErrOutcomeUnknown) {
 			err = pub.readBack(ctx, res.After.Number, nonce)
 		}
 		if !errors.Is(err, chain.ErrTaken) {
 			return res, mapError(err)
 		}
 	}
-	return Result{}, ErrBusy
+	return Result{}, ErrContended
 }
 
 // readBack reads back the entry of a write whose reply is missing, since the command
--- a/core/declaration/publish/publish_test.go
+++ b/core/declaration/publish/publish_test.go
@@ -205,7 +205,7 @@
 	st := newStore()
 	st.down = true
 	_, err := publish.New(st).Apply(t.Context(), proposal("mei", 0, 1))
-	assert.ErrorIs(t, err, publish.ErrAway)
+	assert.ErrorIs(t, err, publish.ErrUnreachable)
 }
 
 // After an uncertain outcome an operator applies the same file again. This must
@@ -216,5 +216,5 @@
 	_, err := pub.Apply(t.Context(), proposal("mei", 0, 1))
 	assert.NilError(t, err)
 	_, err = pub.Apply(t.Context(), proposal("mei", 0, 1))
-	assert.ErrorIs(t, err, publish.ErrSame)
+	assert.ErrorIs(t, err, publish.ErrUnchanged)
 }
--- a/core/declaration/rebase.go
+++ b/core/declaration/rebase.go
@@ -49,8 +49,8 @@
 		return *doc, nil
 	}
 	newest := since[len(since)-1]
-	mine := Touched(&base.Document, doc)
-	theirs := Touched(&base.Document, &newest.Document)
+	mine := ChangedScopes(&base.Document, doc)
+	theirs := ChangedScopes(&base.Document, &newest.Document)
 	own, cur := doc.parts(), newest.Document.parts()
 	var cls Clashes
 	for _, sc := range mine {
@@ -69,7 +69,7 @@
 func lastChange(base *Generation, since []*Generation, sc Scope) *Generation {
 	last, before := since[len(since)-1], base
 	for _, gen := range since {
-		if slices.Contains(Touched(&before.Document, &gen.Document), sc) {
+		if slices.Contains(ChangedScopes(&before.Document, &gen.Document), sc) {
 			last = gen
 		}
 		before = gen
@@ -134,10 +134,10 @@
 	return out
 }
 
-// Again returns the content of an old generation as a document for a new one, to
+// Restore returns the content of an old generation as a document for a new one, to
 // roll the configuration back. The risks that the old generation accepts about its
 // own change are dropped; accept lists the risks to accept about the change back.
-func Again(old *Generation, accept []AcceptRisk) Document {
+func Restore(old *Generation, accept []AcceptRisk) Document {
 	doc := old.Document
 	doc.AcceptRisks = mergeAcceptRisks(&old.Document, &Document{AcceptRisks: accept}, &doc)
 	return doc
--- a/core/declaration/rebase_test.go
+++ b/core/declaration/rebase_test.go
@@ -65,17 +65,17 @@
 		base := validDocument()
 		theirs, mine := edited(rt, "theirs"), edited(rt, "mine")
 		got, err := declaration.Rebase(generation(1, "ana", base), []*declaration.Generation{generation(2, "mei", theirs)}, mine)
-		own, other := declaration.Touched(base, mine), declaration.Touched(base, theirs)
+		own, other := declaration.ChangedScopes(base, mine), declaration.ChangedScopes(base, theirs)
 		if err != nil {
 			for _, cl := range err.(declaration.Clashes) { //nolint:errorlint // The type is what is tested.
 				assert.Assert(rt, contains(own, cl.Scope) && contains(other, cl.Scope))
 			}
 			return
 		}
-		for _, sc := range declaration.Touched(mine, &got) {
+		for _, sc := range declaration.ChangedScopes(mine, &got) {
 			assert.Assert(rt, contains(other, sc) && !contains(own, sc), "%s differs from mine", sc)
 		}
-		for _, sc := range declaration.Touched(theirs, &got) {
+		for _, sc := range declaration.ChangedScopes(theirs, &got) {
 			assert.Assert(rt, contains(own, sc), "%s differs from theirs", sc)
 		}
 	})
--- a/core/declaration/scope.go
+++ b/core/declaration/scope.go
@@ -104,9 +104,9 @@
 	return ps
 }
 
-// Touched lists the scopes in which two documents differ, ordered by kind and
+// ChangedScopes lists the scopes in which two documents differ, ordered by kind and
 // name.
-func Touched(from, to *Document) []Scope {
+func ChangedScopes(from, to *Document) []Scope {
 	old, now := from.parts(), to.parts()
 	var out []Scope
 	for _, sc := range now.order {
--- a/core/declaration/zone.go
+++ b/core/declaration/zone.go
@@ -32,9 +32,9 @@
 	return out, true
 }
 
-// AcceptEnd returns the entry of accept-risks that allows a zone's evacuation to
+// AcceptEvacuationEnd returns the entry of accept-risks that allows a zone's evacuation to
 // end.
-func AcceptEnd(id core.Zone, reason string) AcceptRisk {
+func AcceptEvacuationEnd(id core.Zone, reason string) AcceptRisk {
 	return AcceptRisk{Rule: string(EvacuationLifted), Place: evacuationPlace(id), Reason: reason}
 }
 
--- a/core/dispatch/chat.go
+++ b/core/dispatch/chat.go
@@ -36,10 +36,10 @@
 	start cascade.Decision
 }
 
-// First plans a chat request and returns the version that it starts with, so that the
+// PlanFirst plans a chat request and returns the version that it starts with, so that the
 // request is admitted to the upstreams it will use. Chat uses the same plan unless the
 // configuration has changed or a version of the plan was halted in the meantime.
-func (dis *Dispatcher) First(rq *Request) (core.ModelVersion, error) {
+func (dis *Dispatcher) PlanFirst(rq *Request) (core.ModelVersion, error) {
 	pd, err := dis.plan(rq)
 	if err != nil {
 		return core.ModelVersion{}, err
@@ -73,7 +73,7 @@
 // since. A request may wait for admission much longer than a halt takes to propagate.
 func (dis *Dispatcher) halted(plan routing.Plan) bool {
 	return slices.ContainsFunc(plan.Stages, func(st routing.Stage) bool {
-		return st.Joined && dis.eval.guard.Halted(st.Target)
+		return st.JoinedRollOut && dis.eval.guard.Halted(st.Target)
 	})
 }
 
@@ -182,7 +182,7 @@
 	st := wk.plan.Stages[de.Stage]
 	pos := wk.position()
 	wk.ran[de.Stage] = true
-	if st.Joined {
+	if st.JoinedRollOut {
 		wk.dis.eval.guard.CountExposed(st.Target)
 	}
 	at := core.Attempt{Target: st.Target, Stream: wk.rq.Stream}
@@ -262,7 +262,7 @@
 		learn: func(got core.Quality) { jd.learner.RecordRating(time.Now(), wk.qu, de.Stage, pos, got) },
 	})
 	if err := ctx.Err(); err != nil {
-		return false, de, core.Lost("the caller is gone or its deadline has passed")
+		return false, de, core.OutcomeUnknown("the caller is gone or its deadline has passed")
 	}
 	now := time.Now()
 	next, more := wk.decideUnrated(de)
--- a/core/dispatch/chat_test.go
+++ b/core/dispatch/chat_test.go
@@ -27,7 +27,7 @@
 }
 
 func (ups *upstreams) Serving(mv core.ModelVersion) []core.Upstream {
-	return []core.Upstream{{Host: core.Host{ID: core.UpstreamID(mv.String()), Model: mv.Model, Version: mv.Version}, Up: true, Load: core.Load{Slots: 8}}}
+	return []core.Upstream{{Host: core.Host{ID: core.UpstreamID(mv.String()), Model: mv.Model, Version: mv.Version}, Connected: true, Load: core.Load{Slots: 8}}}
 }
 
 func (ups *upstreams) Dispatch(_ context.Context, _ core.UpstreamID, at *core.Attempt) (core.Answer, error) {
@@ -38,7 +38,7 @@
 	return &answer{text: at.Target.String(), cut: ups.cut[at.Target.Model]}, nil
 }
 
-func (ups *upstreams) Settle(core.UpstreamID, core.RequestID, core.AttemptID, []byte) {}
+func (ups *upstreams) ReportBill(core.UpstreamID, core.RequestID, core.AttemptID, []byte) {}
 
 type answer struct {
 	text string
@@ -130,7 +130,7 @@
 // caller must get the best available answer and one bill for the stages that ran completely,
 // or a failure that correctly reports whether the request ran.
 func TestCascadeUnderFaults(t *testing.T) {
-	full, brokenOff := core.Refuse(core.CodeOverloaded, time.Second, "full"), core.Lost("broke")
+	full, brokenOff := core.Refuse(core.CodeOverloaded, time.Second, "full"), core.OutcomeUnknown("broke")
 	type failures = map[core.ModelID]*core.Failure
 	for _, sc := range []struct {
 		testName  string
@@ -200,7 +200,7 @@
 // version keep it.
 func TestNewSessionsGetStableVersionWhenStaleOrHalted(t *testing.T) {
 	ro := declaration.RollOut{Model: "desk", Version: "v2", Percent: 50}
-	pinned := routing.Session{Draw: 0.1, Stale: true, Pins: map[core.ModelID]core.VersionID{"desk": "v2"}}
+	pinned := routing.Session{Fraction: 0.1, Stale: true, Pins: map[core.ModelID]core.VersionID{"desk": "v2"}}
 	for _, sc := range []struct {
 		testName string
 		stale    bool
@@ -220,7 +220,7 @@
 					gu.Observe(rollout.Outcome{Version: core.ModelVersion{Model: "desk", Version: "v1"}, Kind: rollout.Rating})
 					gu.Observe(rollout.Outcome{Version: core.ModelVersion{Model: "desk", Version: "v2"}, Kind: rollout.Rating, Bad: true})
 				}
-				got, err := chat(t, dis, "desk", routing.Session{Draw: 0.1, Stale: sc.stale})
+				got, err := chat(t, dis, "desk", routing.Session{Fraction: 0.1, Stale: sc.stale})
 				assert.NilError(t, err)
 				assert.Equal(t, got, sc.want)
 				got, err = chat(t, dis, "desk", pinned)
@@ -238,8 +238,8 @@
 	inf, gu := inForce(t, declaration.RollOut{Model: "desk", Version: "v2", Percent: 50}), rollout.New()
 	gu.Apply(inf.Current())
 	dis := dispatch.New(core.NewDeps(), inf, &upstreams{}, &rater{}, &billRecorder{}, dispatch.Guard(gu))
-	rq := &dispatch.Request{ID: "r1", Workspace: "ws", Model: "desk", Session: routing.Session{Draw: 0.1}}
-	first, err := dis.First(rq)
+	rq := &dispatch.Request{ID: "r1", Workspace: "ws", Model: "desk", Session: routing.Session{Fraction: 0.1}}
+	first, err := dis.PlanFirst(rq)
 	assert.NilError(t, err)
 	assert.Equal(t, first.Version, core.VersionID("v2"))
 	assert.Assert(t, gu.AdoptHalt(rollout.Halt{Version: first}, inf.Number()))
@@ -260,7 +260,7 @@
 		exposed := 0
 		for i := range 400 {
 			began := time.Now()
-			got, err := chat(t, dis, "desk", routing.Session{Draw: float64(i%10) / 10})
+			got, err := chat(t, dis, "desk", routing.Session{Fraction: float64(i%10) / 10})
 			assert.NilError(t, err)
 			assert.Equal(t, time.Since(began), time.Duration(0))
 			if got == "desk@v2" {
--- a/core/dispatch/dispatch.go
+++ b/core/dispatch/dispatch.go
@@ -56,9 +56,9 @@
 // Candidates sets the source of the upstreams to select from.
 func Candidates(li Lister) Option { return func(dis *Dispatcher) { dis.pl.list = li } }
 
-// Draw sets the source of random numbers for the selection of upstreams. The function returns a
-// number from 0 to n-1 and is never called concurrently.
-func Draw(fn func(n int) int) Option { return func(dis *Dispatcher) { dis.pl.draw = fn } }
+// RandomSource sets the source of random numbers for the selection of upstreams. The function
+// returns a number from 0 to n-1 and is never called concurrently.
+func RandomSource(fn func(n int) int) Option { return func(dis *Dispatcher) { dis.pl.draw = fn } }
 
 // New returns a Dispatcher.
 func New(deps core.Deps, inf *declaration.InForce, ups core.Upstreams, ra core.Rater, bi Biller, opts ...Option) *Dispatcher {
@@ -86,11 +86,11 @@
 	IdempotencyKey string
 	Deadline       time.Duration
 	Priority       int
-	// Crossing reports that the request was admitted to another region.
-	Crossing bool
-	Stream   bool
-	Prompt   []byte
-	Body     []byte
+	// CrossRegion reports that the request was admitted to another region.
+	CrossRegion bool
+	Stream      bool
+	Prompt      []byte
+	Body        []byte
 
 	// planned is set once the plan of a chat request has been made.
 	planned *planned
--- a/core/dispatch/outcome.go
+++ b/core/dispatch/outcome.go
@@ -124,7 +124,7 @@
 	raw, err := json.Marshal(ledger.Copy{Floor: floor, Bill: bi})
 	if err == nil {
 		last := out.lines[len(out.lines)-1]
-		out.dis.ups.Settle(last.upstream, bi.Request, last.Attempt, raw)
+		out.dis.ups.ReportBill(last.upstream, bi.Request, last.Attempt, raw)
 	}
 	return bi
 }
--- a/core/dispatch/preferred.go
+++ b/core/dispatch/preferred.go
@@ -20,7 +20,7 @@
 // such conflicts but never a second run: the claim alone guarantees that.
 func preferred(ke claim.Key, cands []core.Upstream, tried []core.UpstreamID) []core.Upstream {
 	ups := slices.DeleteFunc(slices.Clone(cands), func(up core.Upstream) bool {
-		return !up.Up || up.Leaving || slices.Contains(tried, up.Host.ID)
+		return !up.Connected || up.Leaving || slices.Contains(tried, up.Host.ID)
 	})
 	if len(ups) == 0 {
 		return nil
--- a/core/dispatch/preferred_test.go
+++ b/core/dispatch/preferred_test.go
@@ -17,9 +17,9 @@
 // would wait. If an upstream were selected twice for one request, it would refuse twice.
 func TestPreferredUpstreamAgreesAcrossEntries(t *testing.T) {
 	rnd := rand.New(rand.NewPCG(1, 1))
-	ups := []core.Upstream{{Host: core.Host{ID: "down"}}, {Host: core.Host{ID: "leaving"}, Up: true, Leaving: true}}
+	ups := []core.Upstream{{Host: core.Host{ID: "down"}}, {Host: core.Host{ID: "leaving"}, Connected: true, Leaving: true}}
 	for i := range 7 {
-		ups = append(ups, core.Upstream{Host: core.Host{ID: core.UpstreamID(fmt.Sprint("booking-", i))}, Up: true})
+		ups = append(ups, core.Upstream{Host: core.Host{ID: core.UpstreamID(fmt.Sprint("booking-", i))}, Connected: true})
 	}
 	for i := range 100 {
 		ke := claim.Key{Service: "booking", Idempotency: fmt.Sprint(i)}
--- a/core/dispatch/region_test.go
+++ b/core/dispatch/region_test.go
@@ -22,7 +22,7 @@
 	for _, zo := range []core.Zone{"muc-a", "muc-b", "nue-a", "nue-b"} {
 		region, _, _ := strings.Cut(string(zo), "-")
 		ho := core.Host{ID: core.UpstreamID(zo), Zone: zo, Region: core.Region(region)}
-		ups = append(ups, core.Upstream{Host: ho, Up: true, Load: core.Load{Slots: 4}})
+		ups = append(ups, core.Upstream{Host: ho, Connected: true, Load: core.Load{Slots: 4}})
 	}
 	return ups
 }
@@ -54,7 +54,7 @@
 				doc.Zones = []declaration.AvailabilityZone{{ID: sc.evacuated, Evacuated: "power works"}}
 			}
 			sn := declaration.NewSnapshot(&declaration.Generation{Document: doc}, nil)
-			dis := New(deps, declaration.NewInForce(), ups, nil, noBiller{}, Draw(rand.New(rand.NewPCG(1, 1)).IntN))
+			dis := New(deps, declaration.NewInForce(), ups, nil, noBiller{}, RandomSource(rand.New(rand.NewPCG(1, 1)).IntN))
 			ctx, cancel := context.WithTimeout(t.Context(), time.Hour)
 			defer cancel()
 			_, _, err := dis.try(ctx, sn, &Request{Workspace: "court"}, core.Attempt{}, true)
--- a/core/dispatch/placer.go
+++ b/core/dispatch/shared_picker.go
@@ -19,8 +19,8 @@
 type Lister interface {
 	AppendServing(buf []core.Upstream, mv core.ModelVersion) []core.Upstream
 	AppendOffering(buf []core.Upstream, sv core.ServiceID) []core.Upstream
-	// Entries returns how many entries share the upstreams, including this one.
-	Entries() int
+	// EntryCount returns how many entries share the upstreams, including this one.
+	EntryCount() int
 }
 
 // singleEntry adapts [core.Upstreams] to Lister for an entry without siblings.
@@ -34,7 +34,7 @@
 	return append(buf, lo.Offering(sv)...)
 }
 
-func (lo singleEntry) Entries() int { return 1 }
+func (lo singleEntry) EntryCount() int { return 1 }
 
 // sharedPicker makes a Picker safe for concurrent use.
 type sharedPicker struct {
@@ -74,7 +74,7 @@
 		cands = preferred(*rq.claim, cands, tried)
 	}
 	return pl.pk.Pick(time.Now(), placement.Request{
-		Pool: poolOf(at), Prefix: placement.Prefix(rq.Prompt), Body: len(rq.Body), CrossRegion: rq.Crossing, Tried: tried,
+		Pool: poolOf(at), Prefix: placement.Prefix(rq.Prompt), Body: len(rq.Body), CrossRegion: rq.CrossRegion, Tried: tried,
 	}, cands, pl.draw)
 }
 
@@ -137,14 +137,14 @@
 	wa.pl.pk.RecordPieces(wa.po, wa.ch.ID, took, pieces)
 }
 
-// Room returns the capacity of the upstreams of a model version or plain service, in the local
+// Capacity returns the capacity of the upstreams of a model version or plain service, in the local
 // region or, if far is set, in the other regions.
-func (dis *Dispatcher) Room(mv core.ModelVersion, sv core.ServiceID, far bool) placement.Capacity {
+func (dis *Dispatcher) Capacity(mv core.ModelVersion, sv core.ServiceID, far bool) placement.Capacity {
 	dis.pl.mu.Lock()
 	defer dis.pl.mu.Unlock()
 	cands := dis.pl.candidates(mv, sv)
 	if far {
 		return dis.pl.pk.CrossRegionCapacity(time.Now(), cands)
 	}
-	return dis.pl.pk.Capacity(cands, dis.pl.list.Entries())
+	return dis.pl.pk.Capacity(cands, dis.pl.list.EntryCount())
 }
--- a/core/dispatch/try.go
+++ b/core/dispatch/try.go
@@ -83,5 +83,5 @@
 	if errors.As(err, &fl) {
 		return fl
 	}
-	return core.Lost("%v", err)
+	return core.OutcomeUnknown("%v", err)
 }
--- a/core/dispatch/try_test.go
+++ b/core/dispatch/try_test.go
@@ -27,7 +27,7 @@
 func (sc *script) Serving(core.ModelVersion) []core.Upstream {
 	var ups []core.Upstream
 	for _, id := range []core.UpstreamID{"one", "two", "three", "four"} {
-		ups = append(ups, core.Upstream{Host: core.Host{ID: id, Zone: "a", Region: "muc"}, Up: true, Load: core.Load{Slots: 4}})
+		ups = append(ups, core.Upstream{Host: core.Host{ID: id, Zone: "a", Region: "muc"}, Connected: true, Load: core.Load{Slots: 4}})
 	}
 	return ups
 }
@@ -51,7 +51,7 @@
 func TestTryReportsWhetherWorkRan(t *testing.T) {
 	full := core.Refuse(core.CodeOverloaded, time.Second, "full")
 	leaving := core.Refuse(core.CodeLeaving, time.Second, "leaving")
-	lost := core.Lost("lost")
+	lost := core.OutcomeUnknown("lost")
 	scenarios := []struct {
 		testName   string
 		results    []*core.Failure
@@ -71,7 +71,7 @@
 			ups := &script{results: sc.results}
 			deps := core.NewDeps()
 			deps.Zone, deps.Region = "a", "muc"
-			dis := New(deps, declaration.NewInForce(), ups, nil, noBiller{}, Draw(rand.New(rand.NewPCG(1, 1)).IntN))
+			dis := New(deps, declaration.NewInForce(), ups, nil, noBiller{}, RandomSource(rand.New(rand.NewPCG(1, 1)).IntN))
 			ctx, cancel := context.WithTimeout(t.Context(), time.Hour)
 			defer cancel()
 			_, _, err := dis.try(ctx, &declaration.Snapshot{}, &Request{Deadline: 2 * time.Hour, Priority: 1}, core.Attempt{}, sc.repeatable)
@@ -136,7 +136,7 @@
 			ups := &unequal{stream: stream, got: map[core.UpstreamID]int{}}
 			deps := core.NewDeps()
 			deps.Zone, deps.Region = "a", "muc"
-			dis := New(deps, declaration.NewInForce(), ups, nil, noBiller{}, Draw(rand.New(rand.NewPCG(seed, 1)).IntN))
+			dis := New(deps, declaration.NewInForce(), ups, nil, noBiller{}, RandomSource(rand.New(rand.NewPCG(seed, 1)).IntN))
 			for range 300 {
 				ans, _, err := dis.try(t.Context(), &declaration.Snapshot{}, &Request{}, core.Attempt{Stream: stream}, true)
 				assert.NilError(t, err)
--- a/core/escalation/escalation.go
+++ b/core/escalation/escalation.go
@@ -68,7 +68,7 @@
 // Policy is the escalation policy for all cascades of one service. It is not safe for concurrent
 // use.
 type Policy struct {
-	off      mechanism.Off
+	off      mechanism.Disabled
 	pressure float64
 	outcomes map[step]*[buckets]successes
 }
@@ -83,7 +83,7 @@
 type Option func(*Policy)
 
 // Without disables mechanisms.
-func Without(off mechanism.Off) Option { return func(la *Policy) { la.off = off } }
+func Without(off mechanism.Disabled) Option { return func(la *Policy) { la.off = off } }
 
 // New returns a Policy.
 func New(opts ...Option) *Policy {
@@ -105,7 +105,7 @@
 
 // Threshold returns the minimum confidence to return an answer now.
 func (la *Policy) Threshold() float64 {
-	if la.off.Has(mechanism.Pressure) {
+	if la.off.Has(mechanism.PressureThreshold) {
 		return idleThreshold
 	}
 	fraction := min(max((la.pressure-lowPressure)/(highPressure-lowPressure), 0), 1)
@@ -152,7 +152,7 @@
 }
 
 func (la *Policy) suffices(st step, confidence int) bool {
-	if la.off.Has(mechanism.MiddleModels) {
+	if la.off.Has(mechanism.IntermediateModels) {
 		return false
 	}
 	sh := la.successesOf(st, confidence)
--- a/core/event/event.go
+++ b/core/event/event.go
@@ -19,9 +19,9 @@
 	Number int
 	Name   string
 	Level  slog.Level
-	// Meaning describes what happened, Action what an operator should do.
-	Meaning string
-	Action  string
+	// Description describes what happened, Action what an operator should do.
+	Description string
+	Action      string
 }
 
 const (
@@ -36,9 +36,9 @@
 	firstRequestEvent = 500
 )
 
-// Ceiling returns the maximum number of lines per second that a process writes of an event. Events
-// that are not in the catalogue have the limit of those that do not concern requests.
-func Ceiling(name string) int {
+// MaxLinesPerSecond returns the maximum number of lines per second that a process writes of an
+// event. Events that are not in the catalogue have the limit of those that do not concern requests.
+func MaxLinesPerSecond(name string) int {
 	if ev := byName[name]; ev != nil && ev.Number >= firstRequestEvent {
 		return requestLineLimit
 	}
@@ -64,7 +64,7 @@
 	sb.WriteString("# Log events\n\nGenerated from `core/event` by `skylarkstand reference events`. A process writes\nat most the given number of lines a second of each event; `log-dropped` counts the\ndropped lines.\n\n")
 	sb.WriteString("| number | name | level | lines a second | what happened | what to do |\n| --- | --- | --- | --- | --- | --- |\n")
 	for _, ev := range Catalogue() {
-		fmt.Fprintf(&sb, "| %d | `%s` | %s | %d | %s | %s |\n", ev.Number, ev.Name, strings.ToLower(ev.Level.String()), Ceiling(ev.Name), ev.Meaning, ev.Action)
+		fmt.Fprintf(&sb, "| %d | `%s` | %s | %d | %s | %s |\n", ev.Number, ev.Name, strings.ToLower(ev.Level.String()), MaxLinesPerSecond(ev.Name), ev.Description, ev.Action)
 	}
 	return sb.String()
 }
--- a/core/event/event_test.go
+++ b/core/event/event_test.go
@@ -16,7 +16,7 @@
 		assert.Equal(t, numbers[ev.Number], "", "%s", ev.Name)
 		assert.Assert(t, !names[ev.Name], "%s", ev.Name)
 		numbers[ev.Number], names[ev.Name] = ev.Name, true
-		assert.Assert(t, ev.Meaning != "" && ev.Action != "", "%s", ev.Name)
-		assert.Assert(t, event.Ceiling(ev.Name) > 0)
+		assert.Assert(t, ev.Description != "" && ev.Action != "", "%s", ev.Name)
+		assert.Assert(t, event.MaxLinesPerSecond(ev.Name) > 0)
 	}
 }
--- a/core/exchange.go
+++ b/core/exchange.go
@@ -7,13 +7,13 @@
 	"time"
 )
 
-// Repeat defines whether a request may be retried after its work may have run.
-type Repeat int
+// RetrySafety defines whether a request may be retried after its work may have run.
+type RetrySafety int
 
 // The retry semantics. The zero value is the safe one.
 const (
 	// AtMostOnce work must not run again once it may have run.
-	AtMostOnce Repeat = iota
+	AtMostOnce RetrySafety = iota
 	// Idempotent work may run again from its beginning.
 	Idempotent
 	// Resumable work is a stream that may be continued at another upstream after the last event
@@ -21,8 +21,8 @@
 	Resumable
 )
 
-// Repeatable reports whether the work may run more than once.
-func (re Repeat) Repeatable() bool { return re != AtMostOnce }
+// Retryable reports whether the work may run more than once.
+func (re RetrySafety) Retryable() bool { return re != AtMostOnce }
 
 // Part is one part of a prompt. Upstreams reuse the prefix cache of a part only if all parts
 // before it are the same.
@@ -57,9 +57,9 @@
 	// Both are 0 for plain services.
 	Prompt, Output Tokens
 	Parts          []Part
-	// Resume is the id of the last event that the caller received of an earlier answer; empty if
-	// the answer starts at its beginning.
-	Resume string
+	// LastEventID is the id of the last event that the caller received of an earlier answer; empty
+	// if the answer starts at its beginning.
+	LastEventID string
 }
 
 // Call is one attempt of an exchange at one upstream.
@@ -69,14 +69,14 @@
 	Workspace WorkspaceID
 	// Model is the model that the system chose, or empty.
 	Model ModelID
-	// Left is the time that remains for the upstream; 0 means no bound.
-	Left time.Duration
+	// Timeout is the time that remains for the upstream; 0 means no bound.
+	Timeout time.Duration
 	// Priority is the rank of the work; 0 runs first.
 	Priority int
-	// After is the id of the last event that the caller received; empty to get all events.
-	After string
-	// Connections is the maximum number of connections to the upstream; 0 means no bound.
-	Connections int
+	// ResumeAfter is the id of the last event that the caller received; empty to get all events.
+	ResumeAfter string
+	// MaxConnections is the maximum number of connections to the upstream; 0 means no bound.
+	MaxConnections int
 }
 
 // NoConfidence is the confidence of a reply that reports none.
@@ -92,8 +92,8 @@
 	Sealed bool
 	// NotRun is set when the upstream guarantees that it did not run the call.
 	NotRun bool
-	// Stranger is set when the address now belongs to another upstream.
-	Stranger bool
+	// WrongUpstream is set when the address now belongs to another upstream.
+	WrongUpstream bool
 	// Confidence is the model's own estimate of its answer, from 0 to 100, or [NoConfidence].
 	Confidence int
 	// Load is the upstream's load when it answered; nil if it did not report one.
@@ -103,20 +103,20 @@
 	Body io.ReadCloser
 }
 
-// Access calls upstreams directly, without an agent in between. An error is a *Failure. Its Ran is
-// NotRun only if no byte was sent to the upstream, and its Code is then CodeCrashed if nothing
-// listens at the address. The end of the context drops the connection.
-type Access interface {
+// UpstreamClient calls upstreams directly, without an agent in between. An error is a *Failure. Its
+// Ran is NotRun only if no byte was sent to the upstream, and its Code is then CodeCrashed if
+// nothing listens at the address. The end of the context drops the connection.
+type UpstreamClient interface {
 	Call(ctx context.Context, ca *Call) (*Reply, error)
 }
 
-// Held is a part of a prompt in an engine's prefix cache for a model.
-type Held struct {
+// CachedPart is a part of a prompt in an engine's prefix cache for a model.
+type CachedPart struct {
 	Model ModelID
 	Part  Part
 }
 
-// Memory reads the prefix caches of engines. An error is a *Failure.
-type Memory interface {
-	Held(ctx context.Context, ho Host) ([]Held, error)
+// PrefixCaches reads the prefix caches of engines. An error is a *Failure.
+type PrefixCaches interface {
+	CachedParts(ctx context.Context, ho Host) ([]CachedPart, error)
 }
--- a/core/execute/claimed.go
+++ b/core/execute/claimed.go
@@ -115,7 +115,7 @@
 		return core.Refuse(core.CodeKeyExpired, 0, "the time in the idempotency key is outside the retention")
 	case errors.Is(err, claim.ErrBusy):
 		return core.Refuse(core.CodeOverloaded, retryAfterStore, "too many claims wait")
-	case errors.Is(err, claim.ErrUnsettled):
+	case errors.Is(err, claim.ErrOutcomeUnknown):
 		// This must not be a code on which the entry tries another agent: that agent could find
 		// this claim before it is released, and would have to report that the outcome is
 		// unknown.
@@ -141,7 +141,7 @@
 // that was.
 func (ex *Executor) awaitOther(ctx context.Context, out claim.Outcome) (core.Answer, error) {
 	if out.Owner == ex.deps.Self {
-		if en, ok := ex.claims.Await(ctx, out.Attempt); ok {
+		if en, ok := ex.claims.AwaitEnding(ctx, out.Attempt); ok {
 			if en.Failure != nil {
 				return nil, en.Failure
 			}
@@ -149,7 +149,7 @@
 			return newReplayAnswer(out), nil
 		}
 	}
-	fl := core.Lost("the operation was handed to attempt %s, whose outcome is not known; ask again with the same key", out.Attempt)
+	fl := core.OutcomeUnknown("the operation was handed to attempt %s, whose outcome is not known; ask again with the same key", out.Attempt)
 	fl.RetryAfter = retryAfterUnknown
 	return nil, fl
 }
@@ -204,12 +204,12 @@
 func (ex *Executor) endFailed(req claim.Request, err error) error {
 	var fl *core.Failure
 	if !errors.As(err, &fl) {
-		fl = core.Lost("%v", err)
+		fl = core.OutcomeUnknown("%v", err)
 	}
 	if fl.Ran == core.NotRun {
 		return ex.releaseClaim(req, fl)
 	}
-	ex.claims.Forget(req, fl)
+	ex.claims.MarkOutcomeUnknown(req, fl)
 	return fl
 }
 
--- a/core/execute/claimed_test.go
+++ b/core/execute/claimed_test.go
@@ -175,7 +175,7 @@
 			return []result{<-first, second}
 		}, []result{{"", "booked"}, {"", "booked"}}, 1},
 		{"the connection to the service breaks off during the call", func(fx *fixture) []result {
-			fx.bo.err = core.Lost("broken off")
+			fx.bo.err = core.OutcomeUnknown("broken off")
 			first := fx.send("key")
 			fx.bo.err = nil
 			return []result{first, fx.send("key")}
@@ -187,26 +187,26 @@
 			return []result{first, fx.send("key")}
 		}, []result{{core.NotRun, "no-upstream"}, {"", "booked"}}, 1},
 		{"the store is down and recovers", func(fx *fixture) []result {
-			fx.st.Set(fakestore.Faults{Down: true})
+			fx.st.SetFaults(fakestore.Faults{Down: true})
 			first := fx.send("key")
-			fx.st.Set(fakestore.Faults{})
+			fx.st.SetFaults(fakestore.Faults{})
 			return []result{first, fx.send("key")}
 		}, []result{{core.NotRun, "store-unavailable"}, {"", "booked"}}, 1},
 		{"the store goes down while the service works", func(fx *fixture) []result {
 			fx.bo.hold = time.Second
-			time.AfterFunc(time.Second/2, func() { fx.st.Set(fakestore.Faults{Down: true}) })
-			time.AfterFunc(time.Minute, func() { fx.st.Set(fakestore.Faults{}) })
+			time.AfterFunc(time.Second/2, func() { fx.st.SetFaults(fakestore.Faults{Down: true}) })
+			time.AfterFunc(time.Minute, func() { fx.st.SetFaults(fakestore.Faults{}) })
 			first := fx.send("key")
 			second := fx.send("key")
 			time.Sleep(2 * time.Minute)
 			return []result{first, second, fx.send("key")}
 		}, []result{{"", "booked"}, {core.NotRun, "store-unavailable"}, {"", "booked"}}, 1},
 		{"the caller gives up before its claim is written", func(fx *fixture) []result {
-			fx.st.Set(fakestore.Faults{Latency: time.Second})
+			fx.st.SetFaults(fakestore.Faults{Latency: time.Second})
 			ctx, cancel := context.WithTimeout(fx.t.Context(), time.Second/2)
 			defer cancel()
 			first := fx.call(ctx, "key")
-			fx.st.Set(fakestore.Faults{})
+			fx.st.SetFaults(fakestore.Faults{})
 			time.Sleep(10 * time.Second)
 			return []result{first, fx.send("key")}
 		}, []result{{core.NotRun, "deadline"}, {"", "booked"}}, 1},
@@ -223,7 +223,7 @@
 			return []result{third, fx.send("key")}
 		}, []result{{core.NotRun, "overloaded"}, {"", "booked"}}, 3},
 		{"the upstream leaves while the claim is written", func(fx *fixture) []result {
-			fx.st.Set(fakestore.Faults{Latency: time.Second})
+			fx.st.SetFaults(fakestore.Faults{Latency: time.Second})
 			time.AfterFunc(time.Second/2, fx.ex.Leave)
 			return []result{fx.send("key")}
 		}, []result{{core.NotRun, "leaving"}}, 0},
--- a/core/execute/execute.go
+++ b/core/execute/execute.go
@@ -57,7 +57,7 @@
 // New returns an Executor for the agent's upstream.
 func New(deps core.Deps, ho core.Host, inf *declaration.InForce, ru core.Runner, tbl *claim.Table, opts ...Option) *Executor {
 	ex := &Executor{deps: deps, host: ho, inf: inf, runner: ru, claims: tbl}
-	ex.bound.bo = NewBound(defaultSlots, defaultQueue)
+	ex.bound.bo = NewSlotQueue(defaultSlots, defaultQueue)
 	for _, opt := range opts {
 		opt(ex)
 	}
@@ -101,10 +101,10 @@
 	if fl := ex.check(at); fl != nil {
 		return nil, fl
 	}
-	if fl := ex.gate.enter(ctx, ex.host, at.Solo); fl != nil {
+	if fl := ex.gate.enter(ctx, ex.host, at.Exclusive); fl != nil {
 		return nil, fl
 	}
-	exit := sync.OnceFunc(func() { ex.gate.exit(at.Solo) })
+	exit := sync.OnceFunc(func() { ex.gate.exit(at.Exclusive) })
 	ans, err := ex.runGated(ctx, at)
 	if err != nil {
 		exit()
--- a/core/execute/bound.go
+++ b/core/execute/slot_queue.go
@@ -21,7 +21,7 @@
 	minRetryAfter = time.Second
 )
 
-// Bound is the agent's queue in front of its upstream: a limited number of slots and of waiting
+// SlotQueue is the agent's queue in front of its upstream: a limited number of slots and of waiting
 // attempts, ordered by priority. It performs no I/O and takes the time as an argument. It must
 // not be used by several goroutines at the same time.
 //
@@ -29,29 +29,29 @@
 // once. Only the agent sees all of them, so it decides, and it decides early: an attempt whose
 // deadline would pass in the queue is refused on arrival, while its entry still has time to
 // try another upstream.
-type Bound struct {
+type SlotQueue struct {
 	slots, limit int
 	running      int
 	meanHold     time.Duration
-	waiting      []*Place
+	waiting      []*Ticket
 }
 
-// Place is an attempt that runs or waits in a Bound.
-type Place struct {
+// Ticket is an attempt that runs or waits in a SlotQueue.
+type Ticket struct {
 	priority int
 	started  time.Time
 	ready    chan struct{}
 }
 
-// NewBound returns a Bound with the given numbers of slots and of waiting attempts.
-func NewBound(slots, limit int) *Bound {
-	return &Bound{slots: max(slots, 1), limit: limit, meanHold: defaultHold}
+// NewSlotQueue returns a SlotQueue with the given numbers of slots and of waiting attempts.
+func NewSlotQueue(slots, limit int) *SlotQueue {
+	return &SlotQueue{slots: max(slots, 1), limit: limit, meanHold: defaultHold}
 }
 
-// Enter takes a slot or a place in the queue, or returns a refusal. Left is the time until the
+// Acquire takes a slot or a place in the queue, or returns a refusal. Left is the time until the
 // caller's deadline, 0 if there is none. Started is true if the attempt has got its slot.
-func (bo *Bound) Enter(now time.Time, priority int, left time.Duration) (pl *Place, started bool, fl *core.Failure) {
-	pl = &Place{priority: priority, ready: make(chan struct{})}
+func (bo *SlotQueue) Acquire(now time.Time, priority int, left time.Duration) (pl *Ticket, started bool, fl *core.Failure) {
+	pl = &Ticket{priority: priority, ready: make(chan struct{})}
 	if bo.running < bo.slots {
 		bo.start(now, pl)
 		return pl, true, nil
@@ -72,7 +72,7 @@
 
 // position returns the queue position of a new attempt: after all attempts of the same or a higher
 // priority.
-func (bo *Bound) position(priority int) int {
+func (bo *SlotQueue) position(priority int) int {
 	for ix, pl := range bo.waiting {
 		if pl.priority < priority {
 			return ix
@@ -83,18 +83,18 @@
 
 // wait returns the expected time until the attempt at a queue position starts: each slot starts a
 // new attempt once per hold time.
-func (bo *Bound) wait(at int) time.Duration {
+func (bo *SlotQueue) wait(at int) time.Duration {
 	return time.Duration(at+1) * bo.meanHold / time.Duration(bo.slots)
 }
 
-func (bo *Bound) start(now time.Time, pl *Place) {
+func (bo *SlotQueue) start(now time.Time, pl *Ticket) {
 	bo.running++
 	pl.started = now
 	close(pl.ready)
 }
 
-// Exit frees a slot and returns the waiting attempt that starts in it, or nil.
-func (bo *Bound) Exit(now time.Time, pl *Place) *Place {
+// Release frees a slot and returns the waiting attempt that starts in it, or nil.
+func (bo *SlotQueue) Release(now time.Time, pl *Ticket) *Ticket {
 	bo.meanHold += (now.Sub(pl.started) - bo.meanHold) / holdDivisor
 	bo.running--
 	if len(bo.waiting) == 0 {
@@ -107,7 +107,7 @@
 }
 
 // Cancel removes a waiting attempt. It returns false if the attempt has already started.
-func (bo *Bound) Cancel(pl *Place) bool {
+func (bo *SlotQueue) Cancel(pl *Ticket) bool {
 	ix := slices.Index(bo.waiting, pl)
 	if ix < 0 {
 		return false
@@ -117,21 +117,21 @@
 }
 
 // Load returns the numbers of running and waiting attempts.
-func (bo *Bound) Load() core.Load {
+func (bo *SlotQueue) Load() core.Load {
 	return core.Load{Running: bo.running, Queued: len(bo.waiting), Slots: bo.slots}
 }
 
-// sharedBound makes a Bound safe for concurrent use.
+// sharedBound makes a SlotQueue safe for concurrent use.
 type sharedBound struct {
 	mu sync.Mutex
-	bo *Bound
+	bo *SlotQueue
 }
 
 // enter waits for a slot and returns the function that frees it, which may be called more than
 // once.
 func (bd *sharedBound) enter(ctx context.Context, at *core.Attempt) (exit func(), err error) {
 	bd.mu.Lock()
-	pl, _, fl := bd.bo.Enter(time.Now(), at.Priority, at.Deadline)
+	pl, _, fl := bd.bo.Acquire(time.Now(), at.Priority, at.Deadline)
 	bd.mu.Unlock()
 	if fl != nil {
 		return nil, fl
@@ -146,7 +146,7 @@
 	return sync.OnceFunc(func() {
 		bd.mu.Lock()
 		defer bd.mu.Unlock()
-		bd.bo.Exit(time.Now(), pl)
+		bd.bo.Release(time.Now(), pl)
 	}), nil
 }
 
@@ -157,7 +157,7 @@
 	return bd.bo.running >= bd.bo.slots && len(bd.bo.waiting) >= bd.bo.limit
 }
 
-func (bd *sharedBound) cancel(pl *Place) bool {
+func (bd *sharedBound) cancel(pl *Ticket) bool {
 	bd.mu.Lock()
 	defer bd.mu.Unlock()
 	return bd.bo.Cancel(pl)
--- a/core/execute/bound_test.go
+++ b/core/execute/slot_queue_test.go
@@ -15,9 +15,9 @@
 // time left to try another upstream, and its caller would get no answer before its deadline.
 func TestBoundRefusesOnArrivalAndOrdersByPriority(t *testing.T) {
 	now := time.Unix(0, 0)
-	bo := execute.NewBound(2, 4)
-	enter := func(priority int, left time.Duration) (*execute.Place, *core.Failure) {
-		pl, _, fl := bo.Enter(now, priority, left)
+	bo := execute.NewSlotQueue(2, 4)
+	enter := func(priority int, left time.Duration) (*execute.Ticket, *core.Failure) {
+		pl, _, fl := bo.Acquire(now, priority, left)
 		return pl, fl
 	}
 	first, _ := enter(0, 0)
@@ -42,9 +42,9 @@
 	assert.Equal(t, bo.Load(), core.Load{Running: 2, Queued: 4, Slots: 2})
 
 	assert.Assert(t, bo.Cancel(canceled))
-	assert.Equal(t, bo.Exit(now, first), high)
-	assert.Equal(t, bo.Exit(now, second), normal)
+	assert.Equal(t, bo.Release(now, first), high)
+	assert.Equal(t, bo.Release(now, second), normal)
 	assert.Assert(t, !bo.Cancel(normal), "an attempt that has started cannot be canceled")
-	assert.Equal(t, bo.Exit(now, high), low)
-	assert.Assert(t, bo.Exit(now, low) == nil)
+	assert.Equal(t, bo.Release(now, high), low)
+	assert.Assert(t, bo.Release(now, low) == nil)
 }
--- a/core/failure.go
+++ b/core/failure.go
@@ -74,8 +74,8 @@
 	return &Failure{Code: code, Ran: NotRun, RetryAfter: retryAfter, Message: fmt.Sprintf(format, args...)}
 }
 
-// Lost returns a failure of a request that may or may not have run.
-func Lost(format string, args ...any) *Failure {
+// OutcomeUnknown returns a failure of a request that may or may not have run.
+func OutcomeUnknown(format string, args ...any) *Failure {
 	return &Failure{Code: CodeOutcomeLost, Ran: RanUnknown, Message: fmt.Sprintf(format, args...)}
 }
 
--- a/core/forward/answer.go
+++ b/core/forward/answer.go
@@ -212,7 +212,7 @@
 	switch {
 	case ans.sentBytes == 0:
 		return false // Nothing was passed on: a retry starts from the beginning.
-	case jb.rt.Retry != core.Resumable || jb.disabled(mechanism.Resumption):
+	case jb.rt.Retry != core.Resumable || jb.disabled(mechanism.StreamResumption):
 		jb.noRetryReason = "the route's streams are not resumed"
 		return false
 	case ans.ctx.Err() != nil:
--- a/core/forward/attempt.go
+++ b/core/forward/attempt.go
@@ -122,10 +122,10 @@
 	jb := at.jb
 	ca := &core.Call{
 		Exchange: jb.ex, To: at.to, Workspace: jb.workspace, Model: at.rq.Model,
-		After: at.after, Priority: at.queueRank, Connections: jb.maxConnections(),
+		ResumeAfter: at.after, Priority: at.queueRank, MaxConnections: jb.maxConnections(),
 	}
 	if at.bounded {
-		ca.Left = max(at.left-time.Since(at.sent), time.Millisecond)
+		ca.Timeout = max(at.left-time.Since(at.sent), time.Millisecond)
 	}
 	return ca
 }
@@ -173,7 +173,7 @@
 	fw := at.jb.fw
 	fw.mu.Lock()
 	defer fw.mu.Unlock()
-	if at.reply.NotRun || at.reply.Stranger {
+	if at.reply.NotRun || at.reply.WrongUpstream {
 		if at.reply.Load != nil {
 			fw.picker.RecordReport(at.began, at.flight, *at.reply.Load)
 		}
--- a/core/forward/doc.go
+++ b/core/forward/doc.go
@@ -10,7 +10,7 @@
 //
 // The decisions are pure: they are made in [route], [balance], [canary] and [retry], and by this
 // package's classification of replies and its timeouts. Network access goes through
-// [core.Access].
+// [core.UpstreamClient].
 //
 // # Usage
 //
--- a/core/forward/fixture_test.go
+++ b/core/forward/fixture_test.go
@@ -102,7 +102,7 @@
 	return wo
 }
 
-// Call implements core.Access.
+// Call implements core.UpstreamClient.
 func (wo *fixture) Call(ctx context.Context, ca *core.Call) (*core.Reply, error) {
 	wo.mu.Lock()
 	n := len(wo.calls)
@@ -222,13 +222,13 @@
 }
 
 func losesConnection(context.Context, *core.Call) (*core.Reply, error) {
-	return nil, core.Lost("reset")
+	return nil, core.OutcomeUnknown("reset")
 }
 
 // hangs accepts the call and never answers.
 func hangs(ctx context.Context, _ *core.Call) (*core.Reply, error) {
 	<-ctx.Done()
-	return nil, core.Lost("%v", ctx.Err())
+	return nil, core.OutcomeUnknown("%v", ctx.Err())
 }
 
 // runInBubble runs a test in a synctest bubble, with a clock of its own.
--- a/core/forward/forward.go
+++ b/core/forward/forward.go
@@ -34,13 +34,13 @@
 	// has lasted long enough to be noticed outside. Nil means that the process never stops.
 	Stopping func() (left time.Duration, stopping bool)
 	// Off holds the mechanisms that are disabled.
-	Off mechanism.Off
+	Off mechanism.Disabled
 }
 
 // Forwarder routes exchanges to upstreams. It is safe for concurrent use.
 type Forwarder struct {
 	deps   core.Deps
-	access core.Access
+	access core.UpstreamClient
 	parts  Components
 	draw   func() float64
 	// started is when the process began to run.
@@ -64,7 +64,7 @@
 func RandomSource(fn func() float64) Option { return func(fw *Forwarder) { fw.draw = fn } }
 
 // New returns a Forwarder.
-func New(deps core.Deps, access core.Access, pa Components, opts ...Option) *Forwarder {
+func New(deps core.Deps, access core.UpstreamClient, pa Components, opts ...Option) *Forwarder {
 	fw := &Forwarder{
 		deps: deps, access: access, parts: pa, draw: rand.Float64, started: time.Now(),
 		picker: balance.New(deps.Zone, deps.Region, balance.Without(pa.Off)), retryWindows: map[core.ServiceID]*retry.Window{},
@@ -139,7 +139,7 @@
 	if fl := fw.checkOverload(jb); fl != nil {
 		return nil, fl
 	}
-	if !rt.Retry.Repeatable() {
+	if !rt.Retry.Retryable() {
 		// Work that may run only once cannot be escalated, so the largest model runs it.
 		jb.stage = max(len(rt.Cascade)-1, 0)
 	}
@@ -242,7 +242,7 @@
 }
 
 // RecordCached records the prompts in an upstream's prefix cache. It implements prefixsync's Learner.
-func (fw *Forwarder) RecordCached(ho core.Host, held []core.Held) {
+func (fw *Forwarder) RecordCached(ho core.Host, held []core.CachedPart) {
 	fw.mu.Lock()
 	defer fw.mu.Unlock()
 	fw.picker.RecordCached(time.Now(), ho, held)
--- a/core/forward/forward_test.go
+++ b/core/forward/forward_test.go
@@ -99,7 +99,7 @@
 				assert.Equal(t, err == nil, sc.whole, "%v", err)
 				var after []string
 				for _, ca := range wo.calls {
-					after = append(after, ca.After)
+					after = append(after, ca.ResumeAfter)
 				}
 				assert.DeepEqual(t, after, sc.after)
 			})
@@ -162,7 +162,7 @@
 		assert.NilError(t, err)
 		assert.Equal(t, text, "done")
 		assert.Assert(t, time.Since(began) < 400*time.Millisecond, "took %s", time.Since(began))
-		assert.Assert(t, wo.calls[1].Left <= wo.calls[0].Left-time.Since(began), "%s, then %s", wo.calls[0].Left, wo.calls[1].Left)
+		assert.Assert(t, wo.calls[1].Timeout <= wo.calls[0].Timeout-time.Since(began), "%s, then %s", wo.calls[0].Timeout, wo.calls[1].Timeout)
 	})
 	runInBubble(t, func(t *testing.T) {
 		wo := newFixture(t, hangs)
--- a/core/forward/gossip.go
+++ b/core/forward/gossip.go
@@ -89,7 +89,7 @@
 	fw.picker.ReceiveLoad(now, from, lo)
 	for sv, wi := range fw.retryWindows {
 		for _, bu := range lo.Budgets {
-			if bu.Service == balance.Hash(sv) && !fw.parts.Off.Has(mechanism.LentRepeats) {
+			if bu.Service == balance.Hash(sv) && !fw.parts.Off.Has(mechanism.BorrowedRetries) {
 				wi.ReceiveReport(now, from, bu.Left)
 			}
 		}
--- a/core/forward/job.go
+++ b/core/forward/job.go
@@ -68,7 +68,7 @@
 	jb.fw.countArrival(jb)
 	jb.selectResumeStage()
 	for {
-		at, fl := jb.beginAttempt(jb.ex.Resume)
+		at, fl := jb.beginAttempt(jb.ex.LastEventID)
 		if fl != nil {
 			return nil, fl
 		}
@@ -149,7 +149,7 @@
 func (jb *job) mayRetry(ctx context.Context) bool {
 	left, bounded := jb.timeLeft(time.Now())
 	switch {
-	case !jb.rt.Retry.Repeatable():
+	case !jb.rt.Retry.Retryable():
 		jb.noRetryReason = "the work may run once only"
 	case jb.runs >= jb.maxAttempts():
 		jb.noRetryReason = "the route's attempts are used up"
@@ -183,7 +183,7 @@
 	return balance.Request{
 		Service: jb.service, Model: jb.model(), Parts: jb.ex.Parts, Prompt: jb.ex.Prompt,
 		Engine: len(jb.ex.Parts) > 0 || jb.ex.Prompt > 0, Pool: jb.rt.ID, Tried: jb.tried,
-		AtMostOnce: !jb.rt.Retry.Repeatable(), Slack: jb.slack(),
+		AtMostOnce: !jb.rt.Retry.Retryable(), Slack: jb.slack(),
 		RemoteOnly: jb.trafficClass().remote,
 	}
 }
@@ -229,7 +229,7 @@
 	jb.sends++
 	jb.runs++
 	at.number = jb.sends
-	if jb.runs >= jb.maxAttempts() || jb.disabled(mechanism.EarlyRepeats) {
+	if jb.runs >= jb.maxAttempts() || jb.disabled(mechanism.EarlyRetries) {
 		at.headerTimeout = 0
 	}
 	at.logBegin(len(hosts), retriesLeft)
@@ -256,7 +256,7 @@
 
 // rankingCost is the prefill time that sets an attempt's rank in the upstream's queue.
 func (jb *job) rankingCost(at *attempt) time.Duration {
-	if jb.disabled(mechanism.LengthRanks) {
+	if jb.disabled(mechanism.ShortPromptsFirst) {
 		return 0
 	}
 	return at.flight.PrefillTime()
--- a/core/forward/log_test.go
+++ b/core/forward/log_test.go
@@ -186,7 +186,7 @@
 func TestTooShortTimeoutIsNoUpstreamFailure(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
 		wo := newFixture(t, func(ctx context.Context, ca *core.Call) (*core.Reply, error) {
-			time.Sleep(ca.Left)
+			time.Sleep(ca.Timeout)
 			return answers(http.StatusGatewayTimeout, "out of time")(ctx, ca)
 		})
 		for range 20 {
--- a/core/forward/model.go
+++ b/core/forward/model.go
@@ -32,7 +32,7 @@
 // the resumed stream would escalate once more before the caller receives anything, and the pause
 // between two events would be too long.
 func (jb *job) selectResumeStage() {
-	if jb.ex.Resume == "" || !jb.ex.AnyModel || len(jb.ex.Parts) == 0 || jb.disabled(mechanism.StreamModels) {
+	if jb.ex.LastEventID == "" || !jb.ex.AnyModel || len(jb.ex.Parts) == 0 || jb.disabled(mechanism.ResumeModel) {
 		return
 	}
 	fw, now := jb.fw, time.Now()
@@ -65,7 +65,7 @@
 
 // shouldEscalate reports whether a larger model should answer instead.
 func (jb *job) shouldEscalate(re *core.Reply) bool {
-	if !jb.ex.AnyModel || re.Confidence == core.NoConfidence || len(jb.rt.Cascade) < 2 || !jb.rt.Retry.Repeatable() {
+	if !jb.ex.AnyModel || re.Confidence == core.NoConfidence || len(jb.rt.Cascade) < 2 || !jb.rt.Retry.Retryable() {
 		return false
 	}
 	fw := jb.fw
--- a/core/forward/pressure_test.go
+++ b/core/forward/pressure_test.go
@@ -20,7 +20,7 @@
 		read := time.Duration(float64(perThousand) * float64(ca.Prompt) / 1000)
 		select {
 		case <-ctx.Done():
-			return nil, core.Lost("%v", ctx.Err())
+			return nil, core.OutcomeUnknown("%v", ctx.Err())
 		case <-time.After(read + wait):
 		}
 		re := reply(http.StatusOK, "id: 1\ndata: a\n\n")
--- a/core/forward/startup.go
+++ b/core/forward/startup.go
@@ -23,7 +23,7 @@
 func (fw *Forwarder) awaitTable(ctx context.Context) *route.Table {
 	inf := fw.parts.InForce
 	left := startupWaitLimit - time.Since(fw.started)
-	if tb := inf.Current(); tb != nil || left <= 0 || fw.parts.Off.Has(mechanism.StartWait) {
+	if tb := inf.Current(); tb != nil || left <= 0 || fw.parts.Off.Has(mechanism.StartupWait) {
 		return tb
 	}
 	ti := time.NewTimer(left)
--- a/core/forward/startup_test.go
+++ b/core/forward/startup_test.go
@@ -77,18 +77,18 @@
 				})
 				engine := core.Host{ID: "up-2"}
 				for _, mo := range sc.held {
-					wo.fw.RecordCached(engine, []core.Held{{Model: mo, Part: parts[0]}, {Model: mo, Part: parts[1]}})
+					wo.fw.RecordCached(engine, []core.CachedPart{{Model: mo, Part: parts[0]}, {Model: mo, Part: parts[1]}})
 				}
 				ans, err := wo.fw.Forward(t.Context(), &core.Exchange{
 					ID: "r1", Host: "a.example", Path: "/draft/1", Method: http.MethodPost, Key: "key", Header: http.Header{},
-					Arrived: time.Now(), Deadline: 10 * time.Second, AnyModel: true, Prompt: 4900, Parts: parts, Resume: sc.resume,
+					Arrived: time.Now(), Deadline: 10 * time.Second, AnyModel: true, Prompt: 4900, Parts: parts, LastEventID: sc.resume,
 				})
 				assert.NilError(t, err)
 				defer ans.Close()
 				var models []core.ModelID
 				for _, ca := range wo.calls {
 					models = append(models, ca.Model)
-					assert.Equal(t, ca.After, sc.resume)
+					assert.Equal(t, ca.ResumeAfter, sc.resume)
 				}
 				assert.DeepEqual(t, models, sc.models)
 				if len(sc.held) > 0 {
--- a/core/forward/timeouts.go
+++ b/core/forward/timeouts.go
@@ -45,7 +45,7 @@
 // lose power with the request in hand. Without a timeout the caller would wait until its
 // deadline. Work that may not run twice has to wait.
 func headerTimeout(rt *route.Route, usual, prefill, left time.Duration) time.Duration {
-	if !rt.Retry.Repeatable() || rt.TargetLatency <= 0 {
+	if !rt.Retry.Retryable() || rt.TargetLatency <= 0 {
 		return 0
 	}
 	share := targetShare
--- a/core/forward/verdict.go
+++ b/core/forward/verdict.go
@@ -62,7 +62,7 @@
 // counts as a failed attempt that may have run.
 func classify(re *core.Reply) verdict {
 	switch {
-	case re.Stranger:
+	case re.WrongUpstream:
 		return stranger
 	case re.NotRun:
 		return refused
--- a/core/guard/guard.go
+++ b/core/guard/guard.go
@@ -55,8 +55,8 @@
 
 func checkModel(sn *declaration.Snapshot, ho core.Host, at *core.Attempt) *core.Failure {
 	switch {
-	case ho.Serves() != at.Target:
-		return core.Refuse(core.CodeNoUpstream, retryDelay, "upstream %s runs %s, not %s", ho.ID, ho.Serves(), at.Target)
+	case ho.ModelVersion() != at.Target:
+		return core.Refuse(core.CodeNoUpstream, retryDelay, "upstream %s runs %s, not %s", ho.ID, ho.ModelVersion(), at.Target)
 	case sn.Withdrawn(at.Target):
 		return core.Refuse(core.CodeWithdrawn, retryDelay, "%s is withdrawn", at.Target)
 	case !sn.MayRun(at.Workspace, at.Target):
--- a/core/guard/guard_test.go
+++ b/core/guard/guard_test.go
@@ -46,7 +46,7 @@
 func TestCheck(t *testing.T) {
 	engine := core.Host{ID: "desk-1", Model: "desk", Version: "v1"}
 	service := core.Host{ID: "orders-1", Service: "subsidy"}
-	chat := core.Attempt{Workspace: "schools", Generation: 7, Target: engine.Serves()}
+	chat := core.Attempt{Workspace: "schools", Generation: 7, Target: engine.ModelVersion()}
 	call := core.Attempt{Workspace: "schools", Generation: 7, Service: "subsidy", Operation: "claim"}
 	with := func(at core.Attempt, change func(*core.Attempt)) core.Attempt {
 		change(&at)
--- a/core/hosts.go
+++ b/core/host.go
@@ -30,9 +30,9 @@
 	Service ServiceID `json:"service,omitempty"`
 	// Slots is how many calls an upstream runs concurrently; 0 means unknown.
 	Slots int `json:"slots,omitempty"`
-	// Born is when this incarnation of an upstream started, in milliseconds since 1970 by its own
-	// clock. A later incarnation may reuse the id.
-	Born int64 `json:"born,omitempty"`
+	// StartedAt is when this incarnation of an upstream started, in milliseconds since 1970 by its
+	// own clock. A later incarnation may reuse the id.
+	StartedAt int64 `json:"born,omitempty"`
 	// Warming is how much longer an upstream is slow after its start and can take only few requests,
 	// counted from when the line was written; 0 means warm. See [WarmingUnknown].
 	Warming time.Duration `json:"warming,omitempty"`
@@ -41,8 +41,8 @@
 // WarmingUnknown is the warming of an upstream that does not report it.
 const WarmingUnknown = -time.Nanosecond
 
-// Serves returns the model version that an engine's host serves.
-func (ho Host) Serves() ModelVersion { return ModelVersion{Model: ho.Model, Version: ho.Version} }
+// ModelVersion returns the model version that an engine's host serves.
+func (ho Host) ModelVersion() ModelVersion { return ModelVersion{Model: ho.Model, Version: ho.Version} }
 
 // Hosts is the platform's list of live and leaving hosts.
 type Hosts interface {
--- a/core/ledger/bill.go
+++ b/core/ledger/bill.go
@@ -15,7 +15,7 @@
 //
 // # Usage
 //
-//	led := ledger.New(deps, store, ledger.Budget(100, liveEntries))
+//	led := ledger.New(deps, store, ledger.WriteBudget(100, liveEntries))
 //	floor := led.Floor()
 //	led.Add(bill)                            // before an agent receives the copy
 //	co := ledger.Copy{Floor: floor, Bill: bill}
--- a/core/ledger/chains.go
+++ b/core/ledger/chains.go
@@ -21,9 +21,9 @@
 
 // Errors of a ledger.
 var (
-	// ErrLate: the store did not confirm a write or answer a read in time. The bills are kept, and
-	// the same call is retried.
-	ErrLate = errors.New("ledger: the store did not answer in time")
+	// ErrStoreUnavailable: the store did not confirm a write or answer a read in time. The bills
+	// are kept, and the same call is retried.
+	ErrStoreUnavailable = errors.New("ledger: the store did not answer in time")
 	// ErrBroken: an entry cannot be decoded.
 	ErrBroken = errors.New("ledger: entry cannot be decoded")
 )
@@ -59,7 +59,7 @@
 			break
 		}
 	}
-	return eris.Wrap(ErrLate, "add the process to the index of ledgers")
+	return eris.Wrap(ErrStoreUnavailable, "add the process to the index of ledgers")
 }
 
 // maxIndexWrites bounds the writes of one call after lost replies. Each write is the same, so a
@@ -118,5 +118,5 @@
 	return nil
 }
 
-// storeError wraps an error of a chain in ErrLate.
-func storeError(err error) error { return eris.Wrapf(ErrLate, "%v", err) }
+// storeError wraps an error of a chain in ErrStoreUnavailable.
+func storeError(err error) error { return eris.Wrapf(ErrStoreUnavailable, "%v", err) }
--- a/core/ledger/copies/copies.go
+++ b/core/ledger/copies/copies.go
@@ -6,9 +6,9 @@
 // # Usage
 //
 //	set := copies.New()
-//	set.Hold(process, attempt, bill, now)
+//	set.Add(process, attempt, bill, now)
 //	for _, ho := range set.Due(now, linked) { … }   // once a second
-//	set.Forget(attempts)                            // reported durable
+//	set.Remove(attempts)                            // reported durable
 package copies
 
 import (
@@ -74,8 +74,8 @@
 	heldSince time.Time
 }
 
-// Handover is an offer of one process's bills to a linked entry.
-type Handover struct {
+// Offer is an offer of one process's bills to a linked entry.
+type Offer struct {
 	To      core.ProcessID
 	Process core.ProcessID
 	Bills   [][]byte
@@ -84,8 +84,8 @@
 // Option changes a Set at construction.
 type Option func(*Set)
 
-// Limit bounds the copies in bytes.
-func Limit(bytes int) Option { return func(se *Set) { se.limit = bytes } }
+// MaxBytes bounds the copies in bytes.
+func MaxBytes(bytes int) Option { return func(se *Set) { se.limit = bytes } }
 
 // New returns an empty set.
 func New(opts ...Option) *Set {
@@ -99,8 +99,8 @@
 // Len returns how many copies are held.
 func (se *Set) Len() int { return len(se.processOf) }
 
-// Hold stores a copy and reports whether there was room.
-func (se *Set) Hold(id core.ProcessID, at core.AttemptID, raw []byte, now time.Time) bool {
+// Add stores a copy and reports whether there was room.
+func (se *Set) Add(id core.ProcessID, at core.AttemptID, raw []byte, now time.Time) bool {
 	if _, known := se.processOf[at]; known {
 		return true
 	}
@@ -118,8 +118,8 @@
 	return true
 }
 
-// Forget drops copies whose bills are durable.
-func (se *Set) Forget(ats []core.AttemptID) {
+// Remove drops copies whose bills are durable.
+func (se *Set) Remove(ats []core.AttemptID) {
 	drop := map[core.AttemptID]bool{}
 	owners := map[core.ProcessID]bool{}
 	for _, at := range ats {
@@ -143,13 +143,13 @@
 	}
 }
 
-// Leave makes offers of processes without a link due at once. The copies of an agent that stops are
-// lost with it, so it cannot wait until a process is certainly gone.
-func (se *Set) Leave() { se.leaving = true }
+// OfferNow makes offers of processes without a link due at once. The copies of an agent that stops
+// are lost with it, so it cannot wait until a process is certainly gone.
+func (se *Set) OfferNow() { se.leaving = true }
 
-// Stranded returns the number of copies of processes that are not linked. The other processes still
-// have their bills themselves.
-func (se *Set) Stranded(linked []core.ProcessID) int {
+// CountUnlinked returns the number of copies of processes that are not linked. The other processes
+// still have their bills themselves.
+func (se *Set) CountUnlinked(linked []core.ProcessID) int {
 	count := 0
 	for id, ow := range se.owners {
 		if !slices.Contains(linked, id) {
@@ -160,8 +160,8 @@
 }
 
 // Due returns the offers to make now. It is to be called about once a second.
-func (se *Set) Due(now time.Time, linked []core.ProcessID) []Handover {
-	var out []Handover
+func (se *Set) Due(now time.Time, linked []core.ProcessID) []Offer {
+	var out []Offer
 	for _, id := range slices.Sorted(maps.Keys(se.owners)) {
 		ow := se.owners[id]
 		cutoff := now
@@ -208,8 +208,8 @@
 }
 
 // offer takes the oldest copies, none younger than cutoff, up to maxOfferBytes.
-func (ow *processCopies) offer(now, cutoff time.Time) Handover {
-	var ho Handover
+func (ow *processCopies) offer(now, cutoff time.Time) Offer {
+	var ho Offer
 	ow.offered, ow.offeredAt = map[core.AttemptID]bool{}, now
 	size := 0
 	for _, he := range ow.copies {
--- a/core/ledger/copies/copies_test.go
+++ b/core/ledger/copies/copies_test.go
@@ -43,17 +43,17 @@
 	}
 	for _, sc := range scenarios {
 		t.Run(sc.testName, func(t *testing.T) {
-			set := copies.New(copies.Limit(10))
-			assert.Assert(t, set.Hold("gone", "at-1", []byte("one"), start))
-			assert.Assert(t, set.Hold("gone", "at-2", []byte("two"), start))
+			set := copies.New(copies.MaxBytes(10))
+			assert.Assert(t, set.Add("gone", "at-1", []byte("one"), start))
+			assert.Assert(t, set.Add("gone", "at-2", []byte("two"), start))
 			if sc.leaving {
-				set.Leave()
+				set.OfferNow()
 			}
-			assert.Assert(t, !set.Hold("gone", "at-3", []byte("too long"), start))
+			assert.Assert(t, !set.Add("gone", "at-3", []byte("too long"), start))
 			var got []offer
 			for d := time.Duration(0); d <= sc.last; d += time.Second {
 				if sc.forget > 0 && d == sc.forget {
-					set.Forget([]core.AttemptID{"at-1", "at-2", "at-9"})
+					set.Remove([]core.AttemptID{"at-1", "at-2", "at-9"})
 				}
 				for _, ho := range set.Due(start.Add(d), sc.linked) {
 					assert.Equal(t, ho.Process, core.ProcessID("gone"))
@@ -62,7 +62,7 @@
 			}
 			assert.Equal(t, fmt.Sprint(got), fmt.Sprint(sc.expected))
 			assert.Assert(t, (set.Len() == 0) == (sc.forget > 0))
-			assert.Assert(t, (set.Stranded(sc.linked) == 0) == (sc.forget > 0 || slices.Contains(sc.linked, "gone")))
+			assert.Assert(t, (set.CountUnlinked(sc.linked) == 0) == (sc.forget > 0 || slices.Contains(sc.linked, "gone")))
 		})
 	}
 }
--- a/core/ledger/figures_test.go
+++ b/core/ledger/figures_test.go
@@ -45,7 +45,7 @@
 func measureLoad(t *testing.T, rate int) {
 	const seconds = 600
 	st := newMemoryStore()
-	led := ledger.New(core.NewDeps(), st, ledger.Budget(fleetBudget, func() int { return fleetEntries }))
+	led := ledger.New(core.NewDeps(), st, ledger.WriteBudget(fleetBudget, func() int { return fleetEntries }))
 	ctx, cancel := context.WithCancel(t.Context())
 	go func() { _ = led.Serve(ctx) }()
 	for range seconds {
@@ -58,26 +58,26 @@
 	synctest.Wait()
 	name := fmt.Sprintf("ledger-%d-per-second-", rate)
 	if rate == 0 {
-		figure.Plain("ledger-idle-store-calls", float64(st.reads+st.writes)/seconds, "1/s")
+		figure.Unbounded("ledger-idle-store-calls", float64(st.reads+st.writes)/seconds, "1/s")
 		return
 	}
-	figure.Plain(name+"bytes", float64(st.bytes)/seconds, "B/s")
-	figure.Plain(name+"store-writes", float64(st.writes)/seconds, "1/s")
-	figure.Plain(name+"store-reads", float64(st.reads)/seconds, "1/s")
-	figure.Plain(name+"fleet-store-writes", float64(st.writes)/seconds*fleetEntries, "1/s")
-	figure.Plain("ledger-segment-interval", ledger.Interval(fleetBudget, fleetEntries, 2*time.Second).Seconds(), "s")
-	figure.Plain("ledger-bytes-per-bill", float64(st.bytes)/float64(seconds*rate), "B")
+	figure.Unbounded(name+"bytes", float64(st.bytes)/seconds, "B/s")
+	figure.Unbounded(name+"store-writes", float64(st.writes)/seconds, "1/s")
+	figure.Unbounded(name+"store-reads", float64(st.reads)/seconds, "1/s")
+	figure.Unbounded(name+"fleet-store-writes", float64(st.writes)/seconds*fleetEntries, "1/s")
+	figure.Unbounded("ledger-segment-interval", ledger.Interval(fleetBudget, fleetEntries, 2*time.Second).Seconds(), "s")
+	figure.Unbounded("ledger-bytes-per-bill", float64(st.bytes)/float64(seconds*rate), "B")
 }
 
 func measureAdd(t *testing.T) {
 	res := testing.Benchmark(func(b *testing.B) {
-		led, bi := ledger.New(core.NewDeps(), newMemoryStore(), ledger.Memory(1<<40)), typicalBill()
+		led, bi := ledger.New(core.NewDeps(), newMemoryStore(), ledger.MaxWaitingBytes(1<<40)), typicalBill()
 		for b.Loop() {
 			led.Add(bi)
 		}
 	})
 	assert.Assert(t, res.N > 0)
-	figure.Plain("ledger-add", float64(res.NsPerOp())/1000, "us")
+	figure.Unbounded("ledger-add", float64(res.NsPerOp())/1000, "us")
 }
 
 // measureSuccessor counts the store calls of one pass of a successor after an hour of an entry's
@@ -104,6 +104,6 @@
 	done, err := ledger.NewSuccessor(other, st, ledger.New(other, st)).File(t.Context(), deps.Self, copies)
 	assert.NilError(t, err)
 	assert.Equal(t, len(done), len(copies))
-	figure.Plain("ledger-successor-pass-store-reads", float64(st.reads-reads), "calls")
-	figure.Plain("ledger-successor-pass-store-writes", float64(st.writes-writes), "calls")
+	figure.Unbounded("ledger-successor-pass-store-reads", float64(st.reads-reads), "calls")
+	figure.Unbounded("ledger-successor-pass-store-writes", float64(st.writes-writes), "calls")
 }
--- a/core/ledger/pace.go
+++ b/core/ledger/interval.go
@@ -11,7 +11,7 @@
 
 // writesPerSegment is the number of store writes that one segment takes: the entry itself, and its
 // share of the update of the chain's head.
-const writesPerSegment = 1 + 1.0/chain.HintEvery
+const writesPerSegment = 1 + 1.0/chain.HeadInterval
 
 // Interval returns the time between two segments of one entry process, from the writes per second
 // that all ledgers together may use and the number of live entries.
--- a/core/ledger/once_test.go
+++ b/core/ledger/property_test.go
@@ -41,7 +41,7 @@
 	seed := rapid.Uint64().Draw(t, "seed")
 	deps := core.NewDeps()
 	deps.Self = "gone"
-	wo.led = ledger.New(deps, wo.newStore(seed), ledger.Memory(smallMemory), ledger.OnDurable(wo.forget))
+	wo.led = ledger.New(deps, wo.newStore(seed), ledger.MaxWaitingBytes(smallMemory), ledger.OnDurable(wo.forget))
 	wo.ownSuccessor = ledger.NewSuccessor(deps, wo.stores[0], wo.led)
 	for i := range 2 {
 		deps.Self = core.ProcessID(fmt.Sprint("successor-", i))
@@ -137,7 +137,7 @@
 func (wo *harness) check(t *rapid.T) {
 	acc, err := ledger.Sum(context.Background(), wo.st)
 	assert.NilError(t, err)
-	assert.Equal(t, len(acc.Doubled), 0, "doubled: %v", acc.Doubled)
+	assert.Equal(t, len(acc.Duplicated), 0, "doubled: %v", acc.Duplicated)
 	assert.Equal(t, len(acc.Faults), 0, "faults: %v", acc.Faults)
 	wo.mu.Lock()
 	defer wo.mu.Unlock()
--- a/core/ledger/sum.go
+++ b/core/ledger/sum.go
@@ -20,28 +20,28 @@
 // Account is the sum of all ledger chains.
 type Account struct {
 	Workspaces map[core.WorkspaceID]*Balance
-	// Doubled lists requests with a bill that is in two entries, which is a fault.
-	Doubled []core.RequestID
+	// Duplicated lists requests with a bill that is in two entries, which is a fault.
+	Duplicated []core.RequestID
 	// Faults lists faults of the chains, such as a missing entry.
 	Faults []string
 	// Bills lists the charged bills, by time.
 	Bills []Bill
-	// Segments is the number of entries that were read.
-	Segments int
+	// EntryCount is the number of entries that were read.
+	EntryCount int
 }
 
 // Balance is the account of one workspace.
 type Balance struct {
 	Requests int
 	Total    core.Millicents
-	// Resent counts whole answers to retried requests. They are not charged.
-	Resent int
+	// Retried counts whole answers to retried requests. They are not charged.
+	Retried int
 }
 
-// ResendWindow is how long after its first bill a retry with the same id and body counts as the
+// RetryWindow is how long after its first bill a retry with the same id and body counts as the
 // same request. It is above the longest deadline. It is limited because some clients send one fixed
 // id with every request; their later requests are charged.
-const ResendWindow = time.Hour
+const RetryWindow = time.Hour
 
 // Sum reads all ledger chains, one entry per call: listing the chains would return the whole ledger
 // in one reply.
@@ -49,7 +49,7 @@
 	acc := Account{Workspaces: map[core.WorkspaceID]*Balance{}}
 	its, err := st.List(ctx, indexPrefix)
 	if err != nil {
-		return acc, eris.Wrap(ErrLate, "list the processes that have a ledger")
+		return acc, eris.Wrap(ErrStoreUnavailable, "list the processes that have a ledger")
 	}
 	slices.SortFunc(its, func(a, b core.Item) int { return cmp.Compare(a.Key, b.Key) })
 	var all []Bill
@@ -117,7 +117,7 @@
 		if err != nil {
 			acc.addFault("%s: %v", name, err)
 		}
-		acc.Segments++
+		acc.EntryCount++
 		all = append(all, bis...)
 	}
 }
@@ -128,7 +128,7 @@
 		return 0, nil
 	}
 	if err != nil {
-		return 0, eris.Wrapf(ErrLate, "%s/head", name)
+		return 0, eris.Wrapf(ErrStoreUnavailable, "%s/head", name)
 	}
 	n, err := strconv.ParseUint(string(it.Value), 10, 64)
 	if err != nil {
@@ -163,7 +163,7 @@
 	for i := range all {
 		bi := &all[i]
 		if seen[bi.ID()] {
-			acc.Doubled = append(acc.Doubled, bi.Request)
+			acc.Duplicated = append(acc.Duplicated, bi.Request)
 			continue
 		}
 		seen[bi.ID()] = true
@@ -175,8 +175,8 @@
 			charged[bi.ReplayOf] = true
 		} else {
 			ke := requestKey{bi.Workspace, bi.Request, bi.Content}
-			if at, ok := first[ke]; ok && bi.When.Sub(at) <= ResendWindow {
-				ba.Resent++
+			if at, ok := first[ke]; ok && bi.When.Sub(at) <= RetryWindow {
+				ba.Retried++
 				continue
 			}
 			first[ke] = bi.When
--- a/core/ledger/sum_test.go
+++ b/core/ledger/sum_test.go
@@ -71,7 +71,7 @@
 			acc, err := ledger.Sum(t.Context(), st)
 			assert.NilError(t, err)
 			ba := acc.Workspaces["schools"]
-			got := fmt.Sprintf("%d requests %d, %d resent, doubled %v, faults %v", ba.Requests, ba.Total, ba.Resent, acc.Doubled, acc.Faults)
+			got := fmt.Sprintf("%d requests %d, %d resent, doubled %v, faults %v", ba.Requests, ba.Total, ba.Retried, acc.Duplicated, acc.Faults)
 			assert.Equal(t, got, sc.expected)
 		})
 	}
--- a/core/ledger/writer.go
+++ b/core/ledger/writer.go
@@ -50,23 +50,23 @@
 // Option changes a Writer at construction.
 type Option func(*Writer)
 
-// Pace sets the shortest time between two segments. The default is two seconds.
-func Pace(d time.Duration) Option { return func(wr *Writer) { wr.minInterval = d } }
+// MinInterval sets the shortest time between two segments. The default is two seconds.
+func MinInterval(d time.Duration) Option { return func(wr *Writer) { wr.minInterval = d } }
 
-// Budget sets the writes per second that the ledgers of all live entries together may use, see
+// WriteBudget sets the writes per second that the ledgers of all live entries together may use, see
 // [Interval].
-func Budget(writes float64, live func() int) Option {
+func WriteBudget(writes float64, live func() int) Option {
 	return func(wr *Writer) { wr.budget, wr.liveEntries = writes, live }
 }
 
-// Memory bounds the bills that wait, in bytes.
+// MaxWaitingBytes bounds the bills that wait, in bytes.
 //
 // The default is sized for a store that is down for hours. An entry at 53 requests a second
 // produces 16 kB of bills a second, so the default holds more than four hours of bills. Beyond the
 // bound a bill is logged in full as lost; its agent still holds a copy and offers it once the store
 // answers. Refusing requests instead would turn an outage of the store into an outage of the
 // service.
-func Memory(bytes int) Option { return func(wr *Writer) { wr.queue.limit = bytes } }
+func MaxWaitingBytes(bytes int) Option { return func(wr *Writer) { wr.queue.limit = bytes } }
 
 // OnDurable sets the function that is called with the IDs of bills once they are in the store.
 func OnDurable(fn func([]core.AttemptID)) Option { return func(wr *Writer) { wr.onDurable = fn } }
@@ -161,7 +161,7 @@
 	case wr.sem <- struct{}{}:
 		return nil
 	case <-ctx.Done():
-		return ErrLate
+		return ErrStoreUnavailable
 	}
 }
 
--- a/core/ledger/writer_test.go
+++ b/core/ledger/writer_test.go
@@ -62,7 +62,7 @@
 		acc, err := ledger.Sum(t.Context(), st)
 		assert.NilError(t, err)
 		assert.Equal(t, acc.Workspaces["schools"].Requests, 2)
-		assert.Equal(t, len(acc.Doubled), 0)
+		assert.Equal(t, len(acc.Duplicated), 0)
 	})
 }
 
@@ -74,13 +74,13 @@
 		var log bytes.Buffer
 		deps := core.NewDeps()
 		deps.Log = slog.New(slog.NewJSONHandler(&log, nil))
-		led := ledger.New(deps, &replyLosingStore{memoryStore: newMemoryStore(), losing: true}, ledger.Memory(400))
+		led := ledger.New(deps, &replyLosingStore{memoryStore: newMemoryStore(), losing: true}, ledger.MaxWaitingBytes(400))
 		for _, id := range []string{"a1", "a2", "a3"} {
 			led.Add(newBill(id))
 		}
 		assert.Equal(t, strings.Count(log.String(), "bill-lost"), 1)
 		began := time.Now()
-		assert.ErrorIs(t, led.Close(10*time.Second), ledger.ErrLate)
+		assert.ErrorIs(t, led.Close(10*time.Second), ledger.ErrStoreUnavailable)
 		assert.Assert(t, time.Since(began) <= 10*time.Second)
 		led.Add(newBill("a4"))
 		for _, id := range []string{"a1", "a2", "a3", "a4"} {
@@ -95,7 +95,7 @@
 func TestBacklogKeepsTheInterval(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		st := newMemoryStore()
-		led := ledger.New(core.NewDeps(), st, ledger.Pace(time.Second))
+		led := ledger.New(core.NewDeps(), st, ledger.MinInterval(time.Second))
 		long := strings.Repeat("x", 100_000)
 		for i := range 40 {
 			bi := newBill(strconv.Itoa(i))
@@ -107,7 +107,7 @@
 		assert.ErrorIs(t, led.Serve(ctx), context.DeadlineExceeded)
 		acc, err := ledger.Sum(t.Context(), st)
 		assert.NilError(t, err)
-		assert.Assert(t, acc.Segments >= 3 && acc.Segments <= 4, "%d segments in 3 s", acc.Segments)
+		assert.Assert(t, acc.EntryCount >= 3 && acc.EntryCount <= 4, "%d segments in 3 s", acc.EntryCount)
 	})
 }
 
--- a/core/losses/cause.go
+++ b/core/losses/cause.go
@@ -40,8 +40,9 @@
 	// LateByUpstream is an answer that was late because another upstream failed or did not respond
 	// before.
 	LateByUpstream Cause = "late: upstream failed first"
-	// LateByClimb is an answer that was late because the request was escalated from a smaller model.
-	LateByClimb Cause = "late: smaller model first"
+	// LateByEscalation is an answer that was late because the request was escalated from a smaller
+	// model.
+	LateByEscalation Cause = "late: smaller model first"
 	// LateByQueue is an answer that was late because of the prefill of other prompts before it.
 	LateByQueue Cause = "late: queue and prefill"
 	// LateAtUpstream is an answer that was late at an upstream that was expected to be fast.
@@ -54,7 +55,7 @@
 	DoubtfulSufficed  Cause = "doubtful: sufficed under load"
 	DoubtfulTooLate   Cause = "doubtful: a larger model would be late"
 	DoubtfulAttempts  Cause = "doubtful: attempts used up"
-	DoubtfulNoRepeats Cause = "doubtful: no retries left"
+	DoubtfulNoRetries Cause = "doubtful: no retries left"
 	// Unknown is an end that none of the other causes describes.
 	Unknown Cause = "unknown"
 )
@@ -73,7 +74,7 @@
 
 // causesByReason maps the reasons for returning a doubtful answer to its causes.
 var causesByReason = map[string]Cause{
-	"sufficed": DoubtfulSufficed, "too-late": DoubtfulTooLate, "attempts": DoubtfulAttempts, "repeats": DoubtfulNoRepeats,
+	"sufficed": DoubtfulSufficed, "too-late": DoubtfulTooLate, "attempts": DoubtfulAttempts, "repeats": DoubtfulNoRetries,
 }
 
 // cause returns the cause of the request's loss, or [OnTime].
@@ -123,7 +124,7 @@
 	case failed >= max(escalated, last):
 		return LateByUpstream
 	case escalated >= last:
-		return LateByClimb
+		return LateByEscalation
 	case len(rq.attempts) > 0 && rq.attempts[len(rq.attempts)-1].prefillWait >= last/2:
 		return LateByQueue
 	}
--- a/core/losses/count.go
+++ b/core/losses/count.go
@@ -7,7 +7,7 @@
 
 	"skylarkstand/core"
 	"skylarkstand/core/event"
-	"skylarkstand/core/story"
+	"skylarkstand/core/trace"
 )
 
 // request is one request, reconstructed from the lines of its entry.
@@ -17,7 +17,7 @@
 	// prompt is the size of the prompt.
 	prompt   core.Tokens
 	attempts []*attempt
-	end      *story.Line
+	end      *trace.Line
 }
 
 // attempt is one attempt at an upstream. The verdict is set only if its answer was not used.
@@ -36,14 +36,15 @@
 	Lost map[Cause]int
 }
 
-// Work is the load of one model.
-type Work struct {
+// ModelUsage is the load of one model.
+type ModelUsage struct {
 	Model string
-	// Attempts counts the attempts, and Doubted those whose answer was dropped for a larger model's.
-	Attempts, Doubted int
-	// Read counts the tokens that had to be prefilled, and Kept those that were assumed to be in the
-	// prefix cache.
-	Read, Kept core.Tokens
+	// Attempts counts the attempts, and Escalated those whose answer was dropped for a larger
+	// model's.
+	Attempts, Escalated int
+	// PrefilledTokens counts the tokens that had to be prefilled, and CachedTokens those that were
+	// assumed to be in the prefix cache.
+	PrefilledTokens, CachedTokens core.Tokens
 }
 
 // Table holds the losses by cause.
@@ -52,19 +53,19 @@
 	// Routes are ordered by name; requests without a known route are counted under an empty name.
 	// Spans are ordered by time, from the first request on.
 	Routes, Spans []Row
-	Work          []Work
+	Models        []ModelUsage
 	// Dropped counts the log lines that processes dropped.
 	Dropped int
 }
 
 // Count counts the requests in log lines, by time spans of the given length.
-func Count(lines []story.Line, span time.Duration) Table {
+func Count(lines []trace.Line, span time.Duration) Table {
 	rqs, dropped := collect(lines)
 	ta := Table{Total: newRow("all"), Dropped: dropped}
 	if len(rqs) == 0 {
 		return ta
 	}
-	routes, work := map[string]*Row{}, map[string]*Work{}
+	routes, work := map[string]*Row{}, map[string]*ModelUsage{}
 	start := rqs[0].at
 	for _, rq := range rqs {
 		ca := rq.cause()
@@ -74,7 +75,7 @@
 		rq.addWork(work)
 	}
 	ta.Routes = sorted(routes, func(ro *Row) string { return ro.Name })
-	ta.Work = sorted(work, func(wo *Work) string { return wo.Model })
+	ta.Models = sorted(work, func(wo *ModelUsage) string { return wo.Model })
 	return ta
 }
 
@@ -104,22 +105,22 @@
 	}
 }
 
-func (rq *request) addWork(work map[string]*Work) {
+func (rq *request) addWork(work map[string]*ModelUsage) {
 	for _, at := range rq.attempts {
 		if at.model == "" {
 			continue
 		}
 		wo := work[at.model]
 		if wo == nil {
-			wo = &Work{Model: at.model}
+			wo = &ModelUsage{Model: at.model}
 			work[at.model] = wo
 		}
 		wo.Attempts++
 		if at.verdict == "unsure" {
-			wo.Doubted++
+			wo.Escalated++
 		}
-		wo.Kept += min(at.cached, rq.prompt)
-		wo.Read += max(rq.prompt-at.cached, 0)
+		wo.CachedTokens += min(at.cached, rq.prompt)
+		wo.PrefilledTokens += max(rq.prompt-at.cached, 0)
 	}
 }
 
@@ -137,7 +138,7 @@
 
 // collect groups the lines by request, ordered by the time of each request's first line, and counts
 // the dropped lines.
-func collect(lines []story.Line) (rqs []*request, dropped int) {
+func collect(lines []trace.Line) (rqs []*request, dropped int) {
 	byKey := map[key]*request{}
 	for i := range lines {
 		li := &lines[i]
@@ -168,7 +169,7 @@
 }
 
 // addLine applies one of the request's lines. The lines must be added in their order.
-func (rq *request) addLine(li *story.Line) {
+func (rq *request) addLine(li *trace.Line) {
 	if route := li.Get("route"); route != "" {
 		rq.route = route
 	}
--- a/core/losses/losses_test.go
+++ b/core/losses/losses_test.go
@@ -9,13 +9,13 @@
 	"gotest.tools/v3/golden"
 
 	"skylarkstand/core/losses"
-	"skylarkstand/core/story"
+	"skylarkstand/core/trace"
 )
 
 // count counts the requests in lines of a gateway. It adds the time and the process to each line.
 func count(t *testing.T, rows ...string) losses.Table {
 	t.Helper()
-	var lo story.Log
+	var lo trace.Log
 	for i, row := range rows {
 		at := time.Unix(1_800_000_000, 0).UTC().Add(time.Duration(i) * 10 * time.Millisecond).Format(time.RFC3339Nano)
 		line := `{"time":"` + at + `","process":"p1",` + row + "}\n"
@@ -49,12 +49,12 @@
 	}{
 		{"on time", []string{begun, answered()}, losses.OnTime},
 		{"doubtful", []string{begun, answered(`"confidence":80`, `"confidence":30`, `"larger":0`, `"larger":1`)}, losses.Doubtful},
-		{"doubtful without retries left", []string{begun, answered(`"confidence":80`, `"confidence":30,"kept-answer":"repeats"`, `"larger":0`, `"larger":1`)}, losses.DoubtfulNoRepeats},
+		{"doubtful without retries left", []string{begun, answered(`"confidence":80`, `"confidence":30,"kept-answer":"repeats"`, `"larger":0`, `"larger":1`)}, losses.DoubtfulNoRetries},
 		{"doubtful under load", []string{begun, answered(`"confidence":80`, `"confidence":30,"kept-answer":"sufficed"`, `"larger":0`, `"larger":1`)}, losses.DoubtfulSufficed},
 		{"doubtful by the largest model", []string{begun, answered(`"confidence":80`, `"confidence":30`)}, losses.OnTime},
 		{"paused", []string{begun, answered(`"pause":0.2`, `"pause":1.2`)}, losses.Paused},
 		{"error of an upstream", []string{begun, answered(`"status":200`, `"status":500`)}, losses.UpstreamError},
-		{"late by escalation", []string{begun, ended("unsure", "2.5"), second, answered(`"first":1`, `"first":3.2`)}, losses.LateByClimb},
+		{"late by escalation", []string{begun, ended("unsure", "2.5"), second, answered(`"first":1`, `"first":3.2`)}, losses.LateByEscalation},
 		{"late by a lost answer", []string{begun, ended("lost", "2.5"), second, answered(`"first":1`, `"first":3.2`)}, losses.LateByUpstream},
 		{"late in the queue", []string{begun, ended("unsure", "0.1"), second, answered(`"first":1`, `"first":3.2`)}, losses.LateByQueue},
 		{"late at a slow upstream", []string{begun, answered(`"first":1`, `"first":3.2`)}, losses.LateAtUpstream},
--- a/core/mechanism/mechanism.go
+++ b/core/mechanism/mechanism.go
@@ -7,8 +7,8 @@
 //
 // # Usage
 //
-//	off, err := mechanism.Parse(set.Without)
-//	if !off.Has(mechanism.Gate) { … }
+//	off, err := mechanism.Parse(set.DisabledMechanisms)
+//	if !off.Has(mechanism.AdmissionControl) { … }
 package mechanism
 
 import (
@@ -24,83 +24,83 @@
 
 // The mechanisms.
 const (
-	// PrefixHomes selects one upstream of the region by hashing the shared parts of a prompt. All
-	// entries prefer it as long as they do not receive which prompts engines have processed.
-	PrefixHomes Name = "prefix-homes"
-	// ToldPrompts uses the announcements of other entries about the prompts that engines have
-	// processed, ToldLoads those about their work at the engines.
-	ToldPrompts Name = "told-prompts"
-	ToldLoads   Name = "told-loads"
-	// ReadPace measures the prefill throughput of engines for each model.
-	ReadPace Name = "read-pace"
-	// SharedPrice adds a penalty to the prefill time for repeating the prefill of shared parts of
-	// prompts.
-	SharedPrice Name = "shared-price"
-	// Slack penalizes engines whose wait would make an answer late.
-	Slack Name = "slack"
-	// Recall queries the prefix caches of engines when an entry starts.
-	Recall Name = "recall"
-	// StreamModels resumes the stream of a retrying caller at the model that has its prompt cached.
-	StreamModels Name = "stream-models"
-	// StartWait makes callers of a starting entry wait for its configuration.
-	StartWait Name = "start-wait"
-	// LengthRanks makes engines prefill short prompts first.
-	LengthRanks Name = "length-ranks"
-	// Gate refuses requests that engines would start too late.
-	Gate Name = "gate"
-	// HogPart refuses a workspace that sends more than its share earlier than others.
-	HogPart Name = "hog-part"
-	// Pressure restricts escalation under load to answers that are almost certainly wrong.
-	Pressure Name = "pressure"
-	// MiddleModels escalates to models between the smallest and the largest as well.
-	MiddleModels Name = "middle-models"
-	// EarlyRepeats sends the request to another upstream when the first one does not respond in
+	// PrefixAffinity selects one upstream of the region by hashing the shared parts of a prompt.
+	// All entries prefer it as long as they do not receive which prompts engines have processed.
+	PrefixAffinity Name = "prefix-homes"
+	// SiblingPrompts uses the announcements of other entries about the prompts that engines have
+	// processed, SiblingLoads those about their work at the engines.
+	SiblingPrompts Name = "told-prompts"
+	SiblingLoads   Name = "told-loads"
+	// PrefillRate measures the prefill throughput of engines for each model.
+	PrefillRate Name = "read-pace"
+	// SharedPrefillPenalty adds a penalty to the prefill time for repeating the prefill of shared
+	// parts of prompts.
+	SharedPrefillPenalty Name = "shared-price"
+	// LatenessPenalty penalizes engines whose wait would make an answer late.
+	LatenessPenalty Name = "slack"
+	// PrefixSync queries the prefix caches of engines when an entry starts.
+	PrefixSync Name = "recall"
+	// ResumeModel resumes the stream of a retrying caller at the model that has its prompt cached.
+	ResumeModel Name = "stream-models"
+	// StartupWait makes callers of a starting entry wait for its configuration.
+	StartupWait Name = "start-wait"
+	// ShortPromptsFirst makes engines prefill short prompts first.
+	ShortPromptsFirst Name = "length-ranks"
+	// AdmissionControl refuses requests that engines would start too late.
+	AdmissionControl Name = "gate"
+	// NoisyWorkspaceLimit refuses a workspace that sends more than its share earlier than others.
+	NoisyWorkspaceLimit Name = "hog-part"
+	// PressureThreshold restricts escalation under load to answers that are almost certainly wrong.
+	PressureThreshold Name = "pressure"
+	// IntermediateModels escalates to models between the smallest and the largest as well.
+	IntermediateModels Name = "middle-models"
+	// EarlyRetries sends the request to another upstream when the first one does not respond in
 	// time.
-	EarlyRepeats Name = "early-repeats"
-	// Resumption continues a broken stream at another upstream within the same answer.
-	Resumption Name = "resumption"
+	EarlyRetries Name = "early-repeats"
+	// StreamResumption continues a broken stream at another upstream within the same answer.
+	StreamResumption Name = "resumption"
 	// Avoidance sends no work to failing upstreams while others are available.
 	Avoidance Name = "avoidance"
-	// Slowness sends less work to slow upstreams.
-	Slowness Name = "slowness"
-	// ToldCalls uses the calls that other entries announce at the moment they send them.
-	ToldCalls Name = "told-calls"
-	// ToldFacts uses the announcements of other entries about upstreams where nothing listens.
-	ToldFacts Name = "told-facts"
-	// ToldRegions uses the load that entries of other regions announce.
-	ToldRegions Name = "told-regions"
-	// LentRepeats lets an entry borrow unused retries of other entries.
-	LentRepeats Name = "lent-repeats"
-	// Readers lets a few entries watch the store for the others.
-	Readers Name = "readers"
+	// SlowUpstreamPenalty sends less work to slow upstreams.
+	SlowUpstreamPenalty Name = "slowness"
+	// SiblingCalls uses the calls that other entries announce at the moment they send them.
+	SiblingCalls Name = "told-calls"
+	// SiblingFacts uses the announcements of other entries about upstreams where nothing listens.
+	SiblingFacts Name = "told-facts"
+	// RegionLoads uses the load that entries of other regions announce.
+	RegionLoads Name = "told-regions"
+	// BorrowedRetries lets an entry borrow unused retries of other entries.
+	BorrowedRetries Name = "lent-repeats"
+	// StoreReaders lets a few entries watch the store for the others.
+	StoreReaders Name = "readers"
 	// PooledEvidence combines what the entries observe of a new version.
 	PooledEvidence Name = "pooled-evidence"
 )
 
 var all = []Name{
-	PrefixHomes, ToldPrompts, ToldLoads, ToldCalls, ToldFacts, ToldRegions, ReadPace, SharedPrice, Slack, Recall, StreamModels, StartWait, LengthRanks, Gate, HogPart,
-	Pressure, MiddleModels, EarlyRepeats, Resumption, Avoidance, Slowness, LentRepeats, Readers, PooledEvidence,
+	PrefixAffinity, SiblingPrompts, SiblingLoads, SiblingCalls, SiblingFacts, RegionLoads, PrefillRate, SharedPrefillPenalty, LatenessPenalty, PrefixSync, ResumeModel, StartupWait, ShortPromptsFirst, AdmissionControl, NoisyWorkspaceLimit,
+	PressureThreshold, IntermediateModels, EarlyRetries, StreamResumption, Avoidance, SlowUpstreamPenalty, BorrowedRetries, StoreReaders, PooledEvidence,
 }
 
 // All lists the mechanisms.
 func All() []Name { return slices.Clone(all) }
 
-// Off is a set of disabled mechanisms. The zero value disables none.
-type Off struct{ names []Name }
+// Disabled is a set of disabled mechanisms. The zero value disables none.
+type Disabled struct{ names []Name }
 
-// Without returns an Off that disables the named mechanisms.
-func Without(names ...Name) Off { return Off{names: names} }
+// Disable returns a Disabled that disables the named mechanisms.
+func Disable(names ...Name) Disabled { return Disabled{names: names} }
 
 // Has reports whether a mechanism is disabled.
-func (of Off) Has(na Name) bool { return slices.Contains(of.names, na) }
+func (of Disabled) Has(na Name) bool { return slices.Contains(of.names, na) }
 
-// Parse returns an Off that disables the mechanisms with the given names. It fails on an unknown
-// name.
-func Parse(names []string) (Off, error) {
-	var of Off
+// Parse returns a Disabled that disables the mechanisms with the given names. It fails on an
+// unknown name.
+func Parse(names []string) (Disabled, error) {
+	var of Disabled
 	for _, name := range names {
 		if !slices.Contains(all, Name(name)) {
-			return Off{}, eris.Errorf("there is no mechanism %q; there are %s", name, list())
+			return Disabled{}, eris.Errorf("there is no mechanism %q; there are %s", name, list())
 		}
 		of.names = append(of.names, Name(name))
 	}
--- a/core/mechanism/mechanism_test.go
+++ b/core/mechanism/mechanism_test.go
@@ -23,5 +23,5 @@
 	assert.ErrorContains(t, err, "hog-part")
 	off, err := mechanism.Parse(nil)
 	assert.NilError(t, err)
-	assert.Assert(t, !off.Has(mechanism.Gate))
+	assert.Assert(t, !off.Has(mechanism.AdmissionControl))
 }
--- a/core/order/order.go
+++ b/core/order/order.go
@@ -22,16 +22,16 @@
 	"skylarkstand/core"
 )
 
-// Fence is the fencing number of an order to one upstream. The highest number wins.
-type Fence uint64
+// FencingNumber is the fencing number of an order to one upstream. The highest number wins.
+type FencingNumber uint64
 
 // Errors of orders. With either of them, nothing was sent to the engine.
 var (
-	// ErrOld: a newer order has been given.
-	ErrOld = errors.New("order: a newer order was given")
-	// ErrAway: the store is unavailable, so it is unknown whether the order is the newest. A
+	// ErrSuperseded: a newer order has been given.
+	ErrSuperseded = errors.New("order: a newer order was given")
+	// ErrUnavailable: the store is unavailable, so it is unknown whether the order is the newest. A
 	// delayed order does no harm, an outdated one does.
-	ErrAway = errors.New("order: store away")
+	ErrUnavailable = errors.New("order: store away")
 )
 
 func key(id core.UpstreamID) string { return "fences/" + string(id) }
@@ -48,7 +48,7 @@
 // Next returns a fencing number above all that were issued for an upstream. If the reply to a write
 // is lost, its number may be skipped but is never issued twice: no other process can have got it,
 // and the next read continues after it.
-func (is *Issuer) Next(ctx context.Context, id core.UpstreamID) (Fence, error) {
+func (is *Issuer) Next(ctx context.Context, id core.UpstreamID) (FencingNumber, error) {
 	for range maxConflicts {
 		it, err := is.store.Get(ctx, key(id))
 		if errors.Is(err, core.ErrNotFound) {
@@ -58,17 +58,17 @@
 			continue
 		}
 		if err != nil {
-			return 0, ErrAway
+			return 0, ErrUnavailable
 		}
 		last, err := strconv.ParseUint(string(it.Value), 10, 64)
 		if err != nil {
 			return 0, err
 		}
 		if _, err = is.store.Swap(ctx, key(id), it.Revision, []byte(strconv.FormatUint(last+1, 10))); err == nil {
-			return Fence(last + 1), nil
+			return FencingNumber(last + 1), nil
 		}
 	}
-	return 0, ErrAway
+	return 0, ErrUnavailable
 }
 
 // Gate is an agent's check of the orders to its engine. It is safe for concurrent use.
@@ -77,7 +77,7 @@
 	id    core.UpstreamID
 
 	mu         sync.Mutex
-	lastPassed Fence
+	lastPassed FencingNumber
 }
 
 // NewGate returns the Gate of an upstream.
@@ -87,22 +87,22 @@
 // of two orders in flight, the engine could execute the older one last. It reads the store each
 // time, because the agent loses its state at a restart and because the newest number may not
 // have reached this agent yet.
-func (ga *Gate) Pass(ctx context.Context, fe Fence, send func(context.Context) error) error {
+func (ga *Gate) Pass(ctx context.Context, fe FencingNumber, send func(context.Context) error) error {
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
 	if fe < ga.lastPassed {
-		return ErrOld
+		return ErrSuperseded
 	}
 	it, err := ga.store.Get(ctx, key(ga.id))
 	if err != nil {
-		return ErrAway
+		return ErrUnavailable
 	}
 	newest, err := strconv.ParseUint(string(it.Value), 10, 64)
 	if err != nil {
 		return err
 	}
 	if uint64(fe) != newest {
-		return ErrOld
+		return ErrSuperseded
 	}
 	ga.lastPassed = fe
 	return send(ctx)
--- a/core/order/order_test.go
+++ b/core/order/order_test.go
@@ -57,7 +57,7 @@
 func TestFencingNumbersAreUnique(t *testing.T) {
 	ro := &row{loseReply: true}
 	var mu sync.Mutex
-	seen := map[order.Fence]bool{}
+	seen := map[order.FencingNumber]bool{}
 	var wg sync.WaitGroup
 	for range 8 {
 		wg.Go(func() {
@@ -84,17 +84,17 @@
 	assert.NilError(t, err)
 	newer, err := is.Next(t.Context(), "desk-1")
 	assert.NilError(t, err)
-	var sent []order.Fence
-	pass := func(ga *order.Gate, fe order.Fence) error {
+	var sent []order.FencingNumber
+	pass := func(ga *order.Gate, fe order.FencingNumber) error {
 		return ga.Pass(t.Context(), fe, func(context.Context) error {
 			sent = append(sent, fe)
 			return nil
 		})
 	}
-	assert.Assert(t, errors.Is(pass(order.NewGate(ro, "desk-1"), old), order.ErrOld))
+	assert.Assert(t, errors.Is(pass(order.NewGate(ro, "desk-1"), old), order.ErrSuperseded))
 	assert.NilError(t, pass(order.NewGate(ro, "desk-1"), newer))
-	assert.Assert(t, errors.Is(pass(order.NewGate(ro, "desk-1"), old), order.ErrOld))
-	assert.DeepEqual(t, sent, []order.Fence{newer})
+	assert.Assert(t, errors.Is(pass(order.NewGate(ro, "desk-1"), old), order.ErrSuperseded))
+	assert.DeepEqual(t, sent, []order.FencingNumber{newer})
 	ro.down = true
-	assert.Assert(t, errors.Is(pass(order.NewGate(ro, "desk-1"), newer), order.ErrAway))
+	assert.Assert(t, errors.Is(pass(order.NewGate(ro, "desk-1"), newer), order.ErrUnavailable))
 }
--- a/core/placement/affinity.go
+++ b/core/placement/affinity.go
@@ -37,10 +37,10 @@
 	best, topScore := -1, uint64(0)
 	for _, at := range fi.local[:fi.localCount] {
 		up := &fi.cands[at]
-		if up.Hash == 0 {
-			up.Hash = Hash(up.Host.ID)
+		if up.IDHash == 0 {
+			up.IDHash = Hash(up.Host.ID)
 		}
-		score := mix(prefix ^ up.Hash)
+		score := mix(prefix ^ up.IDHash)
 		if best < 0 || score > topScore {
 			best, topScore = int(at), score
 		}
--- a/core/placement/figures_test.go
+++ b/core/placement/figures_test.go
@@ -38,8 +38,8 @@
 	cands := make([]core.Upstream, placement.MaxSubset)
 	for ix := range cands {
 		cands[ix] = upstream(fmt.Sprintf("drafter-%d", ix), []core.Zone{"muc-a", "muc-b"}[ix%2], "muc", ix%8)
-		cands[ix].Hash = placement.Hash(cands[ix].Host.ID)
-		cands[ix].Reported = now.Add(-time.Duration(ix) * time.Millisecond)
+		cands[ix].IDHash = placement.Hash(cands[ix].Host.ID)
+		cands[ix].ReportedAt = now.Add(-time.Duration(ix) * time.Millisecond)
 		pk.RecordSent(now, cands[ix].Host.ID)
 		pk.RecordFirstPiece(now.Add(time.Millisecond), po, cands[ix].Host.ID, now)
 		pk.RecordPieces(po, cands[ix].Host.ID, time.Millisecond, 1)
--- a/core/placement/placement.go
+++ b/core/placement/placement.go
@@ -163,7 +163,7 @@
 	var slots, work int
 	for ix := range fi.cands {
 		up := &fi.cands[ix]
-		if !up.Up || up.Leaving || len(tried) > 0 && slices.Contains(tried, up.Host.ID) {
+		if !up.Connected || up.Leaving || len(tried) > 0 && slices.Contains(tried, up.Host.ID) {
 			continue
 		}
 		if up.Host.Region != pk.region {
@@ -172,7 +172,7 @@
 			continue
 		}
 		slots += max(up.Load.Slots, 1)
-		work += max(up.Load.Running+up.Load.Queued-up.OwnThen, 0) + up.Own
+		work += max(up.Load.Running+up.Load.Queued-up.OwnAtReport, 0) + up.OwnAttempts
 		fi.local[fi.localCount] = uint8(ix)
 		if up.Host.Zone == pk.zone {
 			// Moves upstreams of the local availability zone to the front.
@@ -249,11 +249,11 @@
 // that an old report of a full upstream does not repel attempts for too long.
 func utilisation(now time.Time, up *core.Upstream, mean float64) float64 {
 	slots := float64(max(up.Load.Slots, 1))
-	others := float64(max(up.Load.Running+up.Load.Queued-up.OwnThen, 0))
-	if age := now.Sub(up.Reported); age > 0 && !up.Reported.IsZero() {
+	others := float64(max(up.Load.Running+up.Load.Queued-up.OwnAtReport, 0))
+	if age := now.Sub(up.ReportedAt); age > 0 && !up.ReportedAt.IsZero() {
 		weight := float64(reportHalfAge) / float64(reportHalfAge+age)
-		expected := max(mean*slots-float64(up.Own), 0)
+		expected := max(mean*slots-float64(up.OwnAttempts), 0)
 		others = weight*others + (1-weight)*min(others, expected)
 	}
-	return (others + float64(up.Own) + 1) / slots
+	return (others + float64(up.OwnAttempts) + 1) / slots
 }
--- a/core/placement/placement_test.go
+++ b/core/placement/placement_test.go
@@ -15,7 +15,7 @@
 
 func upstream(id string, zo core.Zone, re core.Region, running int) core.Upstream {
 	return core.Upstream{
-		Host: core.Host{ID: core.UpstreamID(id), Zone: zo, Region: re}, Up: true,
+		Host: core.Host{ID: core.UpstreamID(id), Zone: zo, Region: re}, Connected: true,
 		Load: core.Load{Running: running, Slots: 8},
 	}
 }
@@ -31,10 +31,10 @@
 		for ix := range rapid.IntRange(0, 70).Draw(rt, "upstreams") {
 			re := rapid.SampledFrom([]core.Region{"muc", "nue"}).Draw(rt, "region")
 			up := upstream(fmt.Sprint(ix), rapid.SampledFrom([]core.Zone{"a", "b"}).Draw(rt, "zone"), re, rapid.IntRange(0, 20).Draw(rt, "running"))
-			up.Up, up.Leaving = rapid.Bool().Draw(rt, "up"), rapid.Bool().Draw(rt, "leaving")
+			up.Connected, up.Leaving = rapid.Bool().Draw(rt, "up"), rapid.Bool().Draw(rt, "leaving")
 			if rapid.IntRange(0, 4).Draw(rt, "tried") == 0 {
 				tried = append(tried, up.Host.ID)
-			} else if up.Up && !up.Leaving && ix < placement.MaxSubset {
+			} else if up.Connected && !up.Leaving && ix < placement.MaxSubset {
 				available[up.Host.ID] = true
 			}
 			cands = append(cands, up)
@@ -121,7 +121,7 @@
 	assert.Equal(t, len(got), 1, "an idle pool must send all attempts with one prefix to one upstream")
 	for ix := range cands {
 		if got[cands[ix].Host.ID] > 0 {
-			cands[ix].Own = 7
+			cands[ix].OwnAttempts = 7
 		}
 	}
 	for id := range countPicks(placement.New("a", "muc"), rq, cands) {
@@ -208,6 +208,6 @@
 	assert.Equal(t, pk.Capacity(cands, 2), placement.Capacity{EntrySlots: 16, TotalSlots: 16})
 	cands[0].Load.Running, cands[1].Load.Running = 8, 8
 	assert.Equal(t, pk.Capacity(cands, 2), placement.Capacity{EntrySlots: 8, TotalSlots: 16})
-	cands[0].Own, cands[0].OwnThen = 8, 8
+	cands[0].OwnAttempts, cands[0].OwnAtReport = 8, 8
 	assert.Equal(t, pk.Capacity(cands, 2), placement.Capacity{EntrySlots: 8, TotalSlots: 16})
 }
--- a/core/placement/subset.go
+++ b/core/placement/subset.go
@@ -96,11 +96,11 @@
 func (pk *Picker) freeSlots(cands []core.Upstream, local bool) (free, slots int) {
 	for ix := range cands {
 		up := &cands[ix]
-		if !up.Up || up.Leaving || local != (up.Host.Region == pk.region) {
+		if !up.Connected || up.Leaving || local != (up.Host.Region == pk.region) {
 			continue
 		}
 		all := max(up.Load.Slots, 1)
-		free += max(all-max(up.Load.Running+up.Load.Queued-up.OwnThen, 0), 0)
+		free += max(all-max(up.Load.Running+up.Load.Queued-up.OwnAtReport, 0), 0)
 		slots += all
 	}
 	return free, slots
--- a/core/prefixsync/prefixsync.go
+++ b/core/prefixsync/prefixsync.go
@@ -33,16 +33,16 @@
 // Learner records the prefixes cached by engines.
 type Learner interface {
 	// RecordCached records the prefixes cached by one engine.
-	RecordCached(ho core.Host, held []core.Held)
+	RecordCached(ho core.Host, held []core.CachedPart)
 }
 
 // Syncer is the service that queries the engines. It implements suture.Service.
 type Syncer struct {
-	off  mechanism.Off
+	off  mechanism.Disabled
 	deps core.Deps
 	inf  *route.InForce
 	fl   *fleet.Fleet
-	mem  core.Memory
+	mem  core.PrefixCaches
 	le   Learner
 }
 
@@ -50,10 +50,10 @@
 type Option func(*Syncer)
 
 // Without disables mechanisms.
-func Without(off mechanism.Off) Option { return func(re *Syncer) { re.off = off } }
+func Without(off mechanism.Disabled) Option { return func(re *Syncer) { re.off = off } }
 
 // New returns a Syncer that reads cached prefixes from mem and passes them to le.
-func New(deps core.Deps, inf *route.InForce, fl *fleet.Fleet, mem core.Memory, le Learner, opts ...Option) *Syncer {
+func New(deps core.Deps, inf *route.InForce, fl *fleet.Fleet, mem core.PrefixCaches, le Learner, opts ...Option) *Syncer {
 	re := &Syncer{deps: deps, inf: inf, fl: fl, mem: mem, le: le}
 	for _, opt := range opts {
 		opt(re)
@@ -74,7 +74,7 @@
 
 // Serve implements suture.Service.
 func (re *Syncer) Serve(ctx context.Context) error {
-	if re.off.Has(mechanism.Recall) {
+	if re.off.Has(mechanism.PrefixSync) {
 		return suture.ErrDoNotRestart
 	}
 	select {
@@ -113,7 +113,7 @@
 
 func (re *Syncer) query(ctx context.Context, ho core.Host) {
 	startedAt := time.Now()
-	held, err := re.mem.Held(ctx, ho)
+	held, err := re.mem.CachedParts(ctx, ho)
 	if err != nil {
 		event.Log(re.deps.Log, event.MemoryUnknown, "upstream", ho.ID, "error", err)
 		return
--- a/core/prefixsync/prefixsync_test.go
+++ b/core/prefixsync/prefixsync_test.go
@@ -23,22 +23,22 @@
 type engines struct {
 	mu      sync.Mutex
 	queries map[core.UpstreamID]int
-	learned map[core.UpstreamID][]core.Held
+	learned map[core.UpstreamID][]core.CachedPart
 }
 
-func (en *engines) Held(ctx context.Context, ho core.Host) ([]core.Held, error) {
+func (en *engines) CachedParts(ctx context.Context, ho core.Host) ([]core.CachedPart, error) {
 	en.mu.Lock()
 	en.queries[ho.ID]++
 	en.mu.Unlock()
 	if ho.ID == "up-1" {
 		<-ctx.Done()
-		return nil, core.Lost("%v", ctx.Err())
+		return nil, core.OutcomeUnknown("%v", ctx.Err())
 	}
-	return []core.Held{{Model: "large", Part: core.Part{ID: string(ho.ID), Tokens: 5000}}}, nil
+	return []core.CachedPart{{Model: "large", Part: core.Part{ID: string(ho.ID), Tokens: 5000}}}, nil
 }
 
 // RecordCached implements prefixsync.Learner.
-func (en *engines) RecordCached(ho core.Host, held []core.Held) {
+func (en *engines) RecordCached(ho core.Host, held []core.CachedPart) {
 	en.mu.Lock()
 	defer en.mu.Unlock()
 	en.learned[ho.ID] = held
@@ -52,7 +52,7 @@
 		inf, fl := route.NewInForce(), fleet.New()
 		deps := core.NewDeps()
 		deps.Region = "near"
-		en := &engines{queries: map[core.UpstreamID]int{}, learned: map[core.UpstreamID][]core.Held{}}
+		en := &engines{queries: map[core.UpstreamID]int{}, learned: map[core.UpstreamID][]core.CachedPart{}}
 		ended := make(chan error, 1)
 		go func() { ended <- prefixsync.New(deps, inf, fl, en, en).Serve(t.Context()) }()
 		time.Sleep(time.Second)
--- a/core/replica/follow.go
+++ b/core/replica/follow.go
@@ -46,7 +46,7 @@
 type Follower struct {
 	deps core.Deps
 	mi   *Replica
-	feed core.Feed
+	feed core.ChangeFeed
 	sibs Siblings
 	// isReader reports whether this entry is one of the readers.
 	isReader func() bool
@@ -102,7 +102,7 @@
 
 // NewFollower returns the service that keeps mi up to date from feed, and from the
 // siblings while feed does not answer.
-func NewFollower(deps core.Deps, mi *Replica, feed core.Feed, sibs Siblings, opts ...Option) *Follower {
+func NewFollower(deps core.Deps, mi *Replica, feed core.ChangeFeed, sibs Siblings, opts ...Option) *Follower {
 	fo := &Follower{
 		deps: deps, mi: mi, feed: feed, sibs: sibs, isReader: func() bool { return true },
 		downSignal: make(chan struct{}, 1), newerSignal: make(chan struct{}, 1), watchSignal: make(chan struct{}, 1),
--- a/core/replica/readers_test.go
+++ b/core/replica/readers_test.go
@@ -142,7 +142,7 @@
 	runWithReader(t, func(_ *fakeStore, re *fakeReader, _ *replica.Replica, fo *replica.Follower) {
 		assert.Assert(t, !fo.Doubtful(time.Now()))
 		re.doubtful = true
-		re.mi.Apply([]core.Change{{Item: core.Item{Key: configKey, Revision: 2}, Gone: true}}, 2, time.Now())
+		re.mi.Apply([]core.Change{{Item: core.Item{Key: configKey, Revision: 2}, Removed: true}}, 2, time.Now())
 		re.announce(fo, 250*time.Millisecond)
 		assert.Assert(t, fo.Doubtful(time.Now()))
 		time.Sleep(5 * time.Second)
@@ -165,7 +165,7 @@
 			key := fmt.Sprint("key-", rapid.IntRange(0, 5).Draw(rt, "key"))
 			ch := core.Change{Item: core.Item{Key: key, Value: make([]byte, rapid.IntRange(0, 3000).Draw(rt, "size")), Revision: rev}}
 			if _, ok := all[key]; ok && rapid.Bool().Draw(rt, "gone") {
-				ch.Gone, ch.Value = true, nil
+				ch.Removed, ch.Value = true, nil
 				delete(all, key)
 			} else {
 				all[key] = ch.Item
@@ -173,7 +173,7 @@
 			if rapid.IntRange(0, 99).Draw(rt, "early") == 0 {
 				// A listing with pages newer than its revision.
 				items, _, _ := one.Copy("")
-				if !ch.Gone {
+				if !ch.Removed {
 					items = append(items, ch.Item)
 					one.Replace(latest(items), rev-1, now)
 				}
--- a/core/replica/replica.go
+++ b/core/replica/replica.go
@@ -71,7 +71,7 @@
 	}
 	for key, it := range mi.items {
 		if _, ok := fresh[key]; !ok {
-			out = append(out, core.Change{Item: it, Gone: true, Skipped: true})
+			out = append(out, core.Change{Item: it, Removed: true, Skipped: true})
 		}
 	}
 	mi.items, mi.rev, mi.completeAfter = fresh, rev, completeAfter
@@ -98,10 +98,10 @@
 			mi.log.add(ev)
 		}
 		old, ok := mi.items[ev.Key]
-		if ok && old.Revision >= ev.Revision || !ok && ev.Gone {
+		if ok && old.Revision >= ev.Revision || !ok && ev.Removed {
 			continue
 		}
-		if ev.Gone {
+		if ev.Removed {
 			// Subscribers need the removed value.
 			ev.Value = old.Value
 			delete(mi.items, ev.Key)
--- a/core/retry/retry_test.go
+++ b/core/retry/retry_test.go
@@ -12,7 +12,7 @@
 func refusal(code core.Code) *core.Failure { return core.Refuse(code, 0, "refused") }
 
 func TestTriesAgain(t *testing.T) {
-	lost := core.Lost("the link broke")
+	lost := core.OutcomeUnknown("the link broke")
 	scenarios := []struct {
 		testName   string
 		failures   []*core.Failure
@@ -43,7 +43,7 @@
 	retries := func(requests int) (sum int) {
 		for range requests {
 			tr := retry.NewAttempts(bu)
-			if tr.MayRetry(core.Lost("lost"), true) {
+			if tr.MayRetry(core.OutcomeUnknown("lost"), true) {
 				sum++
 			}
 		}
--- a/core/rollout/figures_test.go
+++ b/core/rollout/figures_test.go
@@ -58,29 +58,29 @@
 	separate, separateHarmless := bad, harmless
 	separate.noHome, separateHarmless.noHome = true, true
 	median, p95 = exposure(t, separate, runs)
-	figure.Plain("roll-out-exposed-median-each-entry-alone", median, "callers")
-	figure.Plain("roll-out-exposed-p95-each-entry-alone", p95, "callers")
-	figure.Plain("roll-out-false-halts-each-entry-alone", falseHalts(t, separateHarmless, fewer), "share")
+	figure.Unbounded("roll-out-exposed-median-each-entry-alone", median, "callers")
+	figure.Unbounded("roll-out-exposed-p95-each-entry-alone", p95, "callers")
+	figure.Unbounded("roll-out-false-halts-each-entry-alone", falseHalts(t, separateHarmless, fewer), "share")
 
 	slight := bad
 	slight.candidate = 0.8
 	median, p95 = exposure(t, slight, fewer)
-	figure.Plain("roll-out-exposed-median-quality-0.80", median, "callers")
-	figure.Plain("roll-out-exposed-p95-quality-0.80", p95, "callers")
+	figure.Unbounded("roll-out-exposed-median-quality-0.80", median, "callers")
+	figure.Unbounded("roll-out-exposed-p95-quality-0.80", p95, "callers")
 	half := bad
 	half.percent = 50
 	median, p95 = exposure(t, half, fewer)
-	figure.Plain("roll-out-exposed-median-at-half", median, "callers")
-	figure.Plain("roll-out-exposed-p95-at-half", p95, "callers")
+	figure.Unbounded("roll-out-exposed-median-at-half", median, "callers")
+	figure.Unbounded("roll-out-exposed-p95-at-half", p95, "callers")
 
 	threshold, thresholdHarmless := bad, harmless
 	threshold.decide, thresholdHarmless.decide = fixedThreshold, fixedThreshold
 	median, p95 = exposure(t, threshold, runs)
-	figure.Plain("roll-out-fixed-threshold-exposed-median", median, "callers")
-	figure.Plain("roll-out-fixed-threshold-exposed-p95", p95, "callers")
-	figure.Plain("roll-out-fixed-threshold-false-halts", falseHalts(t, thresholdHarmless, fewer), "share")
+	figure.Unbounded("roll-out-fixed-threshold-exposed-median", median, "callers")
+	figure.Unbounded("roll-out-fixed-threshold-exposed-p95", p95, "callers")
+	figure.Unbounded("roll-out-fixed-threshold-false-halts", falseHalts(t, thresholdHarmless, fewer), "share")
 	unguarded := bad
 	unguarded.decide = noGuard
 	median, _ = exposure(t, unguarded, 1)
-	figure.Plain("roll-out-no-guard-exposed-in-half-an-hour", median, "callers")
+	figure.Unbounded("roll-out-no-guard-exposed-in-half-an-hour", median, "callers")
 }
--- a/core/rollout/guard_test.go
+++ b/core/rollout/guard_test.go
@@ -170,7 +170,7 @@
 		{testName: "answers", next: io.EOF, records: true},
 		{testName: "fails at once", err: failed, halts: true, records: true},
 		{testName: "fails in the middle", next: failed, halts: true, records: true},
-		{testName: "one host is lost", err: core.Lost("host"), records: true},
+		{testName: "one host is lost", err: core.OutcomeUnknown("host"), records: true},
 		{testName: "refused", err: core.Refuse(core.CodeOverloaded, 0, "full")},
 		{testName: "caller gone", next: failed, gone: true},
 	} {
--- a/core/rollout/sim_test.go
+++ b/core/rollout/sim_test.go
@@ -122,7 +122,7 @@
 			continue
 		}
 		wait := time.Duration(500+rnd.IntN(1000)) * time.Millisecond // The time to the answer and then to its rating.
-		qu.At(now.Add(wait), func(at time.Time) {
+		qu.Schedule(now.Add(wait), func(at time.Time) {
 			seen[side][0]++
 			if !good {
 				seen[side][1]++
--- a/core/route/route.go
+++ b/core/route/route.go
@@ -46,7 +46,7 @@
 	Prefix string
 	// Stream is set when responses are event streams.
 	Stream bool
-	Retry  core.Repeat
+	Retry  core.RetrySafety
 	// Timeout bounds the time until a caller has its whole response; TargetLatency is the target
 	// time of a response, or of a stream's first event.
 	Timeout, TargetLatency time.Duration
--- a/core/routing/routing.go
+++ b/core/routing/routing.go
@@ -6,7 +6,7 @@
 //
 // # Usage
 //
-//	plan, err := routing.Resolve(snap, ws, "quick", routing.Session{Pins: pins, Draw: rnd})
+//	plan, err := routing.Resolve(snap, ws, "quick", routing.Session{Pins: pins, Fraction: rnd})
 //	for _, st := range plan.Stages { … }
 package routing
 
@@ -21,9 +21,9 @@
 type Session struct {
 	// Pins are the versions that the session is pinned to, by model.
 	Pins map[core.ModelID]core.VersionID
-	// Draw is a number from 0 to 1 that decides whether a new session belongs to the share of a
+	// Fraction is a number from 0 to 1 that decides whether a new session belongs to the share of a
 	// roll-out. It is the same for all requests of a session.
-	Draw float64
+	Fraction float64
 	// Stale reports that the configuration may be outdated. A version under roll-out then gets no
 	// new sessions, because its halt may not have arrived yet.
 	Stale bool
@@ -41,7 +41,7 @@
 // new version, are not affected.
 func (se Session) mayJoin(mv core.ModelVersion, ro *declaration.RollOut) bool {
 	halted := ro.Halted != "" || (se.Halted != nil && se.Halted(mv))
-	return !halted && !se.Stale && se.Draw*100 < float64(ro.Percent)
+	return !halted && !se.Stale && se.Fraction*100 < float64(ro.Percent)
 }
 
 // Plan is what a request runs on: one stage for a model, one or more for a cascade.
@@ -57,8 +57,8 @@
 	// Repinned reports that the session had to leave its pinned version, which is withdrawn or no
 	// longer allowed. The caller is informed.
 	Repinned bool
-	// Joined reports that a new session was assigned a version under roll-out.
-	Joined bool
+	// JoinedRollOut reports that a new session was assigned a version under roll-out.
+	JoinedRollOut bool
 }
 
 // Resolve returns the plan for the name of a cascade or model. Errors are [core.Failure]s with
@@ -124,7 +124,7 @@
 	ro := sn.RollOut(mo.ID)
 	if ro != nil && se.mayJoin(core.ModelVersion{Model: mo.ID, Version: ro.Version}, ro) {
 		if st, ok := stage(ro.Version); ok {
-			st.Joined = ro.Version != mo.Stable
+			st.JoinedRollOut = ro.Version != mo.Stable
 			return st, true
 		}
 	}
--- a/core/schema/validate.go
+++ b/core/schema/validate.go
@@ -21,7 +21,7 @@
 	"github.com/santhosh-tekuri/jsonschema/v6"
 	"github.com/santhosh-tekuri/jsonschema/v6/kind"
 
-	"skylarkstand/core/spelling"
+	"skylarkstand/core/suggest"
 	files "skylarkstand/docs/schema"
 )
 
@@ -41,9 +41,9 @@
 	// Place is the path to the value, such as "workspaces[0].share", Reason is
 	// what is wrong with it, and Remedy how to correct it.
 	Place, Reason, Remedy string
-	// Shape reports that the value has a different type than the schema requires,
+	// WrongType reports that the value has a different type than the schema requires,
 	// so that its decoded form is meaningless.
-	Shape bool
+	WrongType bool
 }
 
 // String returns the fault as one line of text.
@@ -200,7 +200,7 @@
 		ob = ck.raw.Defs[def]
 	}
 	known := ob.names()
-	if near, ok := spelling.Nearest(name, known); ok {
+	if near, ok := suggest.Nearest(name, known); ok {
 		return fmt.Sprintf("did you mean %q?", near)
 	}
 	return "known fields: " + strings.Join(known, ", ")
--- a/core/shed/shed.go
+++ b/core/shed/shed.go
@@ -68,7 +68,7 @@
 
 // Gate is the admission control of one service at one entry. It is not safe for concurrent use.
 type Gate struct {
-	off mechanism.Off
+	off mechanism.Disabled
 	// nextRetry is the time to which the last Retry-After points.
 	nextRetry time.Time
 	// periodStart is the start of the current period, admitted the number of requests admitted
@@ -86,7 +86,7 @@
 type Option func(*Gate)
 
 // Without disables mechanisms.
-func Without(off mechanism.Off) Option { return func(ga *Gate) { ga.off = off } }
+func Without(off mechanism.Disabled) Option { return func(ga *Gate) { ga.off = off } }
 
 // New returns a Gate.
 func New(opts ...Option) *Gate {
@@ -105,7 +105,7 @@
 func (ga *Gate) Admit(now time.Time, rq Request) (retryAfter time.Duration, ok bool) {
 	ga.rollPeriod(now)
 	ga.arrivals[rq.Workspace]++
-	if rq.Target <= 0 || ga.off.Has(mechanism.Gate) || rq.Wait <= ga.maxWait(rq) {
+	if rq.Target <= 0 || ga.off.Has(mechanism.AdmissionControl) || rq.Wait <= ga.maxWait(rq) {
 		ga.admitted++
 		return 0, true
 	}
@@ -123,7 +123,7 @@
 		if !rq.Urgent {
 			part *= lessUrgentPart
 		}
-		if ga.noisy(rq.Workspace) && !ga.off.Has(mechanism.HogPart) {
+		if ga.noisy(rq.Workspace) && !ga.off.Has(mechanism.NoisyWorkspaceLimit) {
 			part *= noisyPart
 		}
 	}
--- a/core/store.go
+++ b/core/store.go
@@ -62,17 +62,17 @@
 	Renew(ctx context.Context, lease LeaseID) error
 }
 
-// Change is a key that was written, or removed if Gone is set. A removed key has the revision of
+// Change is a key that was written, or removed if Removed is set. A removed key has the revision of
 // its removal.
 type Change struct {
 	Item
-	Gone bool
+	Removed bool
 	// Skipped is set when the replica may have missed changes before this one.
 	Skipped bool
 }
 
-// Feed is the store as one sequence of changes, for replicas of it.
-type Feed interface {
+// ChangeFeed is the store as one sequence of changes, for replicas of it.
+type ChangeFeed interface {
 	// Snapshot returns all keys and the revision from which Changes continues. Keys may be newer
 	// than that revision.
 	Snapshot(ctx context.Context) ([]Item, Revision, error)
--- a/core/spelling/nearest.go
+++ b/core/suggest/nearest.go
@@ -1,9 +1,9 @@
-// Package spelling suggests the known name that is most similar to a mistyped one.
+// Package suggest suggests the known name that is most similar to a mistyped one.
 //
 // # Usage
 //
-//	near, ok := spelling.Nearest("draftr", []string{"desk", "drafter"})   // "drafter", true
-package spelling
+//	near, ok := suggest.Nearest("draftr", []string{"desk", "drafter"})   // "drafter", true
+package suggest
 
 // A known name is suggested if its edit distance is at most
 // max(baseEdits, length/lengthPerEdit), where length is that of the mistyped name in
--- a/core/spelling/nearest_test.go
+++ b/core/suggest/nearest_test.go
@@ -1,11 +1,11 @@
-package spelling_test
+package suggest_test
 
 import (
 	"testing"
 
 	"gotest.tools/v3/assert"
 
-	"skylarkstand/core/spelling"
+	"skylarkstand/core/suggest"
 )
 
 func TestNearest(t *testing.T) {
@@ -19,7 +19,7 @@
 		{"empty name", "", ""},
 	} {
 		t.Run(sc.testName, func(t *testing.T) {
-			got, ok := spelling.Nearest(sc.name, known)
+			got, ok := suggest.Nearest(sc.name, known)
 			assert.Equal(t, got, sc.want)
 			assert.Equal(t, ok, sc.want != "")
 		})
--- a/core/suspect/suspect_test.go
+++ b/core/suspect/suspect_test.go
@@ -30,7 +30,7 @@
 		po.crashes++
 		return nil, &core.Failure{Code: core.CodeCrashed, Ran: core.RanFailed}
 	case po.hostLost:
-		return nil, core.Lost("the link was lost")
+		return nil, core.OutcomeUnknown("the link was lost")
 	}
 	return emptyAnswer{}, nil
 }
--- a/core/suspect/upstreams.go
+++ b/core/suspect/upstreams.go
@@ -42,7 +42,7 @@
 	}
 	ru := &run{ups: ups, fp: fp, alone: re.State == Suspected, upstream: id}
 	solo := *at
-	solo.Solo = ru.alone
+	solo.Exclusive = ru.alone
 	ans, err := ups.Upstreams.Dispatch(ctx, id, &solo)
 	if err != nil {
 		ru.handleError(err)
--- a/core/story/doc.go
+++ b/core/trace/doc.go
@@ -1,4 +1,4 @@
-// Package story reconstructs one request from the log lines of several processes, and reports what
+// Package trace reconstructs one request from the log lines of several processes, and reports what
 // is missing from the logs.
 //
 // The reconstruction consists of the lines with the request's id, from every entry that received
@@ -8,8 +8,8 @@
 //
 // # Usage
 //
-//	var lo story.Log
+//	var lo trace.Log
 //	err := lo.Read("gateway-1.log", file)          // for each file
-//	st := lo.Tell("2a05daab3234778d")
+//	st := lo.Trace("2a05daab3234778d")
 //	err = st.Write(os.Stdout)
-package story
+package trace
--- a/core/story/log.go
+++ b/core/trace/log.go
@@ -1,4 +1,4 @@
-package story
+package trace
 
 import (
 	"bufio"
