--- a/app/gateway.go
+++ b/app/gateway.go
@@ -76,15 +76,15 @@
 	deps     core.Deps
 	inf      *route.InForce
 	fleet    *fleet.Fleet
-	mirror   *replica.Replica
-	feed     *watch.Handler
+	replica  *replica.Replica
+	handler  *watch.Handler
 	follower *replica.Follower
 	reg      *registration.Registrar
 	guard    *canary.Guard
 	recorder *canary.Recorder
 	pooler   *canary.Pooler
-	sharer   *sibling.Gossiper
-	recaller *prefixsync.Syncer
+	gossiper *sibling.Gossiper
+	syncer   *prefixsync.Syncer
 	gauges   *gauges
 	srv      *front.Server
 	admin    metricsPage
@@ -116,8 +116,8 @@
 
 // run serves until the context ends and then shuts down gracefully.
 func (gw *gatewayProcess) run(ctx context.Context) error {
-	gw.mirror.Subscribe(gw.feed.HandleChanges)
-	gw.mirror.Subscribe(func([]core.Change) { gw.sharer.AnnounceDigest() })
+	gw.replica.Subscribe(gw.handler.HandleChanges)
+	gw.replica.Subscribe(func([]core.Change) { gw.gossiper.AnnounceDigest() })
 	serviceCtx, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
 	sup := newSupervisor("gateway", gw.deps)
@@ -125,8 +125,8 @@
 	sup.Add(gw.reg)
 	sup.Add(gw.recorder)
 	sup.Add(gw.pooler)
-	sup.Add(gw.sharer)
-	sup.Add(gw.recaller)
+	sup.Add(gw.gossiper)
+	sup.Add(gw.syncer)
 	sup.Add(gw.gauges)
 	done := sup.ServeBackground(serviceCtx)
 
@@ -165,7 +165,7 @@
 	ready := http.NewServeMux()
 	ready.HandleFunc("GET "+gw.set.ReadinessPath, gw.ready)
 	sibs := http.NewServeMux()
-	sibs.Handle("GET "+sibling.ReplicaPath, sibling.ReplicaHandler(gw.mirror, gw.follower.Doubtful))
+	sibs.Handle("GET "+sibling.ReplicaPath, sibling.ReplicaHandler(gw.replica, gw.follower.Doubtful))
 	sibs.Handle("GET "+sibling.ReportsPath, sibling.ReportsHandler(gw.guard))
 	closeReady, err := serveOn(gw.set.Readiness, ready)
 	if err != nil {
--- a/app/gateway_providers.go
+++ b/app/gateway_providers.go
@@ -82,8 +82,8 @@
 	return warmup.New(deps.Self, warmup.Overshoot(set.WarmUp.Overshoot, set.WarmUp.Slack))
 }
 
-// newOff returns the disabled mechanisms. The settings are validated before.
-func newOff(set settings.Gateway) (mechanism.Disabled, error) {
+// newDisabled returns the disabled mechanisms. The settings are validated before.
+func newDisabled(set settings.Gateway) (mechanism.Disabled, error) {
 	return mechanism.Parse(set.DisabledMechanisms)
 }
 
@@ -93,8 +93,8 @@
 
 func newCodec() front.Codec { return platform.CallerCodec{} }
 
-// members provides the registered entries. Its functions are set when the feed is created, since
-// the feed depends on components that use members.
+// members provides the registered entries. Its functions are set when the watch handler is created,
+// since that depends on components that use members.
 type members struct {
 	list  func() []watch.Member
 	count func() int
@@ -197,7 +197,7 @@
 	})
 }
 
-func newFeed(deps core.Deps, la platform.Layout, inf *route.InForce, fl *fleet.Fleet, gu *canary.Guard, wu *warmup.Tracker, fo *replica.Follower, fw *forward.Forwarder, cl *upstream.Client, me *members) *watch.Handler {
+func newWatchHandler(deps core.Deps, la platform.Layout, inf *route.InForce, fl *fleet.Fleet, gu *canary.Guard, wu *warmup.Tracker, fo *replica.Follower, fw *forward.Forwarder, cl *upstream.Client, me *members) *watch.Handler {
 	fd := watch.New(deps, la, watch.Targets{
 		InForce: inf, Fleet: fl, Canary: gu, Warmup: wu, Regions: la.Regions, Doubtful: fo.Doubtful,
 		OnRemoved: func(ho core.Host) {
@@ -222,13 +222,13 @@
 	return canary.NewPooler(gu, si)
 }
 
-func newSharer(set settings.Gateway, deps core.Deps, fw *forward.Forwarder, fo *replica.Follower, me *members) *sibling.Gossiper {
+func newGossiper(set settings.Gateway, deps core.Deps, fw *forward.Forwarder, fo *replica.Follower, me *members) *sibling.Gossiper {
 	local := func() []string { return me.othersInRegion(set.Siblings, set.Regions, deps.Region) }
 	isReader := func() bool { return me.isReader(deps.Self, set.Regions, deps.Region) }
 	remote := func() map[core.Region][]string { return me.byRemoteRegion(set.Regions, deps.Region) }
 	return sibling.NewGossiper(deps.Self, set.Siblings, fw, fo, local, isReader, sibling.RemoteEntries(remote))
 }
 
-func newRecaller(deps core.Deps, inf *route.InForce, fl *fleet.Fleet, mem core.PrefixCaches, fw *forward.Forwarder, off mechanism.Disabled) *prefixsync.Syncer {
+func newSyncer(deps core.Deps, inf *route.InForce, fl *fleet.Fleet, mem core.PrefixCaches, fw *forward.Forwarder, off mechanism.Disabled) *prefixsync.Syncer {
 	return prefixsync.New(deps, inf, fl, mem, fw, prefixsync.Without(off))
 }
--- a/app/gauges.go
+++ b/app/gauges.go
@@ -22,13 +22,13 @@
 // gauges is the service that exports a gateway's state as metrics. It implements
 // suture.Service.
 type gauges struct {
-	scope  tally.Scope
-	inf    *route.InForce
-	fleet  *fleet.Fleet
-	guard  *canary.Guard
-	mirror *replica.Replica
-	fw     *forward.Forwarder
-	srv    *front.Server
+	scope   tally.Scope
+	inf     *route.InForce
+	fleet   *fleet.Fleet
+	guard   *canary.Guard
+	replica *replica.Replica
+	fw      *forward.Forwarder
+	srv     *front.Server
 }
 
 func newGauges(deps core.Deps, inf *route.InForce, fl *fleet.Fleet, gu *canary.Guard, mi *replica.Replica, fw *forward.Forwarder, srv *front.Server) *gauges {
@@ -52,7 +52,7 @@
 func (ga *gauges) set(now time.Time) {
 	meter.InFlight.Set(ga.scope, float64(ga.srv.InFlight()))
 	if tb := ga.inf.Current(); tb != nil {
-		meter.ReplicaAge.Set(ga.scope, ga.mirror.Age(now).Seconds())
+		meter.ReplicaAge.Set(ga.scope, ga.replica.Age(now).Seconds())
 		meter.ConfigVersion.Set(ga.scope, float64(tb.Version))
 	}
 	for sv, share := range ga.guard.Shares() {
--- a/app/wire_gen.go
+++ b/app/wire_gen.go
@@ -96,7 +96,7 @@
 	fleet := newFleet()
 	replicaReplica := replica.New()
 	layout := newLayout(set)
-	disabled, err := newOff(set)
+	disabled, err := newDisabled(set)
 	if err != nil {
 		cleanup()
 		return nil, nil, err
@@ -111,7 +111,7 @@
 	upstreams := platform.NewUpstreams(client)
 	appShutdownState := newShutdownState()
 	forwarder := newForwarder(set, deps, inForce, fleet, guard, tracker, replicaReplica, upstreams, appShutdownState, appMembers, disabled)
-	handler := newFeed(deps, layout, inForce, fleet, guard, tracker, follower, forwarder, client, appMembers)
+	handler := newWatchHandler(deps, layout, inForce, fleet, guard, tracker, follower, forwarder, client, appMembers)
 	registrar, err := newRegistrar(set, deps, store)
 	if err != nil {
 		cleanup2()
@@ -120,8 +120,8 @@
 	}
 	recorder := newRecorder(deps, guard, store, layout, appMembers)
 	pooler := newPooler(guard, siblings)
-	gossiper := newSharer(set, deps, forwarder, follower, appMembers)
-	syncer := newRecaller(deps, inForce, fleet, upstreams, forwarder, disabled)
+	gossiper := newGossiper(set, deps, forwarder, follower, appMembers)
+	syncer := newSyncer(deps, inForce, fleet, upstreams, forwarder, disabled)
 	codec := newCodec()
 	server := front.New(deps, codec, forwarder, inForce)
 	appGauges := newGauges(deps, inForce, fleet, guard, replicaReplica, forwarder, server)
@@ -131,15 +131,15 @@
 		deps:     deps,
 		inf:      inForce,
 		fleet:    fleet,
-		mirror:   replicaReplica,
-		feed:     handler,
+		replica:  replicaReplica,
+		handler:  handler,
 		follower: follower,
 		reg:      registrar,
 		guard:    guard,
 		recorder: recorder,
 		pooler:   pooler,
-		sharer:   gossiper,
-		recaller: syncer,
+		gossiper: gossiper,
+		syncer:   syncer,
 		gauges:   appGauges,
 		srv:      server,
 		admin:    appMetricsPage,
--- a/core/execute/execute.go
+++ b/core/execute/execute.go
@@ -30,7 +30,7 @@
 	inf    *declaration.InForce
 	runner core.Runner
 	claims *claim.Table
-	bound  sharedBound
+	bound  sharedSlotQueue
 
 	gate    soloGate
 	leaving atomic.Bool
--- a/core/execute/slot_queue.go
+++ b/core/execute/slot_queue.go
@@ -121,15 +121,15 @@
 	return core.Load{Running: bo.running, Queued: len(bo.waiting), Slots: bo.slots}
 }
 
-// sharedBound makes a SlotQueue safe for concurrent use.
-type sharedBound struct {
+// sharedSlotQueue makes a SlotQueue safe for concurrent use.
+type sharedSlotQueue struct {
 	mu sync.Mutex
 	bo *SlotQueue
 }
 
 // enter waits for a slot and returns the function that frees it, which may be called more than
 // once.
-func (bd *sharedBound) enter(ctx context.Context, at *core.Attempt) (exit func(), err error) {
+func (bd *sharedSlotQueue) enter(ctx context.Context, at *core.Attempt) (exit func(), err error) {
 	bd.mu.Lock()
 	pl, _, fl := bd.bo.Acquire(time.Now(), at.Priority, at.Deadline)
 	bd.mu.Unlock()
@@ -151,19 +151,19 @@
 }
 
 // full reports whether a new attempt would be refused because the queue is full.
-func (bd *sharedBound) full() bool {
+func (bd *sharedSlotQueue) full() bool {
 	bd.mu.Lock()
 	defer bd.mu.Unlock()
 	return bd.bo.running >= bd.bo.slots && len(bd.bo.waiting) >= bd.bo.limit
 }
 
-func (bd *sharedBound) cancel(pl *Ticket) bool {
+func (bd *sharedSlotQueue) cancel(pl *Ticket) bool {
 	bd.mu.Lock()
 	defer bd.mu.Unlock()
 	return bd.bo.Cancel(pl)
 }
 
-func (bd *sharedBound) load() core.Load {
+func (bd *sharedSlotQueue) load() core.Load {
 	bd.mu.Lock()
 	defer bd.mu.Unlock()
 	return bd.bo.Load()
