--- a/app/config_reader.go
+++ b/app/config_reader.go
@@ -12,7 +12,7 @@
 	"skylarkstand/core/chain"
 	"skylarkstand/core/declaration"
 	"skylarkstand/core/event"
-	"skylarkstand/core/spread"
+	"skylarkstand/core/topology"
 	"skylarkstand/io/peer"
 )
 
@@ -45,7 +45,7 @@
 	// maxReaderSilence is how long an entry relies on readers from which it receives nothing
 	// before it reads the store itself. It covers a reader's watch timeout and two notices, so
 	// that a normal pause does not make 360 entries read the store at once.
-	maxReaderSilence = watchTimeout + 3*peer.NoticeEvery
+	maxReaderSilence = watchTimeout + 3*peer.NoticeInterval
 )
 
 // Update sets the current host list.
@@ -58,7 +58,7 @@
 
 // isReader reports whether this entry reads the store itself.
 func (cr *configReader) isReader() bool {
-	return spread.Reads(*cr.hosts.Load(), cr.self, cr.inf.Fresh(time.Now(), maxReaderSilence))
+	return topology.WatchesStore(*cr.hosts.Load(), cr.self, cr.inf.Fresh(time.Now(), maxReaderSilence))
 }
 
 // Serve implements suture.Service: it accepts links from other entries and reads the store
@@ -75,10 +75,10 @@
 	for ctx.Err() == nil {
 		if cr.isReader() {
 			err := cr.follow(ctx)
-			if errors.Is(err, chain.ErrAway) && !storeDown {
+			if errors.Is(err, chain.ErrStoreUnavailable) && !storeDown {
 				event.Log(cr.deps.Log, event.StoreDown, "use", "configuration")
 			}
-			storeDown = errors.Is(err, chain.ErrAway)
+			storeDown = errors.Is(err, chain.ErrStoreUnavailable)
 		}
 		select {
 		case <-time.After(storeRetryDelay):
--- a/app/gateway.go
+++ b/app/gateway.go
@@ -19,12 +19,12 @@
 	"skylarkstand/core"
 	"skylarkstand/core/canary"
 	"skylarkstand/core/event"
-	"skylarkstand/core/feed"
 	"skylarkstand/core/fleet"
-	"skylarkstand/core/mirror"
-	"skylarkstand/core/recall"
-	"skylarkstand/core/register"
+	"skylarkstand/core/prefixsync"
+	"skylarkstand/core/registration"
+	"skylarkstand/core/replica"
 	"skylarkstand/core/route"
+	"skylarkstand/core/watch"
 	"skylarkstand/io/front"
 	"skylarkstand/io/sibling"
 )
@@ -76,15 +76,15 @@
 	deps     core.Deps
 	inf      *route.InForce
 	fleet    *fleet.Fleet
-	mirror   *mirror.Mirror
-	feed     *feed.Feed
-	follower *mirror.Follower
-	reg      *register.Registrar
+	replica  *replica.Replica
+	handler  *watch.Handler
+	follower *replica.Follower
+	reg      *registration.Registrar
 	guard    *canary.Guard
 	recorder *canary.Recorder
 	pooler   *canary.Pooler
-	sharer   *sibling.Sharer
-	recaller *recall.Recaller
+	gossiper *sibling.Gossiper
+	syncer   *prefixsync.Syncer
 	gauges   *gauges
 	srv      *front.Server
 	admin    metricsPage
@@ -116,8 +116,8 @@
 
 // run serves until the context ends and then shuts down gracefully.
 func (gw *gatewayProcess) run(ctx context.Context) error {
-	gw.mirror.Subscribe(gw.feed.Changed)
-	gw.mirror.Subscribe(func([]core.Change) { gw.sharer.Changed() })
+	gw.replica.Subscribe(gw.handler.HandleChanges)
+	gw.replica.Subscribe(func([]core.Change) { gw.gossiper.AnnounceDigest() })
 	serviceCtx, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
 	sup := newSupervisor("gateway", gw.deps)
@@ -125,8 +125,8 @@
 	sup.Add(gw.reg)
 	sup.Add(gw.recorder)
 	sup.Add(gw.pooler)
-	sup.Add(gw.sharer)
-	sup.Add(gw.recaller)
+	sup.Add(gw.gossiper)
+	sup.Add(gw.syncer)
 	sup.Add(gw.gauges)
 	done := sup.ServeBackground(serviceCtx)
 
@@ -165,8 +165,8 @@
 	ready := http.NewServeMux()
 	ready.HandleFunc("GET "+gw.set.ReadinessPath, gw.ready)
 	sibs := http.NewServeMux()
-	sibs.Handle("GET "+sibling.Path, sibling.Handler(gw.mirror, gw.follower.Doubtful))
-	sibs.Handle("GET "+sibling.ReportsPath, sibling.Reports(gw.guard))
+	sibs.Handle("GET "+sibling.ReplicaPath, sibling.ReplicaHandler(gw.replica, gw.follower.Doubtful))
+	sibs.Handle("GET "+sibling.ReportsPath, sibling.ReportsHandler(gw.guard))
 	closeReady, err := serveOn(gw.set.Readiness, ready)
 	if err != nil {
 		return nil, err
@@ -219,7 +219,7 @@
 	ends := time.Now().Add(time.Duration(gw.set.DrainLimit) - exitMargin)
 	gw.stop.leaving.Store(true)
 	gw.srv.Leave()
-	event.Log(gw.deps.Log, event.Stopping, "under-way", gw.srv.Flying())
+	event.Log(gw.deps.Log, event.Stopping, "under-way", gw.srv.InFlight())
 	time.Sleep(min(balancerDelay, time.Until(ends)))
 	gw.stop.setDeadline(ends)
 	gw.srv.CloseIdle()
@@ -292,6 +292,6 @@
 
 // memberRecord encodes this process's record in the list of entries.
 func memberRecord(set settings.Gateway, deps core.Deps) ([]byte, error) {
-	raw, err := json.Marshal(feed.Member{ID: deps.Self, Addr: set.Siblings, Zone: deps.Zone})
+	raw, err := json.Marshal(watch.Member{ID: deps.Self, Addr: set.Siblings, Zone: deps.Zone})
 	return raw, eris.Wrap(err, "register")
 }
--- a/app/in_force.go
+++ b/app/propagation.go
@@ -8,7 +8,7 @@
 	"github.com/rotisserie/eris"
 
 	"skylarkstand/core"
-	"skylarkstand/core/inforce"
+	"skylarkstand/core/propagation"
 	"skylarkstand/io/hosts"
 	"skylarkstand/io/peer"
 )
@@ -18,22 +18,22 @@
 func reportInForce(ctx context.Context, list string, gen core.Generation) error {
 	hos, err := hosts.New(list).List(ctx)
 	if err != nil {
-		return &exitError{ExitSpreading, eris.Wrap(err, "the change is accepted; its propagation is unknown, since the host list could not be read")}
+		return &exitError{ExitNotInForce, eris.Wrap(err, "the change is accepted; its propagation is unknown, since the host list could not be read")}
 	}
 	deps := core.NewDeps()
 	wait := func(ctx context.Context, addr string, gen core.Generation) error {
-		_, err := peer.Await(ctx, deps, addr, gen)
+		_, err := peer.AwaitGeneration(ctx, deps, addr, gen)
 		return err
 	}
-	rep := inforce.Follow(ctx, hos, gen, wait, printZone)
+	rep := propagation.Follow(ctx, hos, gen, wait, printZone)
 	if len(rep.Missing) > 0 {
-		return &exitError{ExitSpreading, eris.Errorf("generation %d is accepted, and %d processes do not have it in force yet; those that are up will adopt it", gen, len(rep.Missing))}
+		return &exitError{ExitNotInForce, eris.Errorf("generation %d is accepted, and %d processes do not have it in force yet; those that are up will adopt it", gen, len(rep.Missing))}
 	}
 	fmt.Printf("generation %d is in force everywhere\n", gen)
 	return nil
 }
 
-func printZone(zo inforce.Zone) {
+func printZone(zo propagation.ZoneReport) {
 	if len(zo.Missing) > 0 {
 		fmt.Printf("  %s (%s): not in force at %v\n", zo.Zone, zo.Region, zo.Missing)
 		return
--- a/app/wire.go
+++ b/app/wire.go
@@ -10,7 +10,7 @@
 	"skylarkstand/core/declaration"
 	"skylarkstand/core/dispatch"
 	"skylarkstand/core/ledger"
-	"skylarkstand/core/mirror"
+	"skylarkstand/core/replica"
 	"skylarkstand/core/rollout"
 	"skylarkstand/core/route"
 	"skylarkstand/core/suspect"
@@ -52,10 +52,10 @@
 func wireGateway(set settings.Gateway) (*gatewayProcess, func(), error) {
 	wire.Build(
 		newGatewayProcess, wire.FieldsOf(new(process), "Deps", "Page"), newUpstreamClient, newPlatformStore, newLayout,
-		newFleet, newWarmup, newOff, newGuard, newCodec, newMembers, newSiblings, newFollower, newForwarder, newFeed, newRegistrar, newRecorder, newPooler, newSharer, newRecaller, newGauges, newShutdownState,
-		route.NewInForce, mirror.New, front.New, platform.NewUpstreams,
-		wire.Bind(new(core.Access), new(*platform.Upstreams)), wire.Bind(new(core.Memory), new(*platform.Upstreams)),
-		wire.Struct(new(gatewayProcess), "set", "deps", "inf", "fleet", "mirror", "feed", "follower", "reg", "guard", "recorder", "pooler", "sharer", "recaller", "gauges", "srv", "admin", "stop"),
+		newFleet, newWarmup, newDisabled, newGuard, newCodec, newMembers, newSiblings, newFollower, newForwarder, newWatchHandler, newRegistrar, newRecorder, newPooler, newGossiper, newSyncer, newGauges, newShutdownState,
+		route.NewInForce, replica.New, front.New, platform.NewUpstreams,
+		wire.Bind(new(core.UpstreamClient), new(*platform.Upstreams)), wire.Bind(new(core.PrefixCaches), new(*platform.Upstreams)),
+		wire.Struct(new(gatewayProcess), "set", "deps", "inf", "fleet", "replica", "handler", "follower", "reg", "guard", "recorder", "pooler", "gossiper", "syncer", "gauges", "srv", "admin", "stop"),
 	)
 	return nil, nil, nil
 }
--- a/app/wire_gen.go
+++ b/app/wire_gen.go
@@ -9,7 +9,7 @@
 import (
 	"skylarkstand/app/settings"
 	"skylarkstand/core/declaration"
-	"skylarkstand/core/mirror"
+	"skylarkstand/core/replica"
 	"skylarkstand/core/rollout"
 	"skylarkstand/core/route"
 	"skylarkstand/core/suspect"
@@ -94,24 +94,24 @@
 	deps := appProcess.Deps
 	inForce := route.NewInForce()
 	fleet := newFleet()
-	mirrorMirror := mirror.New()
+	replicaReplica := replica.New()
 	layout := newLayout(set)
-	off, err := newOff(set)
+	disabled, err := newDisabled(set)
 	if err != nil {
 		cleanup()
 		return nil, nil, err
 	}
-	guard := newGuard(set, off)
+	guard := newGuard(set, disabled)
 	tracker := newWarmup(set, deps)
 	client, cleanup2 := newUpstreamClient()
 	store := newPlatformStore(set, deps, client)
 	appMembers := newMembers()
 	siblings := newSiblings(set, client, appMembers)
-	follower := newFollower(set, deps, mirrorMirror, store, siblings, appMembers, off)
+	follower := newFollower(set, deps, replicaReplica, store, siblings, appMembers, disabled)
 	upstreams := platform.NewUpstreams(client)
 	appShutdownState := newShutdownState()
-	forwarder := newForwarder(set, deps, inForce, fleet, guard, tracker, mirrorMirror, upstreams, appShutdownState, appMembers, off)
-	feed := newFeed(deps, layout, inForce, fleet, guard, tracker, follower, forwarder, client, appMembers)
+	forwarder := newForwarder(set, deps, inForce, fleet, guard, tracker, replicaReplica, upstreams, appShutdownState, appMembers, disabled)
+	handler := newWatchHandler(deps, layout, inForce, fleet, guard, tracker, follower, forwarder, client, appMembers)
 	registrar, err := newRegistrar(set, deps, store)
 	if err != nil {
 		cleanup2()
@@ -120,26 +120,26 @@
 	}
 	recorder := newRecorder(deps, guard, store, layout, appMembers)
 	pooler := newPooler(guard, siblings)
-	sharer := newSharer(set, deps, forwarder, follower, appMembers)
-	recaller := newRecaller(deps, inForce, fleet, upstreams, forwarder, off)
+	gossiper := newGossiper(set, deps, forwarder, follower, appMembers)
+	syncer := newSyncer(deps, inForce, fleet, upstreams, forwarder, disabled)
 	codec := newCodec()
 	server := front.New(deps, codec, forwarder, inForce)
-	appGauges := newGauges(deps, inForce, fleet, guard, mirrorMirror, forwarder, server)
+	appGauges := newGauges(deps, inForce, fleet, guard, replicaReplica, forwarder, server)
 	appMetricsPage := appProcess.Page
 	appGatewayProcess := &gatewayProcess{
 		set:      set,
 		deps:     deps,
 		inf:      inForce,
 		fleet:    fleet,
-		mirror:   mirrorMirror,
-		feed:     feed,
+		replica:  replicaReplica,
+		handler:  handler,
 		follower: follower,
 		reg:      registrar,
 		guard:    guard,
 		recorder: recorder,
 		pooler:   pooler,
-		sharer:   sharer,
-		recaller: recaller,
+		gossiper: gossiper,
+		syncer:   syncer,
 		gauges:   appGauges,
 		srv:      server,
 		admin:    appMetricsPage,
--- a/core/forward/attempt.go
+++ b/core/forward/attempt.go
@@ -109,23 +109,23 @@
 	at.lastPieceAt = now
 	if at.pieces == minRatePieces {
 		ou := at.timing()
-		ou.Going = true
+		ou.Streaming = true
 		at.observe(ou)
 	}
 	fw := at.jb.fw
 	fw.mu.Lock()
 	defer fw.mu.Unlock()
-	fw.picker.Heard(now, at.flight)
+	fw.picker.RecordData(now, at.flight)
 }
 
 func (at *attempt) newCall() *core.Call {
 	jb := at.jb
 	ca := &core.Call{
 		Exchange: jb.ex, To: at.to, Workspace: jb.workspace, Model: at.rq.Model,
-		After: at.after, Priority: at.queueRank, Connections: jb.maxConnections(),
+		ResumeAfter: at.after, Priority: at.queueRank, MaxConnections: jb.maxConnections(),
 	}
 	if at.bounded {
-		ca.Left = max(at.left-time.Since(at.sent), time.Millisecond)
+		ca.Timeout = max(at.left-time.Since(at.sent), time.Millisecond)
 	}
 	return ca
 }
@@ -173,9 +173,9 @@
 	fw := at.jb.fw
 	fw.mu.Lock()
 	defer fw.mu.Unlock()
-	if at.reply.NotRun || at.reply.Stranger {
+	if at.reply.NotRun || at.reply.WrongUpstream {
 		if at.reply.Load != nil {
-			fw.picker.Reported(at.began, at.flight, *at.reply.Load)
+			fw.picker.RecordReport(at.began, at.flight, *at.reply.Load)
 		}
 		return
 	}
@@ -227,7 +227,7 @@
 	turn, failing := fw.picker.Ended(now, at.flight, out)
 	fw.mu.Unlock()
 	at.reportOutcome(at.canaryOutcome(ve, notItsFault))
-	fw.parts.Canary.Ended(now, jb.ex.Session, at.to)
+	fw.parts.Canary.AttemptEnded(now, jb.ex.Session, at.to)
 	fw.meters.attempt(ve)
 	if ve != taken {
 		event.Log(fw.deps.Log, event.AttemptEnded, "request", jb.ex.ID, "attempt", at.number, "upstream", at.to.ID,
@@ -245,8 +245,8 @@
 
 // canaryOutcome is what the attempt's end says about its upstream's version.
 func (at *attempt) canaryOutcome(ve verdict, notItsFault bool) canary.Outcome {
-	ou := canary.Outcome{Whole: !at.jb.rt.Stream}
-	if ou.Whole {
+	ou := canary.Outcome{SingleChunk: !at.jb.rt.Stream}
+	if ou.SingleChunk {
 		ou = at.timing()
 	}
 	ou.Neutral = notItsFault || ve.notRun()
@@ -256,12 +256,12 @@
 
 // timing returns how long the answer took to begin and the mean time between its pieces.
 func (at *attempt) timing() canary.Outcome {
-	ou := canary.Outcome{Whole: !at.jb.rt.Stream}
+	ou := canary.Outcome{SingleChunk: !at.jb.rt.Stream}
 	if !at.began.IsZero() {
-		ou.First = at.began.Sub(at.sent)
+		ou.TimeToHeader = at.began.Sub(at.sent)
 	}
 	if at.pieces >= minRatePieces {
-		ou.Piece = time.Since(at.began) / time.Duration(at.pieces)
+		ou.ChunkInterval = time.Since(at.began) / time.Duration(at.pieces)
 	}
 	return ou
 }
--- a/core/forward/doc.go
+++ b/core/forward/doc.go
@@ -10,11 +10,11 @@
 //
 // The decisions are pure: they are made in [route], [balance], [canary] and [retry], and by this
 // package's classification of replies and its timeouts. Network access goes through
-// [core.Access].
+// [core.UpstreamClient].
 //
 // # Usage
 //
-//	fw := forward.New(deps, access, forward.Parts{…})
+//	fw := forward.New(deps, access, forward.Components{…})
 //	ans, err := fw.Forward(ctx, ex)      // err is a *core.Failure
 //	defer ans.Close()
 //	for piece, err := ans.Next(); err == nil; piece, err = ans.Next() { … }
--- a/core/forward/judge.go
+++ b/core/forward/verdict.go
@@ -47,9 +47,9 @@
 	case stranger:
 		return balance.Replaced
 	case unreached:
-		return balance.Unreached
+		return balance.Unreachable
 	case absent:
-		return balance.Absent
+		return balance.NotListening
 	default:
 		return balance.Failed
 	}
@@ -62,7 +62,7 @@
 // counts as a failed attempt that may have run.
 func classify(re *core.Reply) verdict {
 	switch {
-	case re.Stranger:
+	case re.WrongUpstream:
 		return stranger
 	case re.NotRun:
 		return refused
--- a/io/front/front_test.go
+++ b/io/front/front_test.go
@@ -52,12 +52,12 @@
 }
 
 // serve starts a server on loopback and returns it with a connection to it.
-func serve(t *testing.T, ac core.Access, lim route.Limits) (*front.Server, net.Conn) {
+func serve(t *testing.T, ac core.UpstreamClient, lim route.Limits) (*front.Server, net.Conn) {
 	t.Helper()
 	return serveLogged(t, core.NewDeps(), ac, lim)
 }
 
-func serveLogged(t *testing.T, deps core.Deps, ac core.Access, lim route.Limits) (*front.Server, net.Conn) {
+func serveLogged(t *testing.T, deps core.Deps, ac core.UpstreamClient, lim route.Limits) (*front.Server, net.Conn) {
 	t.Helper()
 	tb, err := route.New(route.Document{
 		Version:  1,
@@ -69,10 +69,10 @@
 	inf.Adopt(tb)
 	fl := fleet.New()
 	fl.Put(core.Host{ID: "desk-1", Addr: "desk-1", Service: "desk", Slots: 4, Version: "v1"})
-	fw := forward.New(core.NewDeps(), ac, forward.Parts{
+	fw := forward.New(core.NewDeps(), ac, forward.Components{
 		InForce: inf, Warmup: warmup.New("self"), Fleet: fl, Canary: canary.New(),
-		Age:     func() time.Duration { return 0 },
-		Repeats: forward.NewWindows(10*time.Second, 1, func() float64 { return 10 }),
+		ConfigAge:      func() time.Duration { return 0 },
+		NewRetryWindow: forward.RetryWindows(10*time.Second, 1, func() float64 { return 10 }),
 	})
 	sv := front.New(deps, plain{}, fw, inf)
 	li, err := net.Listen("tcp", "127.0.0.1:0")
@@ -121,7 +121,7 @@
 	send(t, nc, request)
 	receive(t, br)
 	send(t, nc, request[:20])
-	for !sv.Arriving() {
+	for !sv.ReceivingRequest() {
 		time.Sleep(time.Millisecond)
 	}
 	sv.Leave()
@@ -157,7 +157,7 @@
 	br := bufio.NewReader(nc)
 	send(t, nc, request)
 	receive(t, br)
-	for sv.Unused() == 0 {
+	for sv.IdleConnections() == 0 {
 		time.Sleep(time.Millisecond)
 	}
 	sv.Leave()
@@ -206,7 +206,7 @@
 func (mu mute) Call(ctx context.Context, _ *core.Call) (*core.Reply, error) {
 	close(mu.started)
 	<-ctx.Done()
-	return nil, core.Lost("%v", ctx.Err())
+	return nil, core.OutcomeUnknown("%v", ctx.Err())
 }
 
 // Guards against a planned stop that exits without a final response to a request whose upstream
