--- a/core/canary/canary_test.go
+++ b/core/canary/canary_test.go
@@ -103,9 +103,9 @@
 // The entries can reach neither one another nor the store. What each of them sends to a bad version
 // must be so little that all of them together stay within the bound.
 func TestPartitionedEntriesKeepToTheBound(t *testing.T) {
-	worst := func(*rand.Rand, int, time.Duration, int) (bool, float64) { return false, 1 }
+	undetectable := func(*rand.Rand, int, time.Duration, int) (bool, float64) { return false, 1 }
 	for seed := range uint64(8) {
-		tr := simulation{seed: seed, entries: 12, rate: 60, exposure: 0.12, duration: 24 * time.Second, fault: worst, partitioned: true}
+		tr := simulation{seed: seed, entries: 12, rate: 60, exposure: 0.12, duration: 24 * time.Second, fault: undetectable, partitioned: true}
 		tr.run(t).assertWithin(t, 0.12)
 	}
 }
@@ -141,8 +141,8 @@
 	gu := canary.New()
 	now := time.Unix(1_000_000, 0)
 	all := hosts()
-	olds := gu.Choose(now, service, "", 0, canary.Unrestricted(all[:1]), true)
-	assert.Equal(t, olds[0].Version, v1)
+	old := gu.Choose(now, service, "", 0, canary.Unrestricted(all[:1]), true)
+	assert.Equal(t, old[0].Version, v1)
 	for range 50 {
 		for _, ho := range gu.Choose(now, service, "", rand.Float64(), canary.Unrestricted(all), true) {
 			assert.Equal(t, ho.Version, v1)
@@ -274,14 +274,14 @@
 	due := gu.DueWrites(now, func(core.ServiceID) int { return 0 })
 	assert.Equal(t, due[0].Status.State, canary.RolledBack, "the entry's own verdict")
 	gu.Status(canary.Status{Service: service, Target: v2, State: canary.Completed, Revision: 6})
-	var left []core.Host
+	var remaining []core.Host
 	for _, ho := range hosts() {
 		if ho.Version == v2 {
-			left = append(left, ho)
+			remaining = append(remaining, ho)
 		}
 	}
-	assert.Assert(t, len(left) > 0)
-	assert.Equal(t, len(gu.Choose(now, service, "", 0.5, canary.Unrestricted(left), true)), len(left))
+	assert.Assert(t, len(remaining) > 0)
+	assert.Equal(t, len(gu.Choose(now, service, "", 0.5, canary.Unrestricted(remaining), true)), len(remaining))
 	assert.Equal(t, gu.Shares()[service], 1.0)
 }
 
@@ -291,13 +291,13 @@
 // same result. A version that is several times slower must still be detected.
 func TestLoadOfTheLastStepDoesNotRollBack(t *testing.T) {
 	const usual = 30 * time.Millisecond
-	held := func(step int, slower float64) bool {
+	foundBad := func(step int, slower float64) bool {
 		gu := canary.New()
 		now := time.Unix(1_000_000, 0)
 		gu.Order(now, canary.Order{Service: service, Target: v2, Duration: 24 * time.Second, Revision: 5})
 		gu.Step(now, canary.Step{Service: service, Order: 5, Step: step, Revision: 6})
-		chunk := func(ve core.VersionID, piece time.Duration) {
-			gu.Observe(canary.Outcome{Service: service, Version: ve, Pool: "a", Streaming: true, ChunkInterval: piece})
+		chunk := func(ve core.VersionID, interval time.Duration) {
+			gu.Observe(canary.Outcome{Service: service, Version: ve, Pool: "a", Streaming: true, ChunkInterval: interval})
 		}
 		rnd := rand.New(rand.NewPCG(1, 1))
 		for range 100 {
@@ -308,7 +308,7 @@
 		}
 		return len(gu.NewVerdicts()) > 0
 	}
-	assert.Assert(t, held(1, 1.9), "1.9 times as slow, beside the old version under the same load")
-	assert.Assert(t, !held(2, 4), "4 times as slow, alone under the whole load")
-	assert.Assert(t, held(2, 8), "8 times as slow, alone under the whole load")
+	assert.Assert(t, foundBad(1, 1.9), "1.9 times as slow, beside the old version under the same load")
+	assert.Assert(t, !foundBad(2, 4), "4 times as slow, alone under the whole load")
+	assert.Assert(t, foundBad(2, 8), "8 times as slow, alone under the whole load")
 }
--- a/core/canary/doc.go
+++ b/core/canary/doc.go
@@ -10,9 +10,9 @@
 // fault never shows stays within the bound. Once the old version has no work left, the roll-out is
 // complete.
 //
-// During a roll-out, entries exchange their evidence, since each alone sees little of the first
-// step, and the elapsed time of the roll-out, which a restarted entry could not know. Without a
-// response each entry continues alone.
+// During a roll-out, entries exchange their evidence, since each entry alone receives few requests
+// of the first step, and the elapsed time of the roll-out, which a restarted entry has lost. An
+// entry that receives no reports decides by its own evidence.
 //
 // The steps and the verdict are kept in the store. Any entry may take the next step or roll back,
 // by compare-and-swap, so that the loss of an entry never halts a roll-out. An entry that finds the
@@ -58,7 +58,7 @@
 	Service core.ServiceID
 	Target  core.VersionID
 	State   State
-	// Revision is that of the status key, 0 before the first status.
+	// Revision is the store revision of the status key, 0 before the first status.
 	Revision core.Revision
 }
 
@@ -68,12 +68,12 @@
 	// Order is the revision of the order that the step belongs to.
 	Order core.Revision `json:"order"`
 	Step  int           `json:"step"`
-	// Revision is that of the step key, 0 before the first step.
+	// Revision is the store revision of the step key, 0 before the first step.
 	Revision core.Revision `json:"-"`
 }
 
 // Write is a change that has to be written to the store. Exactly one of Status and Step is set; its
-// Revision is the one that the write replaces.
+// Revision is the store revision that the write replaces.
 type Write struct {
 	Status *Status
 	Step   *Step
@@ -121,8 +121,8 @@
 // A version can be bad in ways that no test shows before it carries the load. So the schedule alone
 // keeps to the bound: the exposure that the first two steps leave unused determines how much time
 // remains at the last step, which moves everything. A version that is found bad earlier is rolled
-// back earlier; a good version serves all requests only shortly before its time is up, which harms
-// nobody.
+// back earlier; a good version serves all requests only shortly before the order's duration ends,
+// which harms nobody.
 func planSteps(exposure float64) [3]step {
 	first := firstStepFraction * exposure
 	last := max(plannedFraction*exposure-first-secondShare*secondTime, completeAfter+0.01)
--- a/core/canary/evidence.go
+++ b/core/canary/evidence.go
@@ -37,8 +37,8 @@
 // comparison holds a test for failures, a test for slow answers and the old version's median
 // latencies.
 type comparison struct {
-	fails, slows cusum
-	first, piece median
+	fails, slows                cusum
+	timeToHeader, chunkInterval median
 }
 
 // cusum accumulates the log-likelihood ratio between "the new version's rate is higher than the old
@@ -50,9 +50,9 @@
 	// rate is the old version's rate of bad outcomes.
 	rate float64
 	sum  float64
-	// drift is the same sum with a lower limit below 0 (minDrift). It is the one that is summed
-	// over the entries: with sums that never fall below 0, chance outcomes at many entries would
-	// reach a verdict on their own.
+	// drift is the same sum with a lower limit below 0 (minDrift). The evidence of all entries
+	// together is the total of their drifts: with sums that never fall below 0, chance outcomes at
+	// many entries would add up to a verdict.
 	drift     float64
 	bad, seen int
 }
@@ -78,27 +78,28 @@
 	maxIdleSlowRate = 0.2
 	// effectSize is the increase of a rate that the test looks for.
 	effectSize = 0.35
-	// verdictThreshold is the sum at which the version is bad: e to the sixth, or a chance of one
-	// in 400 for a run of outcomes that starts anywhere. A wrong verdict costs a roll-out that has
-	// to be ordered again; a late one costs callers.
+	// verdictThreshold is the sum at which the version is bad, a likelihood ratio of e to the sixth:
+	// the outcomes of a good version reach it from any given start with a chance of one in 400.
+	// After a wrong verdict the roll-out has to be ordered again; a late verdict exposes
+	// more callers.
 	verdictThreshold = 6.0
 	// minDrift limits how far earlier good answers can offset bad ones, to three or four of them: a
 	// version may turn bad late.
 	minDrift = -1.5
 	// minBad prevents two chance failures in a row from reaching a verdict.
 	minBad = 3
-	// slowPieceFactor is the multiple of the old version's median chunk interval above which an
-	// answer is slow, and slowFirstFactor that of the time to an answer in a single chunk. The
-	// chunk interval of an engine hardly depends on the prompt. The time to the first chunk does,
-	// and is therefore ignored for streams.
-	slowPieceFactor = 1.4
-	slowFirstFactor = 2.5
-	// lastStepPieceFactor replaces slowPieceFactor once everything has moved. For about a second,
+	// slowChunkFactor is the multiple of the old version's median chunk interval above which an
+	// answer is slow. slowHeaderFactor is the same for the median time to the header, for answers
+	// in a single chunk. The chunk interval of an engine hardly depends on the prompt. The time to
+	// the header does, and is therefore ignored for streams.
+	slowChunkFactor  = 1.4
+	slowHeaderFactor = 2.5
+	// lastStepChunkFactor replaces slowChunkFactor in the last step. For about a second,
 	// the new version's engines then prefill every prompt without a prefix cache, while the old
 	// version's median comes from engines that shared the load and had their prefix cache. With a
 	// factor of 1.4, 2 of 30 good versions were judged bad within a second of the last step; with
 	// 6, none. A slow version is detected in the earlier steps, or is slower by a factor of eight.
-	lastStepPieceFactor = 6.0
+	lastStepChunkFactor = 6.0
 	// overdueFactor and overdueSlack determine when an attempt without a response header counts as
 	// failed.
 	overdueFactor = 8
@@ -143,7 +144,7 @@
 // observeOld updates the rates and medians from an outcome of the old version.
 func (ev *evidence) observeOld(ou Outcome) {
 	po := ev.pool(ou.Pool)
-	slow, timed := po.isSlow(ou, slowPieceFactor)
+	slow, timed := po.isSlow(ou, slowChunkFactor)
 	for _, co := range []*comparison{po, &ev.all} {
 		if !ou.Streaming {
 			co.fails.updateRate(ou.Failed)
@@ -153,8 +154,8 @@
 		}
 	}
 	if !ou.Failed {
-		po.first.update(ou.TimeToHeader)
-		po.piece.update(ou.ChunkInterval)
+		po.timeToHeader.update(ou.TimeToHeader)
+		po.chunkInterval.update(ou.ChunkInterval)
 	}
 }
 
@@ -162,9 +163,9 @@
 // is bad, else "". In the first step the new version's upstreams are nearly idle.
 func (ev *evidence) observeNew(ou Outcome, current int) string {
 	po := ev.pool(ou.Pool)
-	factor := slowPieceFactor
+	factor := slowChunkFactor
 	if current == lastStep {
-		factor = lastStepPieceFactor
+		factor = lastStepChunkFactor
 	}
 	slow, timed := po.isSlow(ou, factor)
 	for _, co := range []*comparison{po, &ev.all} {
@@ -187,9 +188,9 @@
 func (co *comparison) isSlow(ou Outcome, factor float64) (slow, timed bool) {
 	switch {
 	case ou.ChunkInterval > 0:
-		return co.piece.exceeded(ou.ChunkInterval, factor), co.piece.reliable()
+		return co.chunkInterval.exceeded(ou.ChunkInterval, factor), co.chunkInterval.reliable()
 	case ou.SingleChunk && ou.TimeToHeader > 0:
-		return co.first.exceeded(ou.TimeToHeader, slowFirstFactor), co.first.reliable()
+		return co.timeToHeader.exceeded(ou.TimeToHeader, slowHeaderFactor), co.timeToHeader.reliable()
 	}
 	return false, false
 }
@@ -268,11 +269,11 @@
 	if ro == nil || ro.order.Revision == 0 || ve != ro.order.Target || ro.final() {
 		return 0
 	}
-	first := ro.evidence.pool(pool).first
-	if !first.reliable() {
+	header := ro.evidence.pool(pool).timeToHeader
+	if !header.reliable() {
 		return 0
 	}
-	return time.Duration(overdueFactor*first.val*float64(time.Second)) + overdueSlack
+	return time.Duration(overdueFactor*header.val*float64(time.Second)) + overdueSlack
 }
 
 // final reports whether the current order has ended.
--- a/core/canary/guard.go
+++ b/core/canary/guard.go
@@ -55,7 +55,7 @@
 	// settleTime is the time after an order in which no session is assigned to the new version:
 	// three rounds of collecting the siblings' reports. maxSettleFraction limits it as a fraction
 	// of the duration. The first step loses this time; planSteps compensates for it.
-	settleTime        = 3 * poolInterval
+	settleTime        = 3 * collectInterval
 	maxSettleFraction = 0.125
 )
 
@@ -82,9 +82,9 @@
 	// the order.
 	all, sent int
 	evidence  evidence
-	// remoteOld are the sessions within the first step's share that continue on the old version at
-	// other entries, and when each was last reported.
-	remoteOld map[core.SessionID]time.Time
+	// remoteOldSessions are the sessions within the first step's share that continue on the old
+	// version at other entries, and when each was last reported.
+	remoteOldSessions map[core.SessionID]time.Time
 	// pooledSum is the evidence of all entries together, as of the last reports.
 	pooledSum float64
 	// badReason is why this entry considers the version bad; empty if it does not. reported is set
@@ -96,7 +96,7 @@
 func (gu *Guard) rollout(sv core.ServiceID) *rollout {
 	ro := gu.rollouts[sv]
 	if ro == nil {
-		ro = &rollout{evidence: newEvidence(), remoteOld: map[core.SessionID]time.Time{}}
+		ro = &rollout{evidence: newEvidence(), remoteOldSessions: map[core.SessionID]time.Time{}}
 		gu.rollouts[sv] = ro
 	}
 	return ro
@@ -117,7 +117,7 @@
 	ro.order, ro.startedAt, ro.steppedAt = or, now, now
 	ro.all, ro.sent, ro.badReason, ro.reported, ro.pooledSum = 0, 0, "", false, 0
 	ro.evidence.reset()
-	clear(ro.remoteOld)
+	clear(ro.remoteOldSessions)
 }
 
 // Status applies a status from the store.
@@ -142,7 +142,7 @@
 	}
 }
 
-// state returns the status of the current order, or "" before the first.
+// state returns the state of the current order's roll-out, or "" before its first status.
 func (ro *rollout) state() State {
 	if ro.order.Revision == 0 || ro.status.Revision < ro.order.Revision || ro.status.Target != ro.order.Target {
 		return ""
--- a/core/canary/pool.go
+++ b/core/canary/pool.go
@@ -57,7 +57,7 @@
 		}
 		out = append(out, Report{
 			Service: sv, Order: ro.order.Revision, Elapsed: now.Sub(ro.startedAt).Milliseconds(), Pools: ro.evidence.tallies(),
-			OldSessions: gu.localOld(now, ro),
+			OldSessions: gu.localOldSessions(now, ro),
 		})
 	}
 	return out
@@ -92,7 +92,7 @@
 			continue
 		}
 		sums := ro.evidence.tallies()
-		maps.DeleteFunc(ro.remoteOld, func(_ core.SessionID, at time.Time) bool { return now.Sub(at) > gu.gap })
+		maps.DeleteFunc(ro.remoteOldSessions, func(_ core.SessionID, at time.Time) bool { return now.Sub(at) > gu.gap })
 		for _, re := range reports {
 			if re.Service != sv || re.Order != ro.order.Revision {
 				continue
@@ -101,7 +101,7 @@
 				ro.startedAt = began
 			}
 			for _, se := range re.OldSessions {
-				ro.remoteOld[se] = now
+				ro.remoteOldSessions[se] = now
 			}
 			if gu.off.Has(mechanism.PooledEvidence) {
 				continue
@@ -147,10 +147,10 @@
 }
 
 const (
-	// poolInterval is how often reports are collected during a roll-out. A report is 200 bytes;
+	// collectInterval is how often reports are collected during a roll-out. A report is 200 bytes;
 	// with four entries this makes 2 kB a second in total.
-	poolInterval = time.Second
-	poolTimeout  = 700 * time.Millisecond
+	collectInterval = time.Second
+	collectTimeout  = 700 * time.Millisecond
 )
 
 // NewPooler returns a pooler.
@@ -158,7 +158,7 @@
 
 // Serve implements suture's Service.
 func (po *Pooler) Serve(ctx context.Context) error {
-	ti := time.NewTicker(poolInterval)
+	ti := time.NewTicker(collectInterval)
 	defer ti.Stop()
 	for {
 		select {
@@ -173,7 +173,7 @@
 }
 
 func (po *Pooler) collect(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, poolTimeout)
+	ctx, cancel := context.WithTimeout(ctx, collectTimeout)
 	defer cancel()
 	reports := po.ens.Reports(ctx)
 	// Uses the time of the response, not of the request: otherwise the network delay would be added
--- a/core/canary/pool_test.go
+++ b/core/canary/pool_test.go
@@ -25,7 +25,7 @@
 // may make the elapsed time appear longer: accumulated over a minute, a roll-out would take its
 // last step seconds too early, and a version whose fault shows only then would receive more
 // requests than operators allow.
-func TestPooledElapsedTimeDoesNotRunAhead(t *testing.T) {
+func TestMergedElapsedTimeIsNotInflated(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		one, two := canary.New(), canary.New()
 		began := time.Now()
--- a/core/canary/recorder.go
+++ b/core/canary/recorder.go
@@ -22,12 +22,12 @@
 // response was lost, or that takes effect late, never overwrites what another entry has written
 // meanwhile; the decision is made again from the store's content.
 type Recorder struct {
-	deps  core.Deps
-	gu    *Guard
-	st    core.Store
-	codec Codec
-	steps string
-	rank  func(core.ServiceID) int
+	deps       core.Deps
+	gu         *Guard
+	st         core.Store
+	codec      Codec
+	stepPrefix string
+	rank       func(core.ServiceID) int
 	// backoffUntil is the time until which a key is not written again after a failed write.
 	backoffUntil map[string]time.Time
 }
@@ -40,10 +40,10 @@
 	conflictBackoff = 700 * time.Millisecond
 )
 
-// NewRecorder returns a recorder. Steps are written below the key prefix steps; rank returns this
-// entry's position among all entries for a service.
-func NewRecorder(deps core.Deps, gu *Guard, st core.Store, codec Codec, steps string, rank func(core.ServiceID) int) *Recorder {
-	return &Recorder{deps: deps, gu: gu, st: st, codec: codec, steps: steps, rank: rank, backoffUntil: map[string]time.Time{}}
+// NewRecorder returns a recorder. Steps are written below stepPrefix; rank returns
+// this entry's position among all entries for a service.
+func NewRecorder(deps core.Deps, gu *Guard, st core.Store, codec Codec, stepPrefix string, rank func(core.ServiceID) int) *Recorder {
+	return &Recorder{deps: deps, gu: gu, st: st, codec: codec, stepPrefix: stepPrefix, rank: rank, backoffUntil: map[string]time.Time{}}
 }
 
 // Serve implements suture's Service.
@@ -55,8 +55,8 @@
 		case <-ctx.Done():
 			return ctx.Err()
 		case now := <-ti.C:
-			for _, he := range re.gu.NewVerdicts() {
-				event.Log(re.deps.Log, event.CanaryHeld, "service", he.Service, "version", he.Version, "why", he.Reason)
+			for _, ve := range re.gu.NewVerdicts() {
+				event.Log(re.deps.Log, event.CanaryHeld, "service", ve.Service, "version", ve.Version, "why", ve.Reason)
 			}
 			for _, wr := range re.gu.DueWrites(now, re.rank) {
 				re.record(ctx, wr)
@@ -97,7 +97,7 @@
 		return key, value, wr.Status.Revision, err
 	}
 	value, err = json.Marshal(wr.Step)
-	return re.steps + string(wr.Step.Service), value, wr.Step.Revision, err
+	return re.stepPrefix + string(wr.Step.Service), value, wr.Step.Revision, err
 }
 
 // applyWrite updates the guard from a successful write at once, before the store reports it.
--- a/core/canary/sessions.go
+++ b/core/canary/sessions.go
@@ -37,13 +37,13 @@
 	if now.Sub(ro.startedAt) < min(settleTime, time.Duration(maxSettleFraction*float64(ro.order.Duration))) {
 		return true
 	}
-	at, reported := ro.remoteOld[se]
+	at, reported := ro.remoteOldSessions[se]
 	return reported && now.Sub(at) <= gu.gap
 }
 
-// localOld returns the sessions within the first step's share that continue on the old version at
-// this entry. They are few: a thirtieth of the active sessions.
-func (gu *Guard) localOld(now time.Time, ro *rollout) []core.SessionID {
+// localOldSessions returns the sessions within the first step's share that continue on the old
+// version at this entry. They are few: a thirtieth of the active sessions.
+func (gu *Guard) localOldSessions(now time.Time, ro *rollout) []core.SessionID {
 	var out []core.SessionID
 	if ro.currentStep() > 0 {
 		return nil
--- a/core/canary/versions_test.go
+++ b/core/canary/versions_test.go
@@ -85,20 +85,20 @@
 
 // Guards against refusing callers because the only version left beside the next one had been rolled
 // back before it was ordered again.
-func TestVersionOrderedAgainCarriesTheNextRollOut(t *testing.T) {
+func TestVersionOrderedAgainIsStableInNextRollOut(t *testing.T) {
 	gu := canary.New()
 	now := time.Unix(1_000_000, 0)
 	gu.Order(now, order(v2, 5))
 	gu.Status(canary.Status{Service: service, Target: v2, State: canary.RolledBack, Revision: 6})
 	gu.Order(now, order(v2, 9))
 	gu.Order(now, order(v3, 12))
-	left := append(hostsOf(v2), core.Host{ID: "next-0", Service: service, Version: v3})
-	assert.Equal(t, gu.Choose(now, service, "", 0.9, canary.Unrestricted(left), true)[0].Version, v2)
+	remaining := append(hostsOf(v2), core.Host{ID: "next-0", Service: service, Version: v3})
+	assert.Equal(t, gu.Choose(now, service, "", 0.9, canary.Unrestricted(remaining), true)[0].Version, v2)
 }
 
 // Guards against sessions that go back to an older version when a roll-out follows a completed one
 // before the older upstreams have left the list.
-func TestCompletedVersionIsTheOldOneOfTheNextRollOut(t *testing.T) {
+func TestCompletedVersionIsStableInNextRollOut(t *testing.T) {
 	gu := canary.New()
 	now := time.Unix(1_000_000, 0)
 	gu.Choose(now, service, "", 0.5, canary.Unrestricted(hosts()), true)
@@ -126,19 +126,19 @@
 // Guards against sessions whose requests arrive at any of many entries and alternate between the
 // two versions, since an entry has not received the reports of all siblings at the order.
 func TestRoamingSessionsKeepTheirVersion(t *testing.T) {
-	const most = 3
+	const maxSwitches = 3
 	for _, entries := range []int{4, 20, 33} {
 		for seed := range uint64(8) {
 			tr := simulation{seed: seed, entries: entries, fanout: 16, roaming: true, rate: 150, exposure: 0.12, duration: 15 * time.Second}
 			re := tr.run(t)
-			assert.Assert(t, re.earlySwitches+re.switchesBack <= most, "%d entries, seed %d: %d early switches and %d switches back", entries, seed, re.earlySwitches, re.switchesBack)
+			assert.Assert(t, re.earlySwitches+re.switchesBack <= maxSwitches, "%d entries, seed %d: %d early switches and %d switches back", entries, seed, re.earlySwitches, re.switchesBack)
 		}
 	}
 }
 
-// TestVersionInUseIsThatOfAllRegions guards against a request restricted to a region that runs only
-// another version, which would make that version the one in use.
-func TestVersionInUseIsThatOfAllRegions(t *testing.T) {
+// TestStableVersionIsChosenAcrossRegions guards against a request restricted to a region that runs
+// only another version, which would make that version the stable one.
+func TestStableVersionIsChosenAcrossRegions(t *testing.T) {
 	gu, now := canary.New(), time.Now()
 	all := hosts()
 	assert.Equal(t, gu.Choose(now, service, "", 0.5, canary.Unrestricted(hostsOf(v1)), true)[0].Version, v1)
--- a/core/canary/writes.go
+++ b/core/canary/writes.go
@@ -43,7 +43,7 @@
 	case ro.onHold():
 		return Write{}, false
 	case current < lastStep && fraction >= gu.steps[current+1].from && inStep >= gu.minStepTime(current):
-		return ro.nextStep(current), true
+		return ro.stepWrite(current), true
 	case current == lastStep && inStep >= completeAfter && (fraction >= completeBy || gu.oldInFlight(ro) == 0):
 		return ro.statusWrite(Completed, ro.summary()), true
 	}
@@ -52,7 +52,8 @@
 
 // holdThreshold is the evidence against a version at which no further step is taken. A good version
 // reaches it with a chance of one in twenty, and then waits until more of its answers have ended.
-// Where few requests arrive, a verdict would come too late.
+// Without the hold, a bad version of a service with few requests would take further steps before
+// there is enough evidence for a verdict.
 const holdThreshold = 3.0
 
 // giveUpAt is the fraction of the duration after which a version that is on hold is rolled back: it
@@ -74,7 +75,7 @@
 	return slack * (gu.steps[current+1].from - gu.steps[current].from)
 }
 
-func (ro *rollout) nextStep(current int) Write {
+func (ro *rollout) stepWrite(current int) Write {
 	st := Step{Service: ro.order.Service, Order: ro.order.Revision, Step: current + 1, Revision: ro.step.Revision}
 	return Write{Step: &st, Reason: ro.summary()}
 }
--- a/core/rollout/figures_test.go
+++ b/core/rollout/figures_test.go
@@ -14,8 +14,8 @@
 func exposure(t *testing.T, tr simulation, runs int) (median, p95 float64) {
 	var all []int
 	for seed := range runs {
-		reached, _ := tr.simulate(t, uint64(seed))
-		all = append(all, reached)
+		exposed, _ := tr.simulate(t, uint64(seed))
+		all = append(all, exposed)
 	}
 	slices.Sort(all)
 	return float64(all[runs/2]), float64(all[runs*95/100])
@@ -47,8 +47,8 @@
 	if os.Getenv("SKYLARKSTAND_MEASURE") != "1" {
 		t.Skip("figures are measured by make measure")
 	}
-	const runs, harmlessRuns, fewer, callers, lastCaller = 1000, 1000, 300, 2000, 9000
-	bad := simulation{stable: 0.9, candidate: 0.7, percent: 5, entries: 3, callers: lastCaller}
+	const runs, harmlessRuns, fewRuns, callers, maxCallers = 1000, 1000, 300, 2000, 9000
+	bad := simulation{stable: 0.9, candidate: 0.7, percent: 5, entries: 3, callers: maxCallers}
 	median, p95 := exposure(t, bad, runs)
 	figure.AtMost("roll-out-exposed-median", median, "callers", 60)
 	figure.AtMost("roll-out-exposed-p95", p95, "callers", 150)
@@ -60,16 +60,16 @@
 	median, p95 = exposure(t, separate, runs)
 	figure.Unbounded("roll-out-exposed-median-each-entry-alone", median, "callers")
 	figure.Unbounded("roll-out-exposed-p95-each-entry-alone", p95, "callers")
-	figure.Unbounded("roll-out-false-halts-each-entry-alone", falseHalts(t, separateHarmless, fewer), "share")
+	figure.Unbounded("roll-out-false-halts-each-entry-alone", falseHalts(t, separateHarmless, fewRuns), "share")
 
 	slight := bad
 	slight.candidate = 0.8
-	median, p95 = exposure(t, slight, fewer)
+	median, p95 = exposure(t, slight, fewRuns)
 	figure.Unbounded("roll-out-exposed-median-quality-0.80", median, "callers")
 	figure.Unbounded("roll-out-exposed-p95-quality-0.80", p95, "callers")
 	half := bad
 	half.percent = 50
-	median, p95 = exposure(t, half, fewer)
+	median, p95 = exposure(t, half, fewRuns)
 	figure.Unbounded("roll-out-exposed-median-at-half", median, "callers")
 	figure.Unbounded("roll-out-exposed-p95-at-half", p95, "callers")
 
@@ -78,7 +78,7 @@
 	median, p95 = exposure(t, threshold, runs)
 	figure.Unbounded("roll-out-fixed-threshold-exposed-median", median, "callers")
 	figure.Unbounded("roll-out-fixed-threshold-exposed-p95", p95, "callers")
-	figure.Unbounded("roll-out-fixed-threshold-false-halts", falseHalts(t, thresholdHarmless, fewer), "share")
+	figure.Unbounded("roll-out-fixed-threshold-false-halts", falseHalts(t, thresholdHarmless, fewRuns), "share")
 	unguarded := bad
 	unguarded.decide = noGuard
 	median, _ = exposure(t, unguarded, 1)
--- a/core/rollout/guard.go
+++ b/core/rollout/guard.go
@@ -34,10 +34,10 @@
 // Guard decides on the roll-outs in progress. It is safe for concurrent use.
 type Guard struct {
 	mu sync.Mutex
-	// ownTests evaluate this entry's own evidence, pooledTests that of all entries.
+	// ownTests evaluate this entry's own evidence, pooledTests the evidence of all entries.
 	ownTests, pooledTests map[core.ModelID]*comparison
 	halts                 map[core.ModelVersion]*haltRecord
-	// ownLosses and pooledLosses are the losses of upstreams counted in each of the two.
+	// ownLosses are the losses of upstreams counted in ownTests, pooledLosses those in pooledTests.
 	ownLosses, pooledLosses lossTimes
 	generation              core.Generation
 	haltSignal              chan struct{}
@@ -48,7 +48,7 @@
 	stable, candidate core.ModelVersion
 	percent           int
 	tests             [kinds]*sequentialTest
-	reached           int
+	exposed           int
 	// nextBatch is the evidence that is sent to the home entry next. decidedByHome reports that the
 	// home decides on the roll-out instead of this entry.
 	nextBatch     Batch
@@ -149,7 +149,7 @@
 	gu.mu.Lock()
 	defer gu.mu.Unlock()
 	if te := gu.ownTests[mv.Model]; te != nil && te.candidate == mv {
-		te.reached++
+		te.exposed++
 		te.nextBatch.Exposed++
 	}
 }
@@ -166,7 +166,7 @@
 	case te.candidate == mv:
 		return 1
 	case te.stable == mv:
-		// Half as many again as a block needs, since their number varies.
+		// 1.5 times as many as a block needs, since their number varies.
 		return min(1, 1.5*float64(controlsFor(te.percent)*te.percent)/float64(max(100-te.percent, 1)))
 	}
 	return 0
@@ -177,7 +177,7 @@
 	gu.mu.Lock()
 	defer gu.mu.Unlock()
 	te := gu.ownTests[ou.Version.Model]
-	if te == nil || (te.candidate != ou.Version && te.stable != ou.Version) || gu.ownLosses.absorbs(ou) {
+	if te == nil || (te.candidate != ou.Version && te.stable != ou.Version) || gu.ownLosses.deduplicate(ou) {
 		return
 	}
 	if len(te.nextBatch.Outcomes) < maxBatch {
@@ -191,7 +191,7 @@
 
 // decideHalt halts the candidate of a comparison.
 func (gu *Guard) decideHalt(te *comparison) {
-	gu.halts[te.candidate] = &haltRecord{Halt: Halt{Version: te.candidate, Evidence: te.describe(), Exposed: te.reached}}
+	gu.halts[te.candidate] = &haltRecord{Halt: Halt{Version: te.candidate, Evidence: te.describe(), Exposed: te.exposed}}
 	gu.endTests(te.candidate.Model)
 }
 
@@ -206,9 +206,9 @@
 }
 
 const (
-	// lossWindow is the time in which all attempts lost at one upstream count as one loss. A host
-	// that fails takes all its attempts along; counted separately they would be a dozen crashes at
-	// once, and a version would be halted for the loss of a host.
+	// lossWindow is the time in which all attempts lost at one upstream count as one loss. All
+	// attempts on a host are lost when it fails; counted separately they would be a dozen crashes
+	// at once, and a version would be halted for the loss of a host.
 	lossWindow = 10 * time.Second
 	// maxLosses bounds the memory for upstreams that lost attempts.
 	maxLosses = 1024
@@ -217,9 +217,9 @@
 // lossTimes holds the time of the last counted loss by upstream.
 type lossTimes map[core.UpstreamID]time.Time
 
-// absorbs reports whether a lost attempt belongs to a loss that was already counted; if not, it
+// deduplicate reports whether a lost attempt belongs to a loss that was already counted; if not, it
 // counts it.
-func (lo lossTimes) absorbs(ou Outcome) bool {
+func (lo lossTimes) deduplicate(ou Outcome) bool {
 	if ou.Kind != Crash || !ou.Bad {
 		return false
 	}
@@ -276,5 +276,5 @@
 	}
 	seen := te.tests[strongest].seen
 	return fmt.Sprintf("%d of %d answers of %s were %s, against %d of %d of %s; %d new callers were given it",
-		seen[1].bad, seen[1].all, te.candidate, strongest, seen[0].bad, seen[0].all, te.stable, te.reached)
+		seen[1].bad, seen[1].all, te.candidate, strongest, seen[0].bad, seen[0].all, te.stable, te.exposed)
 }
--- a/core/rollout/guard_test.go
+++ b/core/rollout/guard_test.go
@@ -31,8 +31,8 @@
 	} {
 		t.Run(sc.testName, func(t *testing.T) {
 			for seed := range uint64(20) {
-				reached, halted := sc.run.simulate(t, seed)
-				assert.Assert(t, halted && reached <= sc.atMost, "seed %d: halted is %v after %d callers", seed, halted, reached)
+				exposed, halted := sc.run.simulate(t, seed)
+				assert.Assert(t, halted && exposed <= sc.atMost, "seed %d: halted is %v after %d callers", seed, halted, exposed)
 			}
 		})
 	}
@@ -90,11 +90,11 @@
 	for _, step := range []struct {
 		number  core.Generation
 		halted  string
-		holds   bool
+		inForce bool
 		pending int
 	}{{2, "", true, 1}, {3, "evidence", true, 0}, {4, "", false, 0}} {
 		gu.Apply(configuration(t, step.number, 30, step.halted))
-		assert.Equal(t, gu.Halted(desk2), step.holds)
+		assert.Equal(t, gu.Halted(desk2), step.inForce)
 		assert.Assert(t, cmp.Len(gu.PendingHalts(), step.pending))
 	}
 	assert.Equal(t, gu.RateShare(desk2), 1.0)
@@ -158,28 +158,28 @@
 // It must not record attempts that were refused before they ran or whose caller disconnected, nor
 // count one lost host a dozen times because of all its attempts: none of these is a fault of the
 // version.
-func TestWatchRecordsTheVersionsOwnFailures(t *testing.T) {
+func TestObserveAttemptsRecordsFailuresOfTheVersion(t *testing.T) {
 	failed := &core.Failure{Code: core.CodeUpstream, Ran: core.RanFailed}
 	for _, sc := range []struct {
-		testName  string
-		err, next error
-		gone      bool
-		halts     bool
-		records   bool
+		testName     string
+		err, next    error
+		disconnected bool
+		halts        bool
+		records      bool
 	}{
 		{testName: "answers", next: io.EOF, records: true},
 		{testName: "fails at once", err: failed, halts: true, records: true},
 		{testName: "fails in the middle", next: failed, halts: true, records: true},
 		{testName: "one host is lost", err: core.OutcomeUnknown("host"), records: true},
 		{testName: "refused", err: core.Refuse(core.CodeOverloaded, 0, "full")},
-		{testName: "caller gone", next: failed, gone: true},
+		{testName: "caller gone", next: failed, disconnected: true},
 	} {
 		t.Run(sc.testName, func(t *testing.T) {
 			gu := rollout.New()
 			gu.Apply(configuration(t, 1, 20, ""))
 			ctx, cancel := context.WithCancel(context.Background())
 			defer cancel()
-			if sc.gone {
+			if sc.disconnected {
 				cancel()
 			}
 			dispatch(ctx, gu, desk2, &fakeUpstreams{err: sc.err, next: sc.next})
--- a/core/rollout/pool.go
+++ b/core/rollout/pool.go
@@ -22,10 +22,10 @@
 // contains one.
 //
 // Each entry alone sees only its own callers. With three entries deciding separately, each needs as
-// many bad answers as a single one would, and a version reaches half as many callers again before
-// the first of them has enough evidence. So all of them send their evidence to one home. Entries
-// with different host lists may use two homes for a while: each then has part of the evidence, so
-// that the halt comes later, but is never a wrong one.
+// many bad answers as a single one would, and 1.5 times as many callers are assigned the version
+// before the first of them has enough evidence. So all of them send their evidence to one home.
+// Entries with different host lists may use two homes for a while: each then has part of the
+// evidence, so that the halt comes later, but is never a wrong one.
 func Home(mo core.ModelID, hosts []core.Host) (core.Host, bool) {
 	var entries []core.Host
 	for _, ho := range hosts {
@@ -64,10 +64,10 @@
 	if te == nil {
 		return false
 	}
-	te.reached += ba.Exposed
+	te.exposed += ba.Exposed
 	for _, mv := range []core.ModelVersion{te.stable, te.candidate} {
 		for _, ou := range ba.Outcomes {
-			if ou.Version == mv && !gu.pooledLosses.absorbs(ou) {
+			if ou.Version == mv && !gu.pooledLosses.deduplicate(ou) {
 				te.tests[ou.Kind].observe(mv == te.candidate, ou.Bad)
 			}
 		}
--- a/core/rollout/recorder_test.go
+++ b/core/rollout/recorder_test.go
@@ -70,7 +70,7 @@
 	return me, ch
 }
 
-func newest(t *testing.T, ch *chain.Chain) *declaration.Generation {
+func newestGeneration(t *testing.T, ch *chain.Chain) *declaration.Generation {
 	t.Helper()
 	last, err := ch.Last(context.Background())
 	assert.NilError(t, err)
@@ -104,7 +104,7 @@
 		assert.Equal(t, inf.Current().RollOut("desk").Halted, badVersion.Evidence)
 	}
 	assert.Equal(t, writers, 1)
-	gen := newest(t, ch)
+	gen := newestGeneration(t, ch)
 	assert.Equal(t, gen.Number, core.Generation(2))
 	assert.Equal(t, gen.Audit.Who, declaration.GuardName)
 	assert.DeepEqual(t, gen.Audit.Changed, []string{"~ model desk: roll-out of v2 halted: " + badVersion.Evidence})
@@ -120,7 +120,7 @@
 	wrote, err := rollout.NewRecorder(ch, declaration.NewInForce()).Record(context.Background(), badVersion, time.Unix(0, 0))
 	assert.NilError(t, err)
 	assert.Assert(t, wrote)
-	gen := newest(t, ch)
+	gen := newestGeneration(t, ch)
 	assert.Equal(t, gen.Number, core.Generation(3))
 	assert.Equal(t, gen.Document.RollOuts[0].Percent, 35)
 	assert.Equal(t, gen.Document.RollOuts[0].Halted, badVersion.Evidence)
@@ -141,5 +141,5 @@
 		assert.NilError(t, err)
 		assert.Equal(t, wrote, first)
 	}
-	assert.Equal(t, newest(t, ch).Number, core.Generation(2))
+	assert.Equal(t, newestGeneration(t, ch).Number, core.Generation(2))
 }
--- a/core/rollout/sequential.go
+++ b/core/rollout/sequential.go
@@ -36,14 +36,14 @@
 var kindWeights = [kinds]float64{0.7, 0.15, 0.15}
 
 // effects are the regressions that the test looks for, as differences of the rates of bad outcomes,
-// and their weights. A difference well below the smallest one gathers evidence against itself, so
-// that a version is not halted for a difference that operators would accept. Most of the weight is
-// on regressions that are both likely and worth a quick halt.
+// and their weights. A regression well below the smallest effect lowers all products in the long
+// run, so that a version is not halted for a difference that operators would accept. Most of the
+// weight is on regressions that are both likely and worth a quick halt.
 var effects = [...]struct{ diff, weight float64 }{{0.05, 0.1}, {0.1, 0.2}, {0.2, 0.4}, {0.4, 0.3}}
 
 const (
 	// maxControls bounds the stable version's outcomes in a block with one of the new version's.
-	// Each costs a rating; beyond eight, nearly all of the remaining variance is that of the new
+	// Each costs a rating; beyond eight, nearly all of the remaining variance comes from the new
 	// version's own outcomes.
 	maxControls = 8
 	// maxStable bounds the stable outcomes that wait for a block: a few seconds' worth, since they
@@ -92,7 +92,8 @@
 	// uncontrolled counts the new version's outcomes since the last stable one.
 	uncontrolled int
 	logProducts  [len(effects)]float64
-	seen         [2]tally
+	// seen counts the outcomes of the stable version (0) and of the new one (1).
+	seen [2]tally
 }
 
 // tally counts outcomes for the evidence that operators read.
@@ -156,8 +157,8 @@
 	}
 }
 
-// testBlock tests the oldest waiting outcome against the newest stable ones. The stable version's
-// rate is the one from before the block.
+// testBlock tests the oldest waiting outcome against the newest stable ones. It uses the stable
+// version's rate from before the block.
 func (tr *sequentialTest) testBlock() {
 	bad := tr.waiting[0]
 	tr.waiting = tr.waiting[1:]
--- a/core/rollout/sim_test.go
+++ b/core/rollout/sim_test.go
@@ -79,7 +79,7 @@
 }
 
 // simulate returns how many callers were assigned the candidate and whether it was halted.
-func (tr simulation) simulate(t testing.TB, seed uint64) (reached int, halted bool) {
+func (tr simulation) simulate(t testing.TB, seed uint64) (exposed int, halted bool) {
 	rnd := rand.New(rand.NewPCG(seed, 11))
 	guards := make([]*rollout.Guard, max(tr.entries, 1))
 	for i := range guards {
@@ -100,7 +100,7 @@
 			halted, stop = true, at.Add(haltPropagation)
 		}
 	}
-	for reached < tr.callers && (stop.IsZero() || now.Before(stop)) {
+	for exposed < tr.callers && (stop.IsZero() || now.Before(stop)) {
 		now = now.Add(time.Duration(rnd.ExpFloat64() * float64(time.Second/callersPerSecond)))
 		qu.RunBefore(now)
 		if !tr.noHome && now.Sub(sent) >= batchInterval {
@@ -116,7 +116,7 @@
 				continue
 			}
 			mv, good, side = desk2, rnd.Float64() < tr.candidate, 1
-			reached++
+			exposed++
 		}
 		if rnd.Float64() >= gu.RateShare(mv) {
 			continue
@@ -133,7 +133,7 @@
 			}
 		})
 	}
-	return reached, halted
+	return exposed, halted
 }
 
 func (tr simulation) String() string {
