--- a/core/admission/controller.go
+++ b/core/admission/controller.go
@@ -63,7 +63,7 @@
 	// start times, in seconds since epoch, and of their units.
 	startSum, chargedUnits float64
 	epoch                  time.Time
-	infeasible             int
+	infeasibleCount        int
 	free                   *Ticket
 }
 
@@ -75,7 +75,7 @@
 	}
 }
 
-// Resize sets the pool's capacity. With zero places, no request starts.
+// Resize sets the pool's capacity. With zero EntrySlots, no request starts.
 func (con *Controller) Resize(ro Capacity) { con.capacity = ro }
 
 // Offer decides on an arriving request. It returns the request's ticket and
@@ -112,7 +112,7 @@
 // few in proportion to the wait that it would avoid.
 func (con *Controller) WorthCrossRegion(ti *Ticket, body int) bool {
 	bytes := float64(body) + ti.workspace.output*bytesPerToken
-	return bytes <= crossingBytesPerSecond*ti.expected
+	return bytes <= crossRegionBytesPerSecond*ti.expected
 }
 
 // startsNow reports whether a workspace's new request can start at once. It does
@@ -135,7 +135,7 @@
 	limit, need := con.lim.MaxWait.Seconds(), wait
 	if wo.Deadline > 0 {
 		limit = wo.Deadline.Seconds()
-		need = wait*waitMargin + service + con.serviceTime(sp.spread)
+		need = wait*waitMargin + service + con.serviceTime(sp.outputDeviation)
 	}
 	if need <= limit {
 		return nil
@@ -150,8 +150,8 @@
 	if wo.Deadline == 0 || service <= 2*wo.Deadline.Seconds() {
 		return nil
 	}
-	con.infeasible++
-	if con.infeasible%infeasibleProbeInterval == 0 {
+	con.infeasibleCount++
+	if con.infeasibleCount%infeasibleProbeInterval == 0 {
 		return nil
 	}
 	return core.Refuse(core.CodeDeadline, 0, "answers take %.1fs here, more than the deadline allows", service)
@@ -187,12 +187,12 @@
 }
 
 // mayStart reports whether a workspace's next request can start. A workspace
-// well above its share of the places must leave a reserve to the others.
+// well above its share of the slots must leave a reserve to the others.
 //
-// This guards against one workspace that takes all free places: without the
-// reserve, each request of the others would first wait for one of the hog's to
-// end. Requests arrive at random, so the places that the others need vary with
-// the square root of those they use, and the reserve is sized accordingly.
+// This guards against a noisy workspace that takes all free slots: without the
+// reserve, each request of the others would first wait for one of that workspace's
+// to end. Requests arrive at random, so the slots that the others need vary with the
+// square root of the number they use, and the reserve is sized accordingly.
 // Workspaces with waiting requests need no reserve, since the fair queue serves
 // them next. A reserve for them would, in a full pool, hold back workspaces with
 // a few long responses running until past their deadlines.
@@ -206,18 +206,18 @@
 }
 
 // excess returns how far one more request would put a workspace above its share
-// of the places, from 0 to 1, allowing for random variation. The variation of a
-// workspace with most of the weight would span all places; it is capped at half
-// of the places outside its share.
+// of the slots, from 0 to 1, allowing for random variation. The variation of a
+// workspace with most of the weight would span all slots; it is capped at half of
+// the slots outside its share.
 func (con *Controller) excess(sp *workspaceState) float64 {
-	places := float64(con.capacity.EntrySlots)
-	share := sp.weight * places / con.activeWeightWith(sp)
-	rest := places - share
+	slots := float64(con.capacity.EntrySlots)
+	share := sp.weight * slots / con.activeWeightWith(sp)
+	rest := slots - share
 	usual := share + min(shareDeviations*math.Sqrt(share), rest/2)
 	return min(max((float64(sp.running+1)-usual)/max(min(share, rest), 1e-3), 0), 1)
 }
 
-// othersRunning returns the number of places used by the workspaces that have
+// othersRunning returns the number of slots used by the workspaces that have
 // nothing waiting, excluding sp.
 func (con *Controller) othersRunning(sp *workspaceState) float64 {
 	if sp.count == 0 {
@@ -226,7 +226,7 @@
 	return float64(con.unqueuedRunning)
 }
 
-// reserve returns the number of free places that a workspace above its share
+// reserve returns the number of free slots that a workspace above its share
 // leaves to the others. The load of the other entries is assumed to be like this
 // entry's.
 func (con *Controller) reserve(sp *workspaceState) float64 {
@@ -289,17 +289,17 @@
 func (con *Controller) serviceTime(units float64) float64 { return units * con.secondsPerUnit() }
 
 // estimateWait estimates the seconds that a request would wait. Workspaces
-// without a queue are assumed to keep the places they use; the rest of the
+// without a queue are assumed to keep the slots they use; the rest of the
 // pool's rate is divided by weight among those that wait. The queued work divided
 // by the rate is no upper bound, since requests that arrive later may be served
 // first.
 //
 // Workspaces without a queue are never assumed to keep more than their share. In
-// the first second of a burst they hold all places, and without this bound one
+// the first second of a burst they hold all slots, and without this bound one
 // arrival order in a hundred admits 6 of 200 callers where 17 can be answered in
 // time.
 func (con *Controller) estimateWait(now time.Time, sp *workspaceState, la int) float64 {
-	places := float64(max(con.capacity.EntrySlots, 1))
+	slots := float64(max(con.capacity.EntrySlots, 1))
 	weights := con.waitingWeight
 	if sp.count == 0 {
 		weights += sp.weight
@@ -308,10 +308,10 @@
 	if con.capacity.EntrySlots > 0 && con.excess(sp) > 0 {
 		used += con.reserve(sp)
 	}
-	left := max(1-used/places, weights/con.activeWeightWith(sp), minRateShare)
-	rate := places / (con.secondsPerUnit() * con.overrunFactor(now))
-	own := max(sp.tag-con.virtualTime, 0)*weights + sp.unitsAhead(la)*weights/sp.weight
-	return (own/left + con.meanUnits) / rate
+	left := max(1-used/slots, weights/con.activeWeightWith(sp), minRateShare)
+	rate := slots / (con.secondsPerUnit() * con.overrunFactor(now))
+	unitsBefore := max(sp.tag-con.virtualTime, 0)*weights + sp.unitsAhead(la)*weights/sp.weight
+	return (unitsBefore/left + con.meanUnits) / rate
 }
 
 // overrunFactor returns how many times longer than estimated the running
--- a/core/admission/figures_test.go
+++ b/core/admission/figures_test.go
@@ -31,7 +31,7 @@
 		fifoFull, fifo := simulate(sit, policy{fifo: true}), simulate(sit.atLoad(3), policy{fifo: true})
 		figure.Unbounded("goodput-3x-over-1x-fifo-"+sh.name, fifo.goodput()/fifoFull.goodput(), "ratio")
 		figure.Unbounded("tokens-in-time-3x-over-1x-fifo-"+sh.name, fifo.goodTokens()/fifoFull.goodTokens(), "ratio")
-		for _, ou := range []*outcome{full, simulate(sit.atLoad(2), policy{}), triple, simulate(sit.atLoad(2).with(func(si *scenario) { si.burst = 5 }), policy{}), simulate(sit.atLoad(0.8).withHog(), policy{})} {
+		for _, ou := range []*outcome{full, simulate(sit.atLoad(2), policy{}), triple, simulate(sit.atLoad(2).with(func(si *scenario) { si.burst = 5 }), policy{}), simulate(sit.atLoad(0.8).withNoisyWorkspace(), policy{})} {
 			late += ou.lateRefusals()
 			missed += ou.count(expired)
 		}
@@ -73,15 +73,15 @@
 	}
 }
 
-func TestFiguresLoadHog(t *testing.T) {
+func TestFiguresLoadNoisyWorkspace(t *testing.T) {
 	skipUnlessMeasuring(t)
 	for _, sh := range shapes() {
 		sit := sh.make().atLoad(0.6)
-		calm, hog := simulate(sit, policy{}), simulate(sit.withHog(), policy{})
-		figure.AtMost("harm-p95-of-hog-"+sh.name, hog.percentile(0.95, "w9", whole)/calm.percentile(0.95, "w9", whole), "ratio", 1.10)
-		figure.AtMost("harm-p95-first-token-of-hog-"+sh.name, hog.percentile(0.95, "w9", first)/calm.percentile(0.95, "w9", first), "ratio", 1.10)
-		fifoCalm, fifo := simulate(sit, policy{fifo: true}), simulate(sit.withHog(), policy{fifo: true})
-		figure.Unbounded("harm-p95-of-hog-fifo-"+sh.name, fifo.percentile(0.95, "w9", whole)/fifoCalm.percentile(0.95, "w9", whole), "ratio")
+		quiet, noisy := simulate(sit, policy{}), simulate(sit.withNoisyWorkspace(), policy{})
+		figure.AtMost("harm-p95-of-hog-"+sh.name, noisy.percentile(0.95, "w9", whole)/quiet.percentile(0.95, "w9", whole), "ratio", 1.10)
+		figure.AtMost("harm-p95-first-token-of-hog-"+sh.name, noisy.percentile(0.95, "w9", first)/quiet.percentile(0.95, "w9", first), "ratio", 1.10)
+		fifoQuiet, fifo := simulate(sit, policy{fifo: true}), simulate(sit.withNoisyWorkspace(), policy{fifo: true})
+		figure.Unbounded("harm-p95-of-hog-fifo-"+sh.name, fifo.percentile(0.95, "w9", whole)/fifoQuiet.percentile(0.95, "w9", whole), "ratio")
 	}
 }
 
@@ -97,7 +97,7 @@
 }
 
 // Prints the scenarios that have no bound of their own, next to the baselines.
-func TestFiguresLoadSituations(t *testing.T) {
+func TestFiguresLoadScenarios(t *testing.T) {
 	skipUnlessMeasuring(t)
 	cases := []struct {
 		name   string
@@ -125,7 +125,7 @@
 				figure.Unbounded("p95-first-token-"+label, ou.percentile(0.95, "", first), "s")
 				figure.Unbounded("p99-first-token-"+label, ou.percentile(0.99, "", first), "s")
 				if name == "product" {
-					figure.Unbounded("crossed-"+label, float64(ou.crossed)/sit.length.Seconds(), "byte/s")
+					figure.Unbounded("crossed-"+label, float64(ou.crossRegionBytes)/sit.length.Seconds(), "byte/s")
 				}
 			}
 		}
@@ -171,7 +171,7 @@
 		con.Leave(now, running[ix%len(running)], us)
 		ti, start := con.Next(now)
 		if !start {
-			bb.Fatal("Leave freed a place, but Next started no request")
+			bb.Fatal("Leave freed a slot, but Next started no request")
 		}
 		running[ix%len(running)] = ti
 	}
--- a/core/admission/gate.go
+++ b/core/admission/gate.go
@@ -71,10 +71,10 @@
 // Enter admits a request, or refuses it with a *core.Failure that says it was not
 // run. It blocks while the request is queued.
 //
-// A request with AllowCrossRegion that the local region would refuse, or queue for long
-// enough to be worth crossing, may start in another region, if that has free
-// places now and the link between the regions has budget. It is never queued
-// there.
+// A request with AllowCrossRegion that the local region would refuse, or would
+// queue for so long that WorthCrossRegion reports true, may start in another region,
+// if that has free slots now and the link between the regions has budget. It is
+// never queued there.
 func (gt *Gate) Enter(ctx context.Context, po Pool, wo Work) (*Pass, error) {
 	if fl := gt.acquireLimit(wo); fl != nil {
 		return nil, fl
@@ -168,7 +168,7 @@
 // requests.
 func (ps *Pass) RecordUsage(us core.Usage) { ps.usage = &us }
 
-// Leave releases the request's place. It may be called more than once.
+// Leave releases the request's slot. It may be called more than once.
 func (ps *Pass) Leave() {
 	ps.once.Do(func() {
 		ps.gt.releaseLimit(ps.wo)
@@ -226,9 +226,9 @@
 	do.con.Resize(gt.capacity(po))
 }
 
-// startWaiting starts all requests that can start now. It sends the decisions
-// while the lock is held, so that a caller that disconnects meanwhile sees its
-// decision.
+// startWaiting starts all requests that can start now. It must be called with the lock
+// held: if a request's caller disconnects meanwhile, await acquires the lock and then
+// finds the decision.
 func (do *poolState) startWaiting(now time.Time) {
 	for {
 		ti, start := do.con.Next(now)
--- a/core/admission/gate_test.go
+++ b/core/admission/gate_test.go
@@ -29,7 +29,7 @@
 	return fl
 }
 
-// runBurst sends 200 requests of three workspaces to a pool of four places at one
+// runBurst sends 200 requests of three workspaces to a pool of four slots at one
 // instant, in the given order, and returns how many were answered and refused.
 // Each response must arrive before the deadline, and each refusal at once.
 func runBurst(t *testing.T, order []int) (done, rejected int) {
@@ -75,7 +75,7 @@
 	return done, rejected
 }
 
-// In a burst on a pool of four places, each caller either gets its response before
+// In a burst on a pool of four slots, each caller either gets its response before
 // its deadline or is refused on arrival with a Retry-After; no caller waits for a
 // refusal.
 func TestGateServesOrRefusesEachCallerInTime(t *testing.T) {
@@ -88,7 +88,7 @@
 	assert.Assert(t, done >= 12 && rejected >= 100, "%d done", done)
 }
 
-// Repeats the burst in a hundred random orders. In one of them, all places go to a
+// Repeats the burst in a hundred random orders. In one of them, all slots go to a
 // workspace that has nothing else waiting. If the gate assumed that this workspace
 // keeps them, it would refuse the other workspaces' callers: six would be answered
 // where seventeen can be.
@@ -138,14 +138,14 @@
 	})
 }
 
-// The local region is full and another has free places. Small requests start there
+// The local region is full and another has free slots. Small requests start there
 // at once until it is full too, and the next one is refused.
 func TestGateCrossesRegionsForSmallRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		far := 2
+		remoteSlots := 2
 		gt := admission.NewGate(func(po admission.Pool) admission.Capacity {
 			if po.CrossRegion {
-				return admission.Capacity{EntrySlots: far, TotalSlots: 8}
+				return admission.Capacity{EntrySlots: remoteSlots, TotalSlots: 8}
 			}
 			return admission.Capacity{EntrySlots: 1, TotalSlots: 1}
 		})
@@ -153,7 +153,7 @@
 		local, err := gt.Enter(t.Context(), admission.Pool{}, work)
 		assert.NilError(t, err)
 		assert.Assert(t, !local.CrossRegion())
-		for range far {
+		for range remoteSlots {
 			ps, err := gt.Enter(t.Context(), admission.Pool{}, work)
 			assert.NilError(t, err)
 			assert.Assert(t, ps.CrossRegion())
--- a/core/admission/limits.go
+++ b/core/admission/limits.go
@@ -57,21 +57,21 @@
 	// of a single outlier.
 	smoothing = 1.0 / 8
 	// shareDeviations is how many standard deviations above its share of the
-	// places a workspace may be before it counts as a hog. Two cover random
+	// slots a workspace may be before it has to leave the reserve. Two cover random
 	// variation all but a few percent of the time.
 	shareDeviations = 2
-	// reserveDeviations is how many standard deviations of the others' usage a hog
-	// leaves free for them. With two, the others' p95 time to first token rises by
-	// half in a pool of twelve; with four, they gain nothing and the hog gets up
-	// to 7% less.
+	// reserveDeviations is how many standard deviations of the others' usage a
+	// workspace above its share leaves free for them. With two, the others' p95 time
+	// to first token rises by half in a pool of twelve; with four, they gain nothing
+	// and that workspace gets up to 7% less.
 	reserveDeviations = 3
 	// bytesPerToken is the size on the link of a generated token as a stream event.
 	bytesPerToken = 150
-	// crossingBytesPerSecond is the number of bytes that a request may send across
+	// crossRegionBytesPerSecond is the number of bytes that a request may send across
 	// regions per second of wait that it avoids. With it, a request with a short
 	// response crosses as soon as its region is full, a long draft only if it would
 	// wait for seconds, and one with a floor plan in its body hardly ever.
-	crossingBytesPerSecond = 64 << 10
+	crossRegionBytesPerSecond = 64 << 10
 	// minRateShare is the least fraction of a pool's rate assumed to be left to the
 	// queue, so that a moment in which none is left does not refuse all requests.
 	minRateShare = 0.1
@@ -82,7 +82,7 @@
 	// refused at full load.
 	waitMargin = 2
 	// infeasibleProbeInterval lets one in this many requests that look too long for
-	// their deadlines run anyway while places are free. The estimate may date from
+	// their deadlines run anyway while slots are free. The estimate may date from
 	// a slow period that is over, and only a response can correct it.
 	infeasibleProbeInterval = 16
 	// maxScan bounds the waiting workspaces checked for one that may start, so that
--- a/core/admission/load_test.go
+++ b/core/admission/load_test.go
@@ -48,7 +48,7 @@
 		{"half of the pool lost", func(sit *scenario) { sit.halfLost = true }, 0.8, 1, 0.8},
 		{"a region's upstreams cut off", func(sit *scenario) { sit.partitioned = true }, 0.6, 0.99, 0.98},
 		{"load reports one second old", func(sit *scenario) { sit.stale = true }, 0.8, 0.99, 0.98},
-		{"one workspace at ten times its share", func(sit *scenario) { *sit = sit.withHog() }, 0.8, 1, 0.7},
+		{"one workspace at ten times its share", func(sit *scenario) { *sit = sit.withNoisyWorkspace() }, 0.8, 1, 0.7},
 	}
 	for _, sc := range scenarios {
 		for _, build := range []func() scenario{landesamt, association} {
@@ -57,12 +57,12 @@
 				sit := shorten(build()).atLoad(sc.load).with(sc.change)
 				ours, fifo := simulate(sit, policy{}), simulate(sit, policy{fifo: true})
 				answeredShare := float64(ours.count(answered)) / float64(len(ours.requests))
-				t.Logf("in time %.3f, fifo %.3f; tokens %.0f, fifo %.0f; late %d; crossed %d", answeredShare,
-					float64(fifo.count(answered))/float64(len(fifo.requests)), ours.goodTokens(), fifo.goodTokens(), ours.lateRefusals(), ours.crossed)
+				t.Logf("in time %.3f, fifo %.3f; tokens %.0f, fifo %.0f; late %d; cross-region bytes %d", answeredShare,
+					float64(fifo.count(answered))/float64(len(fifo.requests)), ours.goodTokens(), fifo.goodTokens(), ours.lateRefusals(), ours.crossRegionBytes)
 				assert.Assert(t, ours.goodTokens() >= sc.better*fifo.goodTokens())
 				assert.Assert(t, answeredShare >= sc.inTime)
 				assert.Equal(t, ours.lateRefusals(), 0, "refusals sent more than 50ms after arrival")
-				assert.Assert(t, float64(ours.crossed) <= 2*450*1024*sit.length.Seconds(), "too many bytes over the paid link")
+				assert.Assert(t, float64(ours.crossRegionBytes) <= 2*450*1024*sit.length.Seconds(), "too many bytes over the paid link")
 			})
 		}
 	}
@@ -84,15 +84,15 @@
 
 // One workspace sends ten times its share, such as a script in a loop. The p95
 // latency of the other workspaces may rise by 15% at most.
-func TestHogIsContained(t *testing.T) {
+func TestNoisyWorkspaceIsContained(t *testing.T) {
 	for _, sh := range shapes() {
 		t.Run(sh.name, func(t *testing.T) {
 			t.Parallel()
 			sit := shorten(sh.make()).atLoad(0.6)
-			calm, hog := simulate(sit, policy{}), simulate(sit.withHog(), policy{})
-			assert.Assert(t, hog.percentile(0.95, "w9", whole) <= 1.15*calm.percentile(0.95, "w9", whole))
-			fifo := simulate(sit.withHog(), policy{fifo: true})
-			assert.Assert(t, fifo.percentile(0.95, "w9", whole) > 1.5*calm.percentile(0.95, "w9", whole), "the baseline policy passes too, so the scenario does not reproduce the fault")
+			quiet, noisy := simulate(sit, policy{}), simulate(sit.withNoisyWorkspace(), policy{})
+			assert.Assert(t, noisy.percentile(0.95, "w9", whole) <= 1.15*quiet.percentile(0.95, "w9", whole))
+			fifo := simulate(sit.withNoisyWorkspace(), policy{fifo: true})
+			assert.Assert(t, fifo.percentile(0.95, "w9", whole) > 1.5*quiet.percentile(0.95, "w9", whole), "the baseline policy passes too, so the scenario does not reproduce the fault")
 		})
 	}
 }
--- a/core/admission/outcome_test.go
+++ b/core/admission/outcome_test.go
@@ -9,13 +9,13 @@
 
 // outcome is the result of a simulation as its callers observed it.
 type outcome struct {
-	length   time.Duration
-	requests []*request
-	crossed  int
+	length           time.Duration
+	requests         []*request
+	crossRegionBytes int
 }
 
 func newOutcome(si *sim) *outcome {
-	return &outcome{length: si.sit.length, requests: si.requests, crossed: si.crossed}
+	return &outcome{length: si.sit.length, requests: si.requests, crossRegionBytes: si.crossRegionBytes}
 }
 
 // goodput returns the rate, per second, of responses in time while requests
--- a/core/admission/queue.go
+++ b/core/admission/queue.go
@@ -45,9 +45,9 @@
 	weight float64
 	// tag is the virtual start time of the next waiting request.
 	tag float64
-	// output and spread are the mean output and its mean absolute deviation, in
+	// output and outputDeviation are the mean output and its mean absolute deviation, in
 	// units.
-	output, spread float64
+	output, outputDeviation float64
 	// queued is the number of waiting units at each priority level, count the
 	// number of waiting requests over all levels.
 	queued  [levelCount]float64
@@ -116,7 +116,7 @@
 func (sp *workspaceState) observeOutput(output float64) {
 	deviation := output - sp.output
 	sp.output += smoothing * deviation
-	sp.spread += smoothing * (max(deviation, -deviation) - sp.spread)
+	sp.outputDeviation += smoothing * (max(deviation, -deviation) - sp.outputDeviation)
 }
 
 // workspaceHeap is a min-heap by tag of the workspaces with waiting requests.
--- a/core/admission/scenario_test.go
+++ b/core/admission/scenario_test.go
@@ -80,9 +80,9 @@
 	return sit
 }
 
-// withHog returns the scenario with the last workspace sending ten times its share
+// withNoisyWorkspace returns the scenario with the last workspace sending ten times its share
 // of the capacity.
-func (sit scenario) withHog() scenario {
+func (sit scenario) withNoisyWorkspace() scenario {
 	shares := 0
 	for _, te := range sit.tenants {
 		shares += te.share
--- a/core/admission/simulation_job_test.go
+++ b/core/admission/simulation_job_test.go
@@ -137,17 +137,17 @@
 	}
 	jo.en.pk.RecordFailure(jo.si.clock(), jo.up.host.ID)
 	jo.releaseSlot()
-	again := jo.tries.MayRetry(fl, true)
+	mayRetry := jo.tries.MayRetry(fl, true)
 	if jo.si.pol.retries {
-		again = jo.rq.dispatches < 3
+		mayRetry = jo.rq.dispatches < 3
 	}
-	if again {
+	if mayRetry {
 		jo.startAttempt()
 		return
 	}
 	jo.done = true
 	jo.si.setState(jo.rq, refused)
-	jo.releasePlace(nil)
+	jo.releaseAdmission(nil)
 }
 
 func (jo *job) finish(en requestState, us *core.Usage) {
@@ -155,12 +155,12 @@
 	jo.rq.whole = jo.si.now - jo.rq.arrived
 	if us != nil && jo.choice.CrossRegion {
 		bytes := int(us.Generated) * bytesPerToken
-		jo.si.crossed += bytes + 4*jo.rq.tenant.prompt
+		jo.si.crossRegionBytes += bytes + 4*jo.rq.tenant.prompt
 		jo.en.pk.ChargeCrossRegion(jo.si.clock(), bytes)
 	}
 	jo.si.setState(jo.rq, en)
 	jo.releaseSlot()
-	jo.releasePlace(us)
+	jo.releaseAdmission(us)
 }
 
 // releaseSlot releases the attempt's slot at the agent.
@@ -193,8 +193,8 @@
 	}
 }
 
-// releasePlace releases the request's place at the entry.
-func (jo *job) releasePlace(us *core.Usage) {
+// releaseAdmission ends the request's admission at the entry.
+func (jo *job) releaseAdmission(us *core.Usage) {
 	if jo.ti == nil {
 		return
 	}
--- a/core/admission/simulation_test.go
+++ b/core/admission/simulation_test.go
@@ -110,16 +110,16 @@
 // sim is a discrete-event simulation with virtual time and one seed. It runs the
 // production logic of entries and agents, and models engines by delays.
 type sim struct {
-	sit      scenario
-	pol      policy
-	rnd      *rand.Rand
-	now      time.Duration
-	seq      int
-	queue    events
-	entries  []*entry
-	ups      []*upstream
-	requests []*request
-	crossed  int // bytes
+	sit              scenario
+	pol              policy
+	rnd              *rand.Rand
+	now              time.Duration
+	seq              int
+	queue            events
+	entries          []*entry
+	ups              []*upstream
+	requests         []*request
+	crossRegionBytes int // bytes
 }
 
 type upstream struct {
@@ -367,5 +367,5 @@
 		jo.en.pk.RecordFailure(si.clock(), jo.up.host.ID)
 	}
 	jo.releaseSlot()
-	jo.releasePlace(nil)
+	jo.releaseAdmission(nil)
 }
--- a/core/placement/cross_region.go
+++ b/core/placement/cross_region.go
@@ -47,8 +47,8 @@
 }
 
 // pickCrossRegion picks an upstream of another region whose load is at most maxLoad
-// (0 means no bound). It serves a region that is so full that the request would be
-// refused, or that has lost all its upstreams, while another region has free
+// (0 means no bound). It is used when the local region is so full that the request
+// would be refused, or has lost all its upstreams, while another region has free
 // capacity. The budget bounds the cost, and keeps the traffic of the store and of
 // the configuration, which share the link, from queueing behind responses.
 func (pk *Picker) pickCrossRegion(fi *candidateSet, rq Request, draw func(n int) int, maxLoad float64) (Choice, bool) {
--- a/core/placement/outlier.go
+++ b/core/placement/outlier.go
@@ -19,9 +19,9 @@
 
 // upstreamStats holds the observations of one upstream.
 type upstreamStats struct {
-	// paceRatio is the moving average of its time per piece as a multiple of the
-	// pool's, so that streamed and whole responses can be averaged together.
-	paceRatio  float64
+	// slowdown is the moving average of its time per piece as a multiple of the pool's
+	// mean, so that streamed and whole responses can be averaged together.
+	slowdown   float64
 	markedSlow bool
 	pending    int
 	// since is the time of the last first piece or failure, or the time at which
@@ -30,8 +30,8 @@
 }
 
 const (
-	// slowRatio is the paceRatio above which an upstream is avoided, recoveredRatio
-	// the one below which it is used again. An engine's time per piece varies with
+	// slowRatio is the slowdown above which an upstream is avoided, recoveredRatio
+	// the slowdown below which it is used again. An engine's time per piece varies with
 	// its batch size, normally by less than twofold; the gap provides hysteresis, so
 	// that an upstream does not change state with each response.
 	slowRatio      = 3.0
@@ -43,7 +43,7 @@
 	// In a pool of four, a slow upstream would otherwise raise the mean to a third of
 	// its own time per piece before it is marked, and so never be marked.
 	maxPoolRatio = 2.0
-	// smoothing is the weight of the newest response in paceRatio. If it lowers the
+	// smoothing is the weight of the newest response in slowdown. If it lowers the
 	// ratio of an upstream marked slow, recoverySmoothing is used instead: such an
 	// upstream gets few attempts, so each must count more.
 	smoothing         = 0.25
@@ -84,7 +84,7 @@
 	pe := pk.upstreams[id]
 	if pe == nil {
 		pk.evictIdle()
-		pe = &upstreamStats{paceRatio: 1}
+		pe = &upstreamStats{slowdown: 1}
 		pk.upstreams[id] = pe
 	}
 	return pe
@@ -146,30 +146,30 @@
 // in a full pool, every upstream would look slow.
 func (pk *Picker) RecordPieces(po Pool, id core.UpstreamID, took time.Duration, pieces int) {
 	pl, pe := pk.pool(po), pk.upstream(id)
-	pace := max(took.Seconds(), 1e-6) / float64(max(pieces, 1))
+	perPiece := max(took.Seconds(), 1e-6) / float64(max(pieces, 1))
 	ratio := 1.0
 	if pl.secondsPerPiece.count > 0 {
-		ratio = min(pace/pl.secondsPerPiece.val, maxAnswerRatio)
+		ratio = min(perPiece/pl.secondsPerPiece.val, maxAnswerRatio)
 	}
 	weight := smoothing
-	if pe.markedSlow && ratio < pe.paceRatio {
+	if pe.markedSlow && ratio < pe.slowdown {
 		weight = recoverySmoothing
 	}
-	pe.paceRatio += weight * (ratio - pe.paceRatio)
+	pe.slowdown += weight * (ratio - pe.slowdown)
 	// An upstream marked slow does not affect the pool's mean; otherwise its speed
 	// would soon count as normal.
 	if !pe.markedSlow {
-		pl.secondsPerPiece.observe(pace, maxPoolRatio)
+		pl.secondsPerPiece.observe(perPiece, maxPoolRatio)
 	}
 	pl.updateSlow(pe)
 }
 
 func (pl *poolStats) updateSlow(pe *upstreamStats) {
 	switch {
-	case pe.paceRatio > slowRatio && !pe.markedSlow:
+	case pe.slowdown > slowRatio && !pe.markedSlow:
 		pe.markedSlow = true
 		pl.slowCount++
-	case pe.paceRatio < recoveredRatio && pe.markedSlow:
+	case pe.slowdown < recoveredRatio && pe.markedSlow:
 		pe.markedSlow = false
 		pl.slowCount--
 	}
--- a/core/placement/placement.go
+++ b/core/placement/placement.go
@@ -123,7 +123,7 @@
 }
 
 // Pick returns the upstream for an attempt, or false if there is none. It considers
-// at most [MaxSubset] candidates, and modifies only their Hash fields. Draw returns a
+// at most [MaxSubset] candidates, and modifies only their IDHash fields. Draw returns a
 // random number from 0 to n-1.
 //
 // Each entry sees only its own attempts and old load reports. If all entries took
@@ -246,7 +246,7 @@
 // utilisation returns the number of attempts at an upstream, including the new one,
 // divided by its slots. The attempts of other entries are known only from the load
 // report; as it ages, a number above the region's mean is moved towards the mean, so
-// that an old report of a full upstream does not repel attempts for too long.
+// that an old report of a full upstream does not divert attempts for too long.
 func utilisation(now time.Time, up *core.Upstream, mean float64) float64 {
 	slots := float64(max(up.Load.Slots, 1))
 	others := float64(max(up.Load.Running+up.Load.Queued-up.OwnAtReport, 0))
--- a/core/placement/placement_test.go
+++ b/core/placement/placement_test.go
@@ -139,14 +139,14 @@
 	}
 	rnd := rand.New(rand.NewPCG(1, 1))
 	now := time.Unix(1, 0)
-	run := func(pace time.Duration) (toSlow int) {
+	run := func(slowTime time.Duration) (toSlow int) {
 		for range 4000 {
 			ch, _ := pk.Pick(now, placement.Request{}, cands, rnd.IntN)
 			pk.RecordSent(now, ch.ID)
 			pk.RecordFirstPiece(now.Add(time.Millisecond), placement.Pool{}, ch.ID, now)
 			took := 10 * time.Millisecond
 			if ch.ID == "0" {
-				took = pace
+				took = slowTime
 				toSlow++
 			}
 			pk.RecordPieces(placement.Pool{}, ch.ID, took, 1)
@@ -170,7 +170,7 @@
 		}
 		hosts = append(hosts, ho)
 	}
-	count := func(sub []core.Host) (zone, region, far int) {
+	count := func(sub []core.Host) (zone, region, remote int) {
 		for _, ho := range sub {
 			switch {
 			case ho.Zone == "z0":
@@ -178,15 +178,15 @@
 			case ho.Region == "muc":
 				region++
 			default:
-				far++
+				remote++
 			}
 		}
-		return zone, region, far
+		return zone, region, remote
 	}
 	one := placement.Subset("entry-1", "z0", "muc", hosts)
 	assert.Equal(t, len(one), placement.MaxSubset)
-	zone, region, far := count(one)
-	assert.Assert(t, zone > region && region > 0 && far > 0, "%d %d %d", zone, region, far)
+	zone, region, remote := count(one)
+	assert.Assert(t, zone > region && region > 0 && remote > 0, "%d %d %d", zone, region, remote)
 	kept := map[core.UpstreamID]bool{}
 	for _, ho := range one {
 		kept[ho.ID] = true
@@ -202,7 +202,7 @@
 
 // Two entries share a region. An entry gets all free slots, and at least its even share
 // even if the other entry has filled the pool.
-func TestRoomIsSharedAmongEntries(t *testing.T) {
+func TestCapacityIsSharedAmongEntries(t *testing.T) {
 	pk := placement.New("a", "muc")
 	cands := []core.Upstream{upstream("1", "a", "muc", 0), upstream("2", "a", "muc", 0)}
 	assert.Equal(t, pk.Capacity(cands, 2), placement.Capacity{EntrySlots: 16, TotalSlots: 16})
--- a/core/placement/subset.go
+++ b/core/placement/subset.go
@@ -44,8 +44,8 @@
 			remote = append(remote, ho)
 		}
 	}
-	for _, tier := range [][]core.Host{zone, region, remote} {
-		slices.SortFunc(tier, func(aa, bb core.Host) int {
+	for _, group := range [][]core.Host{zone, region, remote} {
+		slices.SortFunc(group, func(aa, bb core.Host) int {
 			return cmp.Compare(mix(seed^Hash(bb.ID)), mix(seed^Hash(aa.ID)))
 		})
 	}
@@ -63,7 +63,7 @@
 }
 
 // Capacity returns the capacity of the local region's candidates, shared by a number of
-// entries. This entry's places are the slots that other entries leave free, but at
+// entries. EntrySlots is the number of slots that other entries leave free, but at
 // least an even share of all slots.
 //
 // If each entry got all slots, several of them together would overload the pool. If
