--- a/core/cascade/cascade_test.go
+++ b/core/cascade/cascade_test.go
@@ -49,8 +49,8 @@
 // A version gets thousands of good ratings within minutes, and then degrades. If each of
 // them counted as much as a new one, callers would get bad answers for as long again
 // before the estimate changes.
-func TestOldRatingsDoNotOutvoteNewOnes(t *testing.T) {
-	le, qu, now := cascade.NewLearner(), question(0, 0.9, 5), time.Unix(1_000_000, 0)
+func TestNewRatingsOutweighOldOnes(t *testing.T) {
+	le, qu, now := cascade.NewLearner(), newRequest(0, 0.9, 5), time.Unix(1_000_000, 0)
 	for i := range 6000 {
 		got := core.Quality(1)
 		if i >= 5000 {
@@ -65,8 +65,8 @@
 // A cheap version degrades, is no longer the first choice, and then recovers. Unless a
 // few requests explore it, the recovery is never detected and callers keep paying for
 // the costly one. More than a few explorations would cost more than they save.
-func TestRecoveredStageIsFoundAgain(t *testing.T) {
-	le, qu, now := cascade.NewLearner(), question(0, 0.9, 0), time.Unix(1_000_000, 0)
+func TestRecoveredStageIsChosenAgain(t *testing.T) {
+	le, qu, now := cascade.NewLearner(), newRequest(0, 0.9, 0), time.Unix(1_000_000, 0)
 	run := func(good core.Quality, draw float64) int {
 		now = now.Add(100 * time.Millisecond)
 		de := le.Start(now, qu, draw)
@@ -82,17 +82,17 @@
 	}
 	assert.Equal(t, run(0, 0.5), 1)
 	now = now.Add(3 * time.Hour) // The old observations have decayed.
-	explored, back := 0, 0
+	explored, chosen := 0, 0
 	for i := range 1000 {
 		draw := float64(i%100) / 100
 		if run(1, draw) == 0 && draw >= 0.02 {
-			back++
+			chosen++
 		} else if draw < 0.02 {
 			explored++
 		}
 	}
 	assert.Assert(t, explored <= 20)
-	assert.Assert(t, back > 900, "the cheap stage was the first choice for %d of 980 requests", back)
+	assert.Assert(t, chosen > 900, "the cheap stage was the first choice for %d of 980 requests", chosen)
 }
 
 // Without the rating service, a bad cheap answer can't be detected. The cheapest stage
@@ -109,7 +109,7 @@
 		{"no stage meets the target: the best one", 0.99, 1},
 	} {
 		t.Run(sc.testName, func(t *testing.T) {
-			assert.Equal(t, question(0, sc.target, 5).Fallback(), sc.stage)
+			assert.Equal(t, newRequest(0, sc.target, 5).Fallback(), sc.stage)
 		})
 	}
 }
--- a/core/cascade/figures_test.go
+++ b/core/cascade/figures_test.go
@@ -57,11 +57,11 @@
 			good[cl][ru] += re.quality
 		}
 	}
-	pick := func(worth float64) (total, quality float64) {
+	pick := func(answerValue float64) (total, quality float64) {
 		for cl := range cost {
 			best := 0
 			for ru := range rules {
-				if worth*good[cl][ru]-cost[cl][ru] > worth*good[cl][best]-cost[cl][best] {
+				if answerValue*good[cl][ru]-cost[cl][ru] > answerValue*good[cl][best]-cost[cl][best] {
 					best = ru
 				}
 			}
@@ -119,13 +119,15 @@
 }
 
 // outcome is the results of one mix with the two users' latency prices.
-type outcome struct{ calm, hasty *result }
+type outcome struct{ lowPrice, highPrice *result }
 
 func simulateBoth(requests []request, high core.Millicents, seed uint64) outcome {
 	return outcome{simulate(requests, figureTarget, landesamtPrice, seed), simulate(requests, figureTarget, high, seed)}
 }
 
-func (ou outcome) tailRatio() float64 { return ou.hasty.p95().Seconds() / ou.calm.p95().Seconds() }
+func (ou outcome) tailRatio() float64 {
+	return ou.highPrice.p95().Seconds() / ou.lowPrice.p95().Seconds()
+}
 
 // outcomesBySeed returns the outcomes of five seeds, sorted by their ratio of tail
 // latencies.
@@ -144,15 +146,15 @@
 	}
 	requests := generate(figureRequests, 1, classes[:])
 	ou := simulateBoth(requests, associationPrice, 1)
-	calm, hasty, five := ou.calm, ou.hasty, outcomesBySeed()
+	lowPrice, highPrice, five := ou.lowPrice, ou.highPrice, outcomesBySeed()
 	best := bestInHindsight(requests, figureTarget)
 	costliest := alwaysStage(requests, 1)
 
-	figure.AtLeast("cascade-quality-landesamt", calm.mean(), "share", figureTarget-0.005)
-	figure.AtLeast("cascade-quality-association", hasty.mean(), "share", figureTarget-0.005)
-	figure.AtMost("cascade-cost-over-best-in-hindsight", calm.cost/best, "ratio", 1.15)
-	figure.AtMost("cascade-cost-over-clairvoyant", calm.cost/clairvoyant(requests, figureTarget), "ratio", 1.15)
-	figure.AtLeast("cascade-cost-below-always-costliest", 1-calm.cost/costliest.cost, "share", 0.4)
+	figure.AtLeast("cascade-quality-landesamt", lowPrice.mean(), "share", figureTarget-0.005)
+	figure.AtLeast("cascade-quality-association", highPrice.mean(), "share", figureTarget-0.005)
+	figure.AtMost("cascade-cost-over-best-in-hindsight", lowPrice.cost/best, "ratio", 1.15)
+	figure.AtMost("cascade-cost-over-clairvoyant", lowPrice.cost/clairvoyant(requests, figureTarget), "ratio", 1.15)
+	figure.AtLeast("cascade-cost-below-always-costliest", 1-lowPrice.cost/costliest.cost, "share", 0.4)
 	figure.AtMost("cascade-p95-association-over-landesamt", five[2].tailRatio(), "ratio", 0.8)
 	figure.Unbounded("cascade-p95-association-over-landesamt-worst-of-five-seeds", five[4].tailRatio(), "ratio")
 	figure.Unbounded("cascade-p95-ratio-at-a-third-of-the-weight", simulateBoth(requests, associationPrice/3, 1).tailRatio(), "ratio")
@@ -160,13 +162,13 @@
 	figure.Unbounded("cascade-p95-ratio-with-one-draft-in-ten", simulateBoth(generate(figureRequests, 1, withDrafts[:]), associationPrice, 1).tailRatio(), "ratio")
 	worst := 1.0
 	for _, ou := range five {
-		worst = min(worst, ou.calm.mean(), ou.hasty.mean())
+		worst = min(worst, ou.lowPrice.mean(), ou.highPrice.mean())
 	}
 	figure.AtLeast("cascade-quality-worst-of-ten-runs", worst, "share", figureTarget-0.01)
 	for _, row := range []struct {
 		name string
 		re   *result
-	}{{"landesamt", calm}, {"association", hasty}, {"always-cheapest", alwaysStage(requests, 0)}, {"always-costliest", costliest}, {"fixed-cascade", fixedCascade(requests)}} {
+	}{{"landesamt", lowPrice}, {"association", highPrice}, {"always-cheapest", alwaysStage(requests, 0)}, {"always-costliest", costliest}, {"fixed-cascade", fixedCascade(requests)}} {
 		figure.Unbounded("cascade-"+row.name+"-cost-over-best", row.re.cost/best, "ratio")
 		figure.Unbounded("cascade-"+row.name+"-quality", row.re.mean(), "share")
 		figure.Unbounded("cascade-"+row.name+"-p95", float64(row.re.p95())/float64(time.Millisecond), "ms")
--- a/core/cascade/health.go
+++ b/core/cascade/health.go
@@ -18,7 +18,8 @@
 // RaterHealth is a circuit breaker for the rating service. It is safe for concurrent use.
 //
 // While the rating service is down, each request that waits for a rating is delayed
-// by the whole timeout. So only one request per probeInterval waits.
+// by the whole timeout. So after maxMisses late ratings in a row, only one request per
+// probeInterval waits, until a rating arrives in time.
 type RaterHealth struct {
 	mu        sync.Mutex
 	missed    int
--- a/core/cascade/learner.go
+++ b/core/cascade/learner.go
@@ -26,7 +26,8 @@
 	// predictive, since it was declared for all requests.
 	firstPriorWeight = 20
 	afterPriorWeight = 5
-	// costPriorWeight is the same for the declared cost and the assumed latency.
+	// costPriorWeight is the number of observations that the declared cost and the
+	// assumed latency count as.
 	costPriorWeight = 1
 	// assumedLatency is the latency assumed for a stage that was never run. It is
 	// the same for all stages, so that it favours none.
--- a/core/cascade/simulation_test.go
+++ b/core/cascade/simulation_test.go
@@ -92,7 +92,7 @@
 	return re.latencies[len(re.latencies)*95/100]
 }
 
-func question(class int, target core.Quality, price core.Millicents) *cascade.Request {
+func newRequest(class int, target core.Quality, price core.Millicents) *cascade.Request {
 	st := func(mo core.ModelID, qu core.Quality, cost core.Millicents) cascade.Stage {
 		return cascade.Stage{Target: core.ModelVersion{Model: mo, Version: "v1"}, DeclaredQuality: qu, Cost: cost}
 	}
@@ -112,7 +112,7 @@
 		now = now.Add(time.Duration(rnd.ExpFloat64() * float64(50*time.Millisecond)))
 		began := now
 		lo.Schedule(began, func(at time.Time) {
-			wk := &execution{le: le, lo: lo, re: re, as: as, qu: question(as.class, target, price), began: began, rnd: rnd}
+			wk := &execution{le: le, lo: lo, re: re, as: as, qu: newRequest(as.class, target, price), began: began, rnd: rnd}
 			wk.stage(at, le.Start(at, wk.qu, rnd.Float64()), cascade.First)
 		})
 	}
--- a/core/guard/guard.go
+++ b/core/guard/guard.go
@@ -1,9 +1,10 @@
 // Package guard is the last check before an upstream: whether an attempt may run here under the
 // configuration that is in force in the agent.
 //
-// The entry has checked the same against its own configuration. The two may differ for the seconds
-// in which a change propagates, and an entry may be paused between its check and its dispatch. The
-// agent is the only way to reach its upstream, so an attempt that it refuses does not run.
+// The entry has made the same check with its own configuration. The two configurations may differ
+// for the seconds in which a change propagates, and an entry may be paused between its check and its
+// dispatch. The agent is the only way to reach its upstream, so an attempt that it refuses does not
+// run.
 //
 // # Usage
 //
--- a/core/session/holder.go
+++ b/core/session/holder.go
@@ -70,7 +70,7 @@
 
 // Record records the versions that a session runs on, model by model. The latest one is
 // authoritative: a version changes only when the old one may not run any more, and every entry
-// refuses to run that one.
+// refuses to run the old one.
 func (ho *Holder) Record(key Key, vs Versions, now time.Time) {
 	ho.mu.Lock()
 	defer ho.mu.Unlock()
--- a/core/session/session.go
+++ b/core/session/session.go
@@ -37,7 +37,7 @@
 
 // ErrInvalidToken reports that a token was not signed with this keyring's secret, or is of another
 // workspace.
-var ErrInvalidToken = errors.New("session: token is not valid here")
+var ErrInvalidToken = errors.New("session: token was not signed with this secret or belongs to another workspace")
 
 // Keyring signs and verifies tokens. All entries share its secret.
 type Keyring struct{ secret []byte }
--- a/core/suspect/suspect.go
+++ b/core/suspect/suspect.go
@@ -1,6 +1,6 @@
-// Package suspect quarantines poisonous requests: rare requests that crash every
-// upstream they run on, and would crash one upstream after the other as their
-// callers retry them.
+// Package suspect quarantines poisonous requests (queries of death): rare requests
+// that crash every upstream they run on, and would crash one upstream after the
+// other as their callers retry them.
 //
 // The requests in flight on an upstream when it crashes become suspects. A
 // suspect may run once more, alone on an upstream: if that one crashes too,
@@ -12,8 +12,8 @@
 // # Usage
 //
 //	reg := suspect.New()
-//	switch ve := reg.Lookup(fp, now); ve.State { … }
-//	reg.RecordCrash(fp, solo, now)   // the upstream crashed with it in flight
+//	switch re := reg.Lookup(fp, now); re.State { … }
+//	reg.RecordCrash(fp, alone, now)   // the upstream crashed with it in flight
 //	reg.ClearSuspect(fp)              // it succeeded
 package suspect
 
--- a/core/suspect/suspect_test.go
+++ b/core/suspect/suspect_test.go
@@ -47,7 +47,7 @@
 
 // A caller retries a booking that ran, and gets the stored answer. If the wrapper around
 // the answer hid its ReplayOf, the caller would pay twice.
-func TestGuardKeepsReplayOf(t *testing.T) {
+func TestUpstreamsKeepReplayOf(t *testing.T) {
 	ups := suspect.NewUpstreams(core.NewDeps(), new(pool), suspect.New(), func(suspect.Record) {})
 	ans, err := ups.Dispatch(t.Context(), "orders-1", attempt("booking"))
 	assert.NilError(t, err)
--- a/core/suspect/upstreams.go
+++ b/core/suspect/upstreams.go
@@ -41,9 +41,9 @@
 		return nil, core.Refuse(core.CodeSuspected, copyRetryAfter, "an upstream crashed with this request in flight; a copy of it runs alone now")
 	}
 	ru := &run{ups: ups, fp: fp, alone: re.State == Suspected, upstream: id}
-	solo := *at
-	solo.Exclusive = ru.alone
-	ans, err := ups.Upstreams.Dispatch(ctx, id, &solo)
+	exclusive := *at
+	exclusive.Exclusive = ru.alone
+	ans, err := ups.Upstreams.Dispatch(ctx, id, &exclusive)
 	if err != nil {
 		ru.handleError(err)
 		return nil, err
--- a/core/topology/topology.go
+++ b/core/topology/topology.go
@@ -2,8 +2,8 @@
 // watch the platform's store, and which entries the others receive it from.
 //
 // A waiting watch counts as a call of the store, so 360 entries must not all watch it. In each
-// availability zone two preferred readers do, and the others keep links to them. Agents receive the
-// configuration from the entries that they are linked with.
+// availability zone two entries, the preferred readers, do; the others keep links to them. Agents
+// receive the configuration from the entries that they are linked with.
 //
 // # Usage
 //
@@ -53,8 +53,8 @@
 }
 
 // WatchesStore reports whether an entry watches the store itself: if it is a preferred reader, if
-// the host list does not contain it, or if it has received no recent update from its readers. A
-// wrong result costs only an additional watch.
+// the host list does not contain it, or if fresh is false, which means that it has received no
+// recent update from its readers. A wrong result costs only an additional watch.
 func WatchesStore(hosts []core.Host, self core.Host, fresh bool) bool {
 	readers := Readers(hosts, self.Zone)
 	listed := slices.ContainsFunc(hosts, func(ho core.Host) bool { return ho.Role == core.RoleEntry && ho.Addr == self.Addr })
