--- a/core/chain/chain.go
+++ b/core/chain/chain.go
@@ -105,9 +105,9 @@
 // createWithRetry retries one write until its outcome is known.
 //
 // After a lost reply there are three cases: the write took effect, it did not, or it still may
-// because it is in flight. Reading the key back identifies the first. The other two cannot be told
-// apart, so the same record is written again: if the first write takes effect late, the entry is
-// still this call's.
+// because it is in flight. Reading the key back identifies the first. The other two cannot be
+// distinguished, so the same record is written again: if the first write takes effect late, the
+// entry is still this call's.
 func (ch *Chain) createWithRetry(ctx context.Context, n uint64, rec record) error {
 	raw, err := json.Marshal(rec)
 	if err != nil {
@@ -122,6 +122,7 @@
 		case errors.Is(err, core.ErrConflict):
 			return struct{}{}, ch.confirmOwn(ctx, n, rec.Nonce)
 		case errors.Is(err, core.ErrUnavailable) && !uncertain:
+			// Only while no earlier reply was lost does this mean that nothing was written.
 			return struct{}{}, backoff.Permanent(ErrStoreUnavailable)
 		default:
 			uncertain = true
@@ -131,8 +132,8 @@
 	_, err = backoff.Retry(ctx, try, backoff.WithBackOff(newBackOff()), backoff.WithMaxElapsedTime(0))
 	switch {
 	case err == nil:
-		// The seal updates the head too: it is the last entry, so a reader can tell a chain that lost
-		// an entry before the seal from one that never had it.
+		// The seal updates the head too: it is the last entry, so a reader can distinguish a chain
+		// that lost an entry before the seal from one that never had it.
 		if n%HeadInterval == 0 || rec.Seal {
 			ch.updateHead(ctx, n)
 		}
@@ -249,7 +250,7 @@
 }
 
 // HeadInterval is the number of entries between two updates of the head. An update takes two calls
-// and saves its readers at most this many.
+// to the store and saves each reader that looks for the last entry at most HeadInterval reads.
 const HeadInterval = 8
 
 // updateHead moves the head forward, at best effort.
--- a/core/chain/chain_test.go
+++ b/core/chain/chain_test.go
@@ -114,7 +114,7 @@
 		}
 		err = wo.ch.Compact(context.Background(), last-1, fmt.Appendf(nil, "%q", fmt.Sprint(sum[:last-1])))
 		if errors.Is(err, chain.ErrNotAccepted) {
-			wo.addViolation("entry %d was read but Fold reports that it is not accepted", last)
+			wo.addViolation("entry %d was read but Compact reports that it is not accepted", last)
 		}
 	})
 }
@@ -150,8 +150,8 @@
 
 // Writers race for the next entry, are paused before they write and resume on a sealed or compacted
 // chain, while the store loses replies, applies writes late and is down. A broken chain shows as an
-// accepted configuration that is missing or changed, or as an entry that two operators both take
-// for their own.
+// accepted configuration that is missing or changed, or as an entry that two operators both
+// report as their own.
 func TestChainAcceptsOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rapid.Check(noDeadline{t}, func(rt *rapid.T) {
@@ -257,8 +257,8 @@
 
 // A compacted chain is read by a process that starts months later, and a writer that was paused
 // since the first entry resumes on it. The reader must find everything in the snapshot and the
-// entries after it; the writer must learn that it lost, although the entry that it tries to write
-// was pruned.
+// entries after it; the writer must get ErrTaken, although the entry that it tries to write was
+// pruned.
 func TestCompactedChain(t *testing.T) {
 	st := fakestore.New()
 	ch := chain.New(st, "row")
--- a/core/chain/snapshot.go
+++ b/core/chain/snapshot.go
@@ -13,7 +13,8 @@
 // Snapshot replaces the entries 1 to Through.
 type Snapshot struct {
 	Through uint64 `json:"through"`
-	// Pruned is the last entry that was to be pruned before this snapshot was written.
+	// Pruned is the last entry that was pruned when this snapshot was written. The next Compact starts
+	// after it.
 	Pruned  uint64          `json:"pruned"`
 	Payload json.RawMessage `json:"payload"`
 }
--- a/core/claim/archive_test.go
+++ b/core/claim/archive_test.go
@@ -126,8 +126,8 @@
 }
 
 // While a bucket is archived, the store loses the reply to the segment's write, or the segment
-// itself. The next attempt to archive then finds a segment that holds fewer claims than the bucket
-// has done by then. A claim that is in neither would run again when its caller retries it.
+// itself. The next attempt to archive then finds a segment that holds fewer claims than are done in
+// the bucket by then. A claim that is in neither would run again when its caller retries it.
 func TestArchiveInDoubt(t *testing.T) {
 	for _, faults := range []fakestore.Faults{{LoseReply: 1}, {LoseWrite: 1}, {Refuse: 1}} {
 		synctest.Test(t, func(t *testing.T) {
--- a/core/claim/bucket.go
+++ b/core/claim/bucket.go
@@ -111,6 +111,7 @@
 	justLoaded := !bu.loaded
 	ed, results, ok := bu.edit(open)
 	if ok && !justLoaded && hasProvisional(results) {
+		// A provisional result holds only for the newest value, so the bucket is read again.
 		bu.loaded = false
 		ed, results, ok = bu.edit(open)
 	}
--- a/core/claim/harness_test.go
+++ b/core/claim/harness_test.go
@@ -171,7 +171,7 @@
 			wo := newHarness(3)
 			defer wo.stop()
 			rt.Repeat(wo.actions())
-			wo.heal()
+			wo.removeFaults()
 			wo.checkInvariants(rt)
 			wo.checkUnusedKeysClaimable(rt)
 			wo.checkLinearizable(rt)
@@ -219,8 +219,8 @@
 	}
 }
 
-// heal removes all faults and waits until every pending call and write has ended.
-func (wo *harness) heal() {
+// removeFaults removes all faults and waits until every pending call and write has ended.
+func (wo *harness) removeFaults() {
 	wo.st.SetFaults(fakestore.Faults{})
 	wo.calls.Wait()
 	time.Sleep(10 * time.Second)
--- a/core/claim/linearizability_test.go
+++ b/core/claim/linearizability_test.go
@@ -106,8 +106,8 @@
 	return []modelClaim{after}
 }
 
-// checkLinearizable checks that each key's history is that of one claim that processes its
-// operations one at a time.
+// checkLinearizable checks that each key's history is linearizable: some sequential order of its
+// operations explains their results.
 func (wo *harness) checkLinearizable(rt *rapid.T) {
 	model := porcupine.NondeterministicModel{
 		Init: func() []any { return []any{modelClaim{}} },
--- a/core/claim/table_test.go
+++ b/core/claim/table_test.go
@@ -47,8 +47,8 @@
 	}
 }
 
-// A store that is down refuses before anything is written: the caller must be told at once that
-// nothing was claimed, and the same key must work once the store is up again.
+// A store that is down refuses before anything is written: the caller must get at once the error
+// that nothing was claimed, and the same key must work once the store is up again.
 func TestStoreDown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		wo := newHarness(1)
--- a/core/claim/value.go
+++ b/core/claim/value.go
@@ -69,6 +69,8 @@
 	changed    bool
 }
 
+// newEditor returns an editor of a copy of val, without the claims and segments that retention
+// drops. Dropping alone does not count as a change.
 func newEditor(tbl *Table, now time.Time, val *bucketValue, seg *segmentIndex, archived map[fingerprint]record) *editor {
 	ed := &editor{self: tbl.deps.Self, retention: tbl.retention, maxBytes: tbl.maxBucketBytes, now: now, archived: archived}
 	ed.val = bucketValue{Floor: val.Floor, First: max(val.First, 1), Last: val.Last}
--- a/core/ledger/bill.go
+++ b/core/ledger/bill.go
@@ -6,9 +6,9 @@
 //
 // A process that appears to be gone may only be paused. So its chain is sealed before another
 // process files its bills, and from then on all its bills, whichever process files them, go into
-// one more chain, ledger/<process>/takeover. The writer of an entry there has read all earlier
-// entries, and files no bill that one of them holds. The entries are serial, so no bill can be in
-// two; spec/billing.pml is the model of it.
+// one more chain, ledger/<process>/takeover. Before a process writes an entry there, it reads all
+// earlier entries and leaves out the bills that they hold. Each entry is created once, after the one
+// before it, so no bill can be in two entries; spec/billing.pml models this protocol.
 //
 // A bill is identified by its last attempt, which no other bill has. The request id does not
 // identify it: callers may choose it, and send the same id twice.
@@ -50,7 +50,8 @@
 	ReplayOf core.AttemptID `json:"replay-of,omitempty"`
 }
 
-// ID returns the attempt that gave the whole answer. No two bills share one.
+// ID returns the attempt of the bill's last line, which produced the complete answer. No two bills
+// share it.
 func (bi *Bill) ID() core.AttemptID {
 	if len(bi.Lines) == 0 {
 		return core.AttemptID(bi.Request)
--- a/core/ledger/chains.go
+++ b/core/ledger/chains.go
@@ -40,8 +40,9 @@
 	return &chains{store: st, process: process, own: chain.New(st, name), takeover: chain.New(st, name+"/takeover")}
 }
 
-// addToIndex adds the process to the index. It must precede the first entry of a chain: bills of a
-// process that is missing in the index would be durable but would appear on no account.
+// addToIndex adds the process to the index. It must be called before the first entry of a chain is
+// written: bills of a process that is missing in the index would be durable but would appear on no
+// account.
 //
 // It reads first: successors usually find the process in the index, and the store accepts several
 // times as many reads as writes.
--- a/core/ledger/copies/copies_test.go
+++ b/core/ledger/copies/copies_test.go
@@ -26,7 +26,7 @@
 	scenarios := []struct {
 		testName string
 		linked   []core.ProcessID
-		forget   time.Duration
+		durable  time.Duration // when two of the copies are reported durable; 0 if never
 		last     time.Duration
 		leaving  bool
 		expected []offer
@@ -52,7 +52,7 @@
 			assert.Assert(t, !set.Add("gone", "at-3", []byte("too long"), start))
 			var got []offer
 			for d := time.Duration(0); d <= sc.last; d += time.Second {
-				if sc.forget > 0 && d == sc.forget {
+				if sc.durable > 0 && d == sc.durable {
 					set.Remove([]core.AttemptID{"at-1", "at-2", "at-9"})
 				}
 				for _, ho := range set.Due(start.Add(d), sc.linked) {
@@ -61,8 +61,8 @@
 				}
 			}
 			assert.Equal(t, fmt.Sprint(got), fmt.Sprint(sc.expected))
-			assert.Assert(t, (set.Len() == 0) == (sc.forget > 0))
-			assert.Assert(t, (set.CountUnlinked(sc.linked) == 0) == (sc.forget > 0 || slices.Contains(sc.linked, "gone")))
+			assert.Assert(t, (set.Len() == 0) == (sc.durable > 0))
+			assert.Assert(t, (set.CountUnlinked(sc.linked) == 0) == (sc.durable > 0 || slices.Contains(sc.linked, "gone")))
 		})
 	}
 }
--- a/core/ledger/property_test.go
+++ b/core/ledger/property_test.go
@@ -137,7 +137,7 @@
 func (wo *harness) check(t *rapid.T) {
 	acc, err := ledger.Sum(context.Background(), wo.st)
 	assert.NilError(t, err)
-	assert.Equal(t, len(acc.Duplicated), 0, "doubled: %v", acc.Duplicated)
+	assert.Equal(t, len(acc.Duplicated), 0, "bills stored twice: %v", acc.Duplicated)
 	assert.Equal(t, len(acc.Faults), 0, "faults: %v", acc.Faults)
 	wo.mu.Lock()
 	defer wo.mu.Unlock()
@@ -182,8 +182,8 @@
 	wo.finish(t)
 }
 
-// By default the property test runs with one seed and takes a second or two; rapid's flags set
-// others.
+// By default the property test runs with one seed and takes a second or two. rapid's flags override
+// the seed and the number of checks.
 const (
 	seed   = "7"
 	checks = "500"
--- a/core/ledger/store_test.go
+++ b/core/ledger/store_test.go
@@ -94,10 +94,10 @@
 	dead bool
 }
 
-func (fl *faultyStore) set(broken float64, dead bool) {
+func (fl *faultyStore) set(faultShare float64, dead bool) {
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
-	fl.faultShare, fl.dead = broken, dead
+	fl.faultShare, fl.dead = faultShare, dead
 }
 
 // maxPause is the longest pause of a process at one call.
--- a/core/ledger/sum.go
+++ b/core/ledger/sum.go
@@ -34,7 +34,8 @@
 type Balance struct {
 	Requests int
 	Total    core.Millicents
-	// Retried counts whole answers to retried requests. They are not charged.
+	// Retried counts complete answers to retries of a request that is already charged. They are not
+	// charged.
 	Retried int
 }
 
@@ -84,8 +85,8 @@
 	return append(own, takeover...), nil
 }
 
-// readChain reads a chain to its end. An absent entry is the end unless the hint of the head, or
-// the entry after it, shows that the chain continues.
+// readChain reads a chain to its end. An absent entry is the end unless the chain's head key or
+// the entry after the absent one shows that the chain continues.
 func (acc *Account) readChain(ctx context.Context, chs *chains, ch *chain.Chain, name string) ([]Bill, bool, error) {
 	var all []Bill
 	sealed := false
@@ -110,7 +111,7 @@
 			return nil, sealed, eris.Wrapf(storeError(err), "%s, entry %d", name, n)
 		}
 		if sealed {
-			acc.addFault("%s: entry %d stands after the seal", name, n)
+			acc.addFault("%s: entry %d was written after the seal", name, n)
 		}
 		sealed = sealed || en.Seal
 		bis, err := decodeBills(en)
--- a/core/ledger/sum_test.go
+++ b/core/ledger/sum_test.go
@@ -29,33 +29,33 @@
 
 // A caller retries a request because the answer was late or the entry died before it filed the bill
 // of an operation that ran; each entry that served it has filed a bill; or entries of the ledger
-// are lost or doubled by a fault of the store or of this product. The customer's account must show
-// each request once, and the operator must see each fault by name.
+// are lost or duplicated by a fault of the store or of this product. The customer's account must
+// show each request once, and the operator must see each fault by name.
 func TestAccountChargesOnceAndNamesFaults(t *testing.T) {
 	first := bill("r1", "a1", "x", 0)
-	replay, again := bill("r2", "a2", "x", -time.Second), bill("r2", "a3", "x", time.Second)
-	replay.ReplayOf, again.ReplayOf = "a1", "a1"
+	replay, laterReplay := bill("r2", "a2", "x", -time.Second), bill("r2", "a3", "x", time.Second)
+	replay.ReplayOf, laterReplay.ReplayOf = "a1", "a1"
 	scenarios := []struct {
 		testName string
 		entries  []entry
 		expected string
 	}{
-		{"two requests", []entry{{"p", 1, []ledger.Bill{first, bill("r2", "a2", "x", 0)}}}, "2 requests 1400, 0 resent, doubled [], faults []"},
-		{"sent again to another entry", []entry{{"p", 1, []ledger.Bill{first}}, {"q", 1, []ledger.Bill{bill("r1", "a2", "x", time.Minute)}}},
-			"1 requests 700, 1 resent, doubled [], faults []"},
-		{"same id for another body", []entry{{"p", 1, []ledger.Bill{first, bill("r1", "a2", "y", 0)}}}, "2 requests 1400, 0 resent, doubled [], faults []"},
-		{"same id on the next day", []entry{{"p", 1, []ledger.Bill{first, bill("r1", "a2", "x", 24*time.Hour)}}}, "2 requests 1400, 0 resent, doubled [], faults []"},
-		{"stored answer", []entry{{"p", 1, []ledger.Bill{first, replay}}}, "2 requests 700, 0 resent, doubled [], faults []"},
-		{"stored answers whose first bill was lost", []entry{{"p", 1, []ledger.Bill{again, replay}}}, "2 requests 700, 0 resent, doubled [], faults []"},
+		{"two requests", []entry{{"p", 1, []ledger.Bill{first, bill("r2", "a2", "x", 0)}}}, "2 requests 1400, 0 retried, duplicated [], faults []"},
+		{"retried at another entry", []entry{{"p", 1, []ledger.Bill{first}}, {"q", 1, []ledger.Bill{bill("r1", "a2", "x", time.Minute)}}},
+			"1 requests 700, 1 retried, duplicated [], faults []"},
+		{"same id for another body", []entry{{"p", 1, []ledger.Bill{first, bill("r1", "a2", "y", 0)}}}, "2 requests 1400, 0 retried, duplicated [], faults []"},
+		{"same id on the next day", []entry{{"p", 1, []ledger.Bill{first, bill("r1", "a2", "x", 24*time.Hour)}}}, "2 requests 1400, 0 retried, duplicated [], faults []"},
+		{"stored answer", []entry{{"p", 1, []ledger.Bill{first, replay}}}, "2 requests 700, 0 retried, duplicated [], faults []"},
+		{"stored answers whose first bill was lost", []entry{{"p", 1, []ledger.Bill{laterReplay, replay}}}, "2 requests 700, 0 retried, duplicated [], faults []"},
 		{"bill in two entries", []entry{{"p", 1, []ledger.Bill{first}}, {"p", 2, nil}, {"p/takeover", 1, []ledger.Bill{first}}},
-			"1 requests 700, 0 resent, doubled [r1], faults []"},
+			"1 requests 700, 0 retried, duplicated [r1], faults []"},
 		{"entry missing", []entry{{"p", 1, []ledger.Bill{first}}, {"p", 3, []ledger.Bill{bill("r2", "a2", "x", 0)}}},
-			"2 requests 1400, 0 resent, doubled [], faults [ledger/p: entry 2 is missing]"},
+			"2 requests 1400, 0 retried, duplicated [], faults [ledger/p: entry 2 is missing]"},
 		{"last entry missing", []entry{{"p", 1, []ledger.Bill{first}}, {"p", 3, nil}}, ""},
 		{"takeover without a seal", []entry{{"p", 1, []ledger.Bill{first}}, {"p/takeover", 1, []ledger.Bill{bill("r2", "a2", "x", 0)}}},
-			"2 requests 1400, 0 resent, doubled [], faults [ledger/p has a takeover chain but no seal]"},
+			"2 requests 1400, 0 retried, duplicated [], faults [ledger/p has a takeover chain but no seal]"},
 		{"entry after the seal", []entry{{"p", 1, nil}, {"p", 2, []ledger.Bill{first}}},
-			"1 requests 700, 0 resent, doubled [], faults [ledger/p: entry 2 stands after the seal]"},
+			"1 requests 700, 0 retried, duplicated [], faults [ledger/p: entry 2 was written after the seal]"},
 	}
 	for _, sc := range scenarios {
 		t.Run(sc.testName, func(t *testing.T) {
@@ -66,12 +66,12 @@
 			if sc.expected == "" {
 				// The hint of the head refers to an entry that is gone.
 				assert.NilError(t, st.Delete(t.Context(), "ledger/p/3", 0))
-				sc.expected = "1 requests 700, 0 resent, doubled [], faults [ledger/p: entry 2 is missing ledger/p: entry 3 is missing]"
+				sc.expected = "1 requests 700, 0 retried, duplicated [], faults [ledger/p: entry 2 is missing ledger/p: entry 3 is missing]"
 			}
 			acc, err := ledger.Sum(t.Context(), st)
 			assert.NilError(t, err)
 			ba := acc.Workspaces["schools"]
-			got := fmt.Sprintf("%d requests %d, %d resent, doubled %v, faults %v", ba.Requests, ba.Total, ba.Retried, acc.Duplicated, acc.Faults)
+			got := fmt.Sprintf("%d requests %d, %d retried, duplicated %v, faults %v", ba.Requests, ba.Total, ba.Retried, acc.Duplicated, acc.Faults)
 			assert.Equal(t, got, sc.expected)
 		})
 	}
--- a/core/ledger/writer.go
+++ b/core/ledger/writer.go
@@ -131,7 +131,7 @@
 		case <-time.After(wait):
 		}
 		wctx, cancel := context.WithTimeout(ctx, writeTimeout)
-		if _, err := wr.step(wctx); err != nil && ctx.Err() == nil {
+		if _, err := wr.writeNextSegment(wctx); err != nil && ctx.Err() == nil {
 			event.Log(wr.deps.Log, event.SegmentLate, "error", err)
 		}
 		cancel()
@@ -170,14 +170,15 @@
 // Flush writes all waiting bills. Those that could not be written keep waiting.
 func (wr *Writer) Flush(ctx context.Context) error {
 	for {
-		if more, err := wr.step(ctx); err != nil || !more {
+		if more, err := wr.writeNextSegment(ctx); err != nil || !more {
 			return err
 		}
 	}
 }
 
-// step tries to write one segment and reports whether there was one to write.
-func (wr *Writer) step(ctx context.Context) (bool, error) {
+// writeNextSegment tries to write the pending segment, or a new one of the waiting bills, and
+// reports whether there was one to write.
+func (wr *Writer) writeNextSegment(ctx context.Context) (bool, error) {
 	if err := wr.acquire(ctx); err != nil {
 		return false, err
 	}
@@ -259,7 +260,8 @@
 
 // switchToTakeover leaves the own chain, which a successor has sealed at entry n because it
 // considered this process gone. Continuing in the own chain would file bills that the successor has
-// already filed from the agents' copies: bills would be doubled after each long pause of an entry.
+// already filed from the agents' copies: after each long pause of an entry, bills would be stored
+// twice.
 // In the takeover chain every entry of a successor is read before the next one is written.
 func (wr *Writer) switchToTakeover(n uint64) {
 	wr.mu.Lock()
