--- a/core/declaration/check.go
+++ b/core/declaration/check.go
@@ -13,8 +13,8 @@
 }
 
 // CheckChange validates a document and the change to it from the current one. It
-// returns nil or [Mistakes]. The first document is a change from an empty one: no
-// caller is served yet, so no change is too large.
+// returns nil or [Mistakes]. For the first document, from is empty: no caller is
+// served yet, so the rules about changes find nothing.
 func CheckChange(from, to *Document) error {
 	fi := to.inspect()
 	inspectChange(fi, from, to)
@@ -63,7 +63,7 @@
 func (ar AcceptRisk) covers(mi Mistake) bool { return Rule(ar.Rule) == mi.Rule && ar.Place == mi.Place }
 
 // resolveRisks returns the mistakes and the risks that the document does not accept.
-// Change reports that the findings include those about a change.
+// If change is set, fi includes findings about a change.
 //
 // An accepted risk that was not found is a mistake too: if the entry stayed in the
 // file, it would accept the same risk in a later change, unintentionally.
@@ -77,9 +77,9 @@
 		out = append(out, mi)
 	}
 	for i, ar := range doc.AcceptRisks {
-		rest := &findings{}
-		rest.checkAcceptRisk(i, ar, fi.risks, change)
-		out = append(out, rest.mistakes...)
+		entry := &findings{}
+		entry.checkAcceptRisk(i, ar, fi.risks, change)
+		out = append(out, entry.mistakes...)
 	}
 	return out
 }
--- a/core/declaration/check_rollouts.go
+++ b/core/declaration/check_rollouts.go
@@ -50,7 +50,7 @@
 		}
 		mo := ch.sn.Model(wd.Model)
 		switch {
-		case !ch.sn.anyLeft(mo):
+		case !ch.sn.hasVersionLeft(mo):
 			ch.add(OnlyVersionWithdrawn, place, fmt.Sprintf("every version of %s is withdrawn, so every request for it would be rejected", mo.ID), "declare a replacement version first")
 		case mo.Stable == wd.Version:
 			ch.add(StableWithdrawn, fmt.Sprintf("models[%s].stable", mo.ID), fmt.Sprintf("%s is withdrawn, so new sessions have no stable version", wd.target()), "name a version as stable that is not withdrawn")
--- a/core/declaration/check_workspaces.go
+++ b/core/declaration/check_workspaces.go
@@ -33,7 +33,7 @@
 			}
 		}
 		for _, id := range ws.Cascades {
-			ch.mayCascade(ws, id)
+			ch.checkWorkspaceCascade(ws, id)
 		}
 	}
 }
@@ -61,7 +61,7 @@
 		return
 	}
 	mo := ch.sn.Model(al.Model)
-	if !ch.sn.canServe(ws.ID, mo) && ch.sn.anyLeft(mo) {
+	if !ch.sn.canServe(ws.ID, mo) && ch.sn.hasVersionLeft(mo) {
 		ch.add(NoVersionLeft, place, fmt.Sprintf("every version of %s that the workspace may use is withdrawn, so its requests would be rejected", al.Model),
 			"allow a version that can serve")
 	}
@@ -97,8 +97,8 @@
 	return false
 }
 
-// anyLeft reports whether a model has a version that is not withdrawn.
-func (sn *Snapshot) anyLeft(mo *Model) bool {
+// hasVersionLeft reports whether a model has a version that is not withdrawn.
+func (sn *Snapshot) hasVersionLeft(mo *Model) bool {
 	for _, ve := range mo.Versions {
 		if !sn.Withdrawn(core.ModelVersion{Model: mo.ID, Version: ve.ID}) {
 			return true
@@ -107,8 +107,8 @@
 	return false
 }
 
-// mayCascade validates a cascade in the list of a workspace.
-func (ch *checker) mayCascade(ws *Workspace, id core.CascadeID) {
+// checkWorkspaceCascade validates a cascade in the list of a workspace.
+func (ch *checker) checkWorkspaceCascade(ws *Workspace, id core.CascadeID) {
 	place := fmt.Sprintf("workspaces[%s].cascades[%s]", ws.ID, id)
 	ca := ch.sn.Cascade(id)
 	if ca == nil {
--- a/core/declaration/publish/matrix_test.go
+++ b/core/declaration/publish/matrix_test.go
@@ -34,20 +34,21 @@
 	calls    int
 }
 
-func (fs *faultyStore) hit() bool {
+// countCall counts a call and reports whether the fault applies to it.
+func (fs *faultyStore) countCall() bool {
 	fs.calls++
 	return fs.calls == fs.at || fs.persists && fs.calls > fs.at
 }
 
 func (fs *faultyStore) Get(ctx context.Context, key string) (core.Item, error) {
-	if fs.hit() && fs.fault == refusedCall {
+	if fs.countCall() && fs.fault == refusedCall {
 		return core.Item{}, core.ErrUnavailable
 	}
 	return fs.fakeStore.Get(ctx, key)
 }
 
 func (fs *faultyStore) Create(ctx context.Context, key string, val []byte, lease core.LeaseID) (core.Revision, error) {
-	if !fs.hit() {
+	if !fs.countCall() {
 		return fs.fakeStore.Create(ctx, key, val, lease)
 	}
 	switch fs.fault {
--- a/core/declaration/publish/publish.go
+++ b/core/declaration/publish/publish.go
@@ -11,7 +11,7 @@
 //
 //	pub := publish.New(store)
 //	res, err := pub.Apply(ctx, publish.Proposal{Document: doc, Base: 7, Who: "mei", Why: "desk v2 to 10%"})
-//	var lost *publish.Uncertain   // errors.As: it is unknown whether the change was accepted
+//	var un *publish.Uncertain   // errors.As: it is unknown whether the change was accepted
 package publish
 
 import (
--- a/core/declaration/rebase_test.go
+++ b/core/declaration/rebase_test.go
@@ -33,8 +33,8 @@
 	assert.DeepEqual(t, declaration.Diff(&want, &got), []string{})
 }
 
-// Two operators change the same workspace. The error must tell the second who made the
-// other change, when and why, so that they can agree instead of overwriting it.
+// Two operators change the same workspace. The error must state who made the other
+// change, when and why, so that they can agree instead of overwriting it.
 func TestRebaseReportsAClashWithTheOtherChange(t *testing.T) {
 	base, theirs, later, mine := validDocument(), validDocument(), validDocument(), validDocument()
 	theirs.Workspaces[1].Share = 4
@@ -63,7 +63,7 @@
 func TestRebaseLosesNoChange(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		base := validDocument()
-		theirs, mine := edited(rt, "theirs"), edited(rt, "mine")
+		theirs, mine := drawEdited(rt, "theirs"), drawEdited(rt, "mine")
 		got, err := declaration.Rebase(generation(1, "ana", base), []*declaration.Generation{generation(2, "mei", theirs)}, mine)
 		own, other := declaration.ChangedScopes(base, mine), declaration.ChangedScopes(base, theirs)
 		if err != nil {
@@ -90,7 +90,8 @@
 	return false
 }
 
-func edited(rt *rapid.T, who string) *declaration.Document {
+// drawEdited draws edits of a valid document.
+func drawEdited(rt *rapid.T, who string) *declaration.Document {
 	doc := validDocument()
 	edits := []func(){
 		func() { doc.Workspaces[0].Share = 7 },
--- a/core/declaration/split_test.go
+++ b/core/declaration/split_test.go
@@ -17,9 +17,9 @@
 // -rapid.seed gives another.
 func TestMain(m *testing.M) { property.Main(m, "20261202") }
 
-// arbitrary draws a document from few names, so that conflicts, missing entries and
+// drawAnyDocument draws a document from few names, so that conflicts, missing entries and
 // mistakes are frequent.
-func arbitrary(rt *rapid.T, label string) *declaration.Document {
+func drawAnyDocument(rt *rapid.T, label string) *declaration.Document {
 	name := rapid.SampledFrom([]string{"v1", "v2", "v3", ""})
 	models := rapid.SampledFrom([]core.ModelID{"desk", "drafter", "gone"})
 	num := func(what string, low, high int) int { return rapid.IntRange(low, high).Draw(rt, label+what) }
@@ -48,8 +48,8 @@
 	return doc
 }
 
-// plausible draws a document that usually passes the check.
-func plausible(rt *rapid.T) *declaration.Document {
+// drawPlausibleDocument draws a document that usually passes the check.
+func drawPlausibleDocument(rt *rapid.T) *declaration.Document {
 	version := rapid.SampledFrom([]core.VersionID{"v1", "v2", "v3"})
 	doc := validDocument()
 	doc.Cascades, doc.Workspaces[0].Cascades = nil, nil
@@ -69,10 +69,10 @@
 
 // If a configuration passed the check although some of a workspace's new sessions have
 // no version, callers would be rejected intermittently for no visible reason. The
-// percentages that diff prints must also be those of the router.
+// percentages that diff prints must also equal the shares that the router assigns.
 func TestCheckedConfigurationServesEverySessionAsSplitReports(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		doc := plausible(rt)
+		doc := drawPlausibleDocument(rt)
 		if doc.Check() != nil {
 			return
 		}
@@ -101,7 +101,7 @@
 // mistakes instead of panicking.
 func TestNoDocumentCausesAPanic(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		from, to, third := arbitrary(rt, "from"), arbitrary(rt, "to"), arbitrary(rt, "third")
+		from, to, third := drawAnyDocument(rt, "from"), drawAnyDocument(rt, "to"), drawAnyDocument(rt, "third")
 		_ = declaration.CheckChange(from, to)
 		_, _ = declaration.Diff(from, to), declaration.Effects(from, to)
 		_, _ = declaration.Rebase(generation(1, "ana", from), []*declaration.Generation{generation(2, "mei", to)}, third)
--- a/core/schema/page.go
+++ b/core/schema/page.go
@@ -58,7 +58,7 @@
 		}
 		fmt.Fprintf(&sb, "\n## %s\n\nSchema: [%s.json](schema/%s.json).\n\n", ck.raw.Title, kd, kd)
 		table(&sb, ck.raw)
-		for _, name := range ck.order() {
+		for _, name := range ck.definitionOrder() {
 			fmt.Fprintf(&sb, "\n### %s\n\n%s\n\n", name, oneLine(ck.raw.Defs[name].Description))
 			table(&sb, ck.raw.Defs[name])
 		}
@@ -66,8 +66,8 @@
 	return sb.String(), nil
 }
 
-// order lists the names of the definitions in the order of their first use.
-func (ck *checker) order() []string {
+// definitionOrder lists the names of the definitions in the order of their first use.
+func (ck *checker) definitionOrder() []string {
 	var out []string
 	var walk func(ob object)
 	walk = func(ob object) {
