--- a/io/agent/answer.go
+++ b/io/agent/answer.go
@@ -47,7 +47,7 @@
 		return err
 	}
 	if fa, ok := fr.Body.(*frame.Frame_Failure); ok {
-		an.ln.state(fa.Failure.State)
+		an.ln.recordState(fa.Failure.State)
 		return protocol.FailureFromFrame(fa.Failure)
 	}
 	an.first = fr
@@ -108,11 +108,11 @@
 	case *frame.Frame_End:
 		an.usage = core.Usage{Prompt: core.Tokens(body.End.PromptTokens), Generated: core.Tokens(body.End.GeneratedTokens)}
 		an.replayOf = core.AttemptID(body.End.ReplayOf)
-		an.ln.state(body.End.State)
+		an.ln.recordState(body.End.State)
 		an.Close()
 		return nil, io.EOF
 	case *frame.Frame_Failure:
-		an.ln.state(body.Failure.State)
+		an.ln.recordState(body.Failure.State)
 		return nil, protocol.FailureFromFrame(body.Failure)
 	default:
 		return nil, core.OutcomeUnknown("upstream %s sent an unknown frame", an.ln.host.ID)
@@ -137,6 +137,6 @@
 	an.once.Do(func() {
 		an.stop()
 		an.st.Close()
-		an.ln.own.Add(-1)
+		an.ln.ownInFlight.Add(-1)
 	})
 }
--- a/io/agent/bills.go
+++ b/io/agent/bills.go
@@ -14,7 +14,7 @@
 
 // OnBills sets the handler of the bills that agents hand over. Until it is set they are dropped;
 // agents offer them again.
-func (po *Pool) OnBills(fn BillHandler) { po.offered.Store(&fn) }
+func (po *Pool) OnBills(fn BillHandler) { po.onBills.Store(&fn) }
 
 // ListedEntries returns the number of entries in the platform's host list.
 func (po *Pool) ListedEntries() int { return int(po.entries.Load()) }
@@ -22,17 +22,17 @@
 // holders maps each attempt to the agent that holds the copy of its bill. Reporting every durable
 // bill to every agent would take as many frames as agents times segments.
 type holders struct {
-	mu sync.Mutex
-	by map[core.AttemptID]core.UpstreamID
+	mu     sync.Mutex
+	agents map[core.AttemptID]core.UpstreamID
 }
 
 func (ho *holders) add(at core.AttemptID, id core.UpstreamID) {
 	ho.mu.Lock()
 	defer ho.mu.Unlock()
-	if ho.by == nil {
-		ho.by = map[core.AttemptID]core.UpstreamID{}
+	if ho.agents == nil {
+		ho.agents = map[core.AttemptID]core.UpstreamID{}
 	}
-	ho.by[at] = id
+	ho.agents[at] = id
 }
 
 // remove returns the attempts grouped by their holders, and deletes them.
@@ -41,9 +41,9 @@
 	defer ho.mu.Unlock()
 	out := map[core.UpstreamID][]core.AttemptID{}
 	for _, at := range ats {
-		if id, ok := ho.by[at]; ok {
+		if id, ok := ho.agents[at]; ok {
 			out[id] = append(out[id], at)
-			delete(ho.by, at)
+			delete(ho.agents, at)
 		}
 	}
 	return out
@@ -62,31 +62,31 @@
 }
 
 // ReportDurable reports to the agents which bills are in the store. An agent whose link is down
-// gets no report; it requests one itself after a while.
+// gets no report; it offers its copies again later, and the answer to that reports them.
 func (po *Pool) ReportDurable(ats []core.AttemptID) {
 	for id, ats := range po.holders.remove(ats) {
 		if ln := po.index.Load().byID[id]; ln != nil {
-			ln.durable(ats)
+			ln.sendDurable(ats)
 		}
 	}
 }
 
 // receiveBills passes the bills that an agent hands over to the handler.
 func (po *Pool) receiveBills(ln *link, to *frame.Told) {
-	fn := po.offered.Load()
+	fn := po.onBills.Load()
 	if fn == nil {
 		return
 	}
 	(*fn)(core.ProcessID(to.Process), to.Bills, func(ats []core.AttemptID) {
 		po.holders.remove(ats)
-		ln.durable(ats)
+		ln.sendDurable(ats)
 	})
 }
 
 // maxDurableAttempts bounds the size of one frame: an attempt's id takes about 40 bytes.
 const maxDurableAttempts = 10_000
 
-func (ln *link) durable(ats []core.AttemptID) {
+func (ln *link) sendDurable(ats []core.AttemptID) {
 	for chunk := range slices.Chunk(ats, maxDurableAttempts) {
 		du := &frame.Durable{}
 		for _, at := range chunk {
--- a/io/agent/link.go
+++ b/io/agent/link.go
@@ -22,20 +22,22 @@
 	host   core.Host
 	hash   uint64
 	cancel context.CancelFunc
-	// unwanted is the time at which the link left the entry's subset, or zero. It is guarded by the
-	// pool's lock.
-	unwanted time.Time
-	// onTold handles the bills that the agent hands over.
-	onTold func(*link, *frame.Told)
+	// unwantedSince is the time at which the link left the entry's subset, or zero. It is guarded by
+	// the pool's lock.
+	unwantedSince time.Time
+	// onBills handles the bills that the agent hands over.
+	onBills func(*link, *frame.Told)
 
-	up               atomic.Bool
+	connected        atomic.Bool
 	listedLeaving    atomic.Bool
 	announcedLeaving atomic.Bool
-	down             atomic.Bool
-	own              atomic.Int64
-	load             atomic.Pointer[report]
-	ses              atomic.Pointer[yamux.Session]
-	control          atomic.Pointer[protocol.Control]
+	upstreamDown     atomic.Bool
+	// ownInFlight counts the attempts of this entry in flight on the link; upstreamDown is what the
+	// agent last reported.
+	ownInFlight atomic.Int64
+	load        atomic.Pointer[report]
+	ses         atomic.Pointer[yamux.Session]
+	control     atomic.Pointer[protocol.Control]
 }
 
 // report is the last load that an agent reported, with its time of arrival and the number of this
@@ -52,7 +54,7 @@
 
 func (ln *link) snapshot() core.Upstream {
 	up := core.Upstream{
-		Host: ln.host, IDHash: ln.hash, Connected: ln.up.Load() && !ln.down.Load(), OwnAttempts: int(ln.own.Load()),
+		Host: ln.host, IDHash: ln.hash, Connected: ln.connected.Load() && !ln.upstreamDown.Load(), OwnAttempts: int(ln.ownInFlight.Load()),
 		Leaving: ln.listedLeaving.Load() || ln.announcedLeaving.Load(),
 	}
 	if re := ln.load.Load(); re != nil {
@@ -70,7 +72,7 @@
 		return
 	}
 	defer ses.Close()
-	co := protocol.NewControl(ln.deps, ln.inf, st, protocol.Handlers{State: ln.state, Told: ln.handleTold, Hello: func(he *frame.Hello) {
+	co := protocol.NewControl(ln.deps, ln.inf, st, protocol.Handlers{State: ln.recordState, Told: ln.receiveBills, Hello: func(he *frame.Hello) {
 		if he.Upstream != string(ln.host.ID) {
 			// The address was reassigned to another upstream and the host list lags.
 			ses.Close()
@@ -78,7 +80,7 @@
 		}
 		ln.ses.Store(ses)
 		ln.announcedLeaving.Store(false)
-		ln.up.Store(true)
+		ln.connected.Store(true)
 		event.Log(ln.deps.Log, event.LinkUp, "upstream", ln.host.ID)
 	}})
 	ln.control.Store(co)
@@ -87,28 +89,29 @@
 	}
 	err = co.Serve(ctx)
 	ln.control.Store(nil)
-	if ln.up.Swap(false) && ctx.Err() == nil {
+	if ln.connected.Swap(false) && ctx.Err() == nil {
 		event.Log(ln.deps.Log, event.LinkDown, "upstream", ln.host.ID, "error", err)
 	}
 }
 
-func (ln *link) state(st *frame.State) {
+// recordState records a state that the agent reported, with a response or on its own.
+func (ln *link) recordState(st *frame.State) {
 	if st == nil {
 		return
 	}
 	ln.load.Store(&report{
 		Load: core.Load{Running: int(st.Running), Queued: int(st.Queued), Slots: int(st.Slots)},
-		at:   time.Now(), own: int(ln.own.Load()),
+		at:   time.Now(), own: int(ln.ownInFlight.Load()),
 	})
-	ln.down.Store(st.Down)
+	ln.upstreamDown.Store(st.Down)
 	if st.Leaving && !ln.announcedLeaving.Swap(true) {
 		event.Log(ln.deps.Log, event.UpstreamLeaving, "upstream", ln.host.ID)
 	}
 }
 
-func (ln *link) handleTold(to *frame.Told) {
-	if ln.onTold != nil && to.Process != "" {
-		ln.onTold(ln, to)
+func (ln *link) receiveBills(to *frame.Told) {
+	if ln.onBills != nil && to.Process != "" {
+		ln.onBills(ln, to)
 	}
 }
 
@@ -122,14 +125,14 @@
 // answer.
 func (ln *link) dispatch(ctx context.Context, at *core.Attempt) (core.Answer, error) {
 	ses := ln.ses.Load()
-	if ses == nil || !ln.up.Load() {
+	if ses == nil || !ln.connected.Load() {
 		return nil, core.Refuse(core.CodeNoUpstream, time.Second, "there is no link to upstream %s", ln.host.ID)
 	}
 	st, err := ses.OpenStream()
 	if err != nil {
 		return nil, core.Refuse(core.CodeNoUpstream, time.Second, "the link to upstream %s is lost", ln.host.ID)
 	}
-	ln.own.Add(1)
+	ln.ownInFlight.Add(1)
 	an := newAnswer(ctx, ln, st, at.ID)
 	if err := frame.NewWriter(st).Write(protocol.DispatchFrame(at)); err != nil {
 		an.Close()
--- a/io/agent/pool.go
+++ b/io/agent/pool.go
@@ -25,7 +25,7 @@
 	links   map[core.UpstreamID]*link
 	index   atomic.Pointer[index]
 	holders holders
-	offered atomic.Pointer[BillHandler]
+	onBills atomic.Pointer[BillHandler]
 	// entries counts all listed entries, regionEntries those of the local region that are not
 	// leaving.
 	entries, regionEntries atomic.Int64
@@ -142,14 +142,14 @@
 	old := po.links[ho.ID]
 	if old != nil && old.host.Addr == ho.Addr && old.host.ModelVersion() == ho.ModelVersion() && old.host.Service == ho.Service {
 		old.listedLeaving.Store(ho.Leaving)
-		old.unwanted = time.Time{}
+		old.unwantedSince = time.Time{}
 		return
 	}
 	if old != nil {
 		old.cancel()
 	}
 	ln := newLink(po.deps, po.inf, ho)
-	ln.onTold = po.receiveBills
+	ln.onBills = po.receiveBills
 	ln.listedLeaving.Store(ho.Leaving)
 	po.links[ho.ID] = ln
 	lctx, cancel := context.WithCancel(context.WithoutCancel(ctx))
@@ -171,13 +171,13 @@
 		listed[ho.ID] = true
 	}
 	for id, ln := range po.links {
-		if wanted[id] || !listed[id] && ln.up.Load() {
+		if wanted[id] || !listed[id] && ln.connected.Load() {
 			continue
 		}
-		if ln.unwanted.IsZero() {
-			ln.unwanted = now
+		if ln.unwantedSince.IsZero() {
+			ln.unwantedSince = now
 		}
-		if !ln.up.Load() || now.Sub(ln.unwanted) > linger && ln.own.Load() == 0 {
+		if !ln.connected.Load() || now.Sub(ln.unwantedSince) > linger && ln.ownInFlight.Load() == 0 {
 			ln.cancel()
 			delete(po.links, id)
 		}
@@ -190,7 +190,7 @@
 	for id, ln := range links {
 		ix.byID[id] = ln
 		switch {
-		case !ln.unwanted.IsZero():
+		case !ln.unwantedSince.IsZero():
 		case ln.host.Service != "":
 			ix.services[ln.host.Service] = append(ix.services[ln.host.Service], ln)
 		default:
--- a/io/agent/pool_test.go
+++ b/io/agent/pool_test.go
@@ -52,7 +52,7 @@
 	defer po.closeAll()
 	po.update(t.Context())
 	for _, ln := range po.links {
-		ln.up.Store(true)
+		ln.connected.Store(true)
 	}
 	li.hosts = nil
 	po.update(t.Context())
@@ -66,7 +66,7 @@
 	defer po.closeAll()
 	po.update(t.Context())
 	ln, now := po.links["desk-1"], time.Now()
-	ln.up.Store(true)
+	ln.connected.Store(true)
 	wanted := map[core.UpstreamID]bool{"desk-0": true}
 	po.drop(wanted, agents(2), now)
 	assert.Equal(t, po.links["desk-1"], ln)
--- a/io/entry/bills.go
+++ b/io/entry/bills.go
@@ -81,7 +81,7 @@
 		}
 		for _, de := range bl.dueHandovers(time.Now()) {
 			// The control stream detects a lost link; the copies are offered again.
-			_ = de.to.Send(&frame.Frame{Body: &frame.Frame_Told{Told: de.told}})
+			_ = de.to.Send(&frame.Frame{Body: &frame.Frame_Told{Told: de.message}})
 		}
 	}
 }
@@ -90,8 +90,8 @@
 const drainTimeout = 5 * time.Second
 
 // drain hands the copies of entries without a link to a successor and waits until they are
-// durable. Otherwise an agent that stops shortly after the crash of an entry would take the
-// last copies of its bills with it.
+// durable. Otherwise the last copies of an entry's bills would be lost if the agent stops shortly
+// after the entry crashed.
 func (bl *billCopies) drain(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, drainTimeout)
 	defer cancel()
@@ -118,10 +118,10 @@
 	return slices.Sorted(maps.Keys(bl.entries))
 }
 
-// handover is a message with bills for one entry.
+// handover is a message with bills, and the link of the entry that receives it.
 type handover struct {
-	to   *link.Control
-	told *frame.Told
+	to      *link.Control
+	message *frame.Told
 }
 
 func (bl *billCopies) dueHandovers(now time.Time) []handover {
--- a/io/entry/bills_test.go
+++ b/io/entry/bills_test.go
@@ -15,9 +15,9 @@
 	"skylarkstand/io/link"
 )
 
-// connect links an entry to the agent's copies over a pipe and returns the entry's side. told
-// is called with what the agent hands over.
-func connect(ctx context.Context, bl *billCopies, id core.ProcessID, told func(*link.Control, *frame.Told)) *link.Control {
+// connect links an entry to the agent's copies over a pipe and returns the entry's side. onBills
+// is called with each message of bills that the agent hands over.
+func connect(ctx context.Context, bl *billCopies, id core.ProcessID, onBills func(*link.Control, *frame.Told)) *link.Control {
 	here, there := net.Pipe()
 	deps, inf := core.NewDeps(), declaration.NewInForce()
 	var agent, entry *link.Control
@@ -26,7 +26,7 @@
 		Hello: func(he *frame.Hello) { bl.addLink(core.ProcessID(he.Process), agent) },
 	})
 	deps.Self = id
-	entry = link.NewControl(deps, inf, there, link.Handlers{Told: func(to *frame.Told) { go told(entry, to) }})
+	entry = link.NewControl(deps, inf, there, link.Handlers{Told: func(to *frame.Told) { go onBills(entry, to) }})
 	go func() { _ = entry.Serve(ctx) }()
 	go func() {
 		_ = agent.Serve(ctx)
@@ -52,12 +52,12 @@
 				handed += len(to.Bills)
 				_ = co.Send(&frame.Frame{Body: &frame.Frame_Durable{Durable: &frame.Durable{Attempts: []string{"a1", "a2"}}}})
 			})
-			gone, die := context.WithCancel(ctx)
+			gone, crash := context.WithCancel(ctx)
 			first := connect(gone, &bl, "gone", nil)
 			for _, at := range []string{"a1", "a2"} {
 				_ = first.Send(&frame.Frame{Body: &frame.Frame_Settled{Settled: &frame.Settled{Attempt: at, Bill: []byte(at), Process: "gone"}}})
 			}
-			die()
+			crash()
 			synctest.Wait()
 			assert.Equal(t, bl.unlinkedCopies(), 2)
 			if stops {
--- a/io/link/control.go
+++ b/io/link/control.go
@@ -37,7 +37,7 @@
 	// noticeInterval is the interval at which an unchanged notice is repeated; zero disables
 	// repetition.
 	noticeInterval time.Duration
-	withoutBody    bool
+	withoutConfig  bool
 
 	ended atomic.Bool
 
@@ -45,15 +45,15 @@
 	wr *frame.Writer
 }
 
-// WithoutConfig makes the control request no configuration, for a process that only needs to know
-// which generation the other side has.
-func WithoutConfig() Option { return func(co *Control) { co.withoutBody = true } }
+// WithoutConfig makes the control request no configuration, for a process that needs only the
+// number of the generation that the other side has.
+func WithoutConfig() Option { return func(co *Control) { co.withoutConfig = true } }
 
 // Option changes a Control at construction.
 type Option func(*Control)
 
 // WithNoticeInterval makes the control repeat its notice at an interval, so that a peer that does
-// not read the store can tell how old its configuration is.
+// not read the store can compute how long ago its configuration was confirmed as the newest.
 func WithNoticeInterval(d time.Duration) Option { return func(co *Control) { co.noticeInterval = d } }
 
 // NewControl returns a Control on an open stream.
@@ -140,14 +140,14 @@
 	if no.Fresh && no.Generation <= uint64(co.inf.Number()) {
 		co.inf.Confirm(time.Now().Add(-time.Duration(no.AgeMicros) * time.Microsecond))
 	}
-	call(co.hd.Notice, no)
+	callIfSet(co.hd.Notice, no)
 	return co.requestIfNewer(no.Generation)
 }
 
 func (co *Control) handle(fr *frame.Frame) error {
 	switch body := fr.Body.(type) {
 	case *frame.Frame_Hello:
-		call(co.hd.Hello, body.Hello)
+		callIfSet(co.hd.Hello, body.Hello)
 		return co.requestIfNewer(body.Hello.Generation)
 	case *frame.Frame_Notice:
 		return co.handleNotice(body.Notice)
@@ -156,25 +156,25 @@
 	case *frame.Frame_Config:
 		co.adopt(body.Config.Generation)
 	case *frame.Frame_State:
-		call(co.hd.State, body.State)
+		callIfSet(co.hd.State, body.State)
 		return co.requestIfNewer(body.State.Generation)
 	case *frame.Frame_Settled:
-		call(co.hd.Settled, body.Settled)
+		callIfSet(co.hd.Settled, body.Settled)
 	case *frame.Frame_Durable:
-		call(co.hd.Durable, body.Durable)
+		callIfSet(co.hd.Durable, body.Durable)
 	case *frame.Frame_Ask:
-		call(co.hd.Ask, body.Ask)
+		callIfSet(co.hd.Ask, body.Ask)
 	case *frame.Frame_Told:
-		call(co.hd.Told, body.Told)
+		callIfSet(co.hd.Told, body.Told)
 	case *frame.Frame_Suspect:
-		call(co.hd.Suspect, body.Suspect)
+		callIfSet(co.hd.Suspect, body.Suspect)
 	case *frame.Frame_Halt:
-		call(co.hd.Halt, body.Halt)
+		callIfSet(co.hd.Halt, body.Halt)
 	}
 	return nil
 }
 
-func call[T any](fn func(*T), msg *T) {
+func callIfSet[T any](fn func(*T), msg *T) {
 	if fn != nil {
 		fn(msg)
 	}
@@ -184,7 +184,7 @@
 // requested over another link already, this link checks again after [declaration.FetchRetryDelay]:
 // the other peer may disappear before it responds, and no peer would announce the generation again.
 func (co *Control) requestIfNewer(theirs uint64) error {
-	if co.withoutBody || theirs <= uint64(co.inf.Number()) {
+	if co.withoutConfig || theirs <= uint64(co.inf.Number()) {
 		return nil
 	}
 	if !co.inf.ShouldFetch(core.Generation(theirs), time.Now()) {
--- a/io/peer/evidence.go
+++ b/io/peer/evidence.go
@@ -28,11 +28,11 @@
 
 // poolEvidence adds another entry's batch to the pooled evidence and returns the response to it.
 func (me *Mesh) poolEvidence(ev *frame.Evidence) *frame.Frame {
-	taken := &frame.Evidence{}
+	response := &frame.Evidence{}
 	if me.guard.MergeBatch(readEvidence(ev, time.Now())) {
-		taken.Model = ev.Model
+		response.Model = ev.Model
 	}
-	return &frame.Frame{Body: &frame.Frame_Evidence{Evidence: taken}}
+	return &frame.Frame{Body: &frame.Frame_Evidence{Evidence: response}}
 }
 
 // BroadcastHalt broadcasts a halt that was decided under a generation to all linked entries.
@@ -92,11 +92,11 @@
 			continue
 		}
 		mv := core.ModelVersion{Model: ba.Model, Version: core.VersionID(obs.Version)}
-		lost := obs.Upstreams
+		crashed := obs.Upstreams
 		for _, bad := range obs.Bad {
 			ou := rollout.Outcome{Version: mv, Kind: kind, Bad: bad == 1, At: now}
-			if ou.Bad && kind == rollout.Crash && len(lost) > 0 {
-				ou.Upstream, lost = core.UpstreamID(lost[0]), lost[1:]
+			if ou.Bad && kind == rollout.Crash && len(crashed) > 0 {
+				ou.Upstream, crashed = core.UpstreamID(crashed[0]), crashed[1:]
 			}
 			ba.Outcomes = append(ba.Outcomes, ou)
 		}
--- a/io/peer/evidence_test.go
+++ b/io/peer/evidence_test.go
@@ -12,8 +12,8 @@
 )
 
 // A batch reaches the home with every outcome, in the order of its version and kind. If encoding
-// moved the bad outcomes to the front, the guard would evaluate the evidence at a point where it
-// looks worst only because of the order.
+// moved the bad outcomes to the front, the guard, which evaluates the evidence as it arrives,
+// could halt the version only because of the order.
 func TestEvidenceFrameKeepsOrder(t *testing.T) {
 	now := time.Unix(1000, 0)
 	rapid.Check(t, func(rt *rapid.T) {
--- a/io/peer/peer.go
+++ b/io/peer/peer.go
@@ -7,7 +7,7 @@
 //	mesh := peer.New(deps, inForce, suspects, self)
 //	go mesh.Serve(ctx, listener)
 //	mesh.Update(hosts)             // after each read of the host list
-//	mesh.BroadcastSuspect(record)              // a request that crashed an upstream
+//	mesh.BroadcastSuspect(record)  // a request that crashed an upstream
 package peer
 
 import (
@@ -111,6 +111,7 @@
 	return co.Serve(ctx)
 }
 
+// track adds an open control to the broadcast targets, or removes one that has ended.
 func (me *Mesh) track(co *link.Control, open bool) {
 	me.mu.Lock()
 	defer me.mu.Unlock()
--- a/io/peer/pins.go
+++ b/io/peer/pins.go
@@ -21,12 +21,12 @@
 	// findTimeout bounds the wait for the holders. It delays the first token of a session's first
 	// request through an entry; if no holder answers in time, the pin is lost, not the request.
 	findTimeout = 50 * time.Millisecond
-	// keepTimeout bounds a background message to a holder.
-	keepTimeout = 2 * time.Second
-	// maxPendingKeeps bounds the number of concurrent messages to holders. Further ones are
+	// recordTimeout bounds a background message to a holder.
+	recordTimeout = 2 * time.Second
+	// maxPendingRecords bounds the number of concurrent messages to holders. Further ones are
 	// dropped: the token still pins the session, and the next request through this entry finds it
 	// here.
-	maxPendingKeeps = 256
+	maxPendingRecords = 256
 )
 
 // holders returns the preferred holders of a session in the local region.
@@ -100,7 +100,7 @@
 		}
 		go func() {
 			defer me.outbound.release()
-			ctx, cancel := context.WithTimeout(context.Background(), keepTimeout)
+			ctx, cancel := context.WithTimeout(context.Background(), recordTimeout)
 			defer cancel()
 			_, _ = me.exchange(ctx, ho.Addr, pinsFrame(key, vs))
 		}()
@@ -149,7 +149,7 @@
 func (se *outboundSessions) acquire() bool {
 	se.mu.Lock()
 	defer se.mu.Unlock()
-	if se.inFlight >= maxPendingKeeps {
+	if se.inFlight >= maxPendingRecords {
 		return false
 	}
 	se.inFlight++
