--- a/io/caller/relay.go
+++ b/io/caller/relay.go
@@ -81,8 +81,8 @@
 		case err != nil && !started:
 			return err
 		case err != nil:
-			// A part was sent with a success status. If the response ended normally, the part
-			// would pass for the whole; the connection must break.
+			// A part was sent with a success status. If the response ended normally, the caller
+			// would treat the part as the whole response, so the connection is aborted.
 			event.Log(srv.deps.Log, event.RequestFailed, "request", id, "code", asFailure(err).Code, "cut", true)
 			panic(http.ErrAbortHandler)
 		}
--- a/io/caller/server_test.go
+++ b/io/caller/server_test.go
@@ -57,15 +57,15 @@
 
 // bills records the bills, and the body that the caller had received when each was filed.
 type bills struct {
-	rec    *httptest.ResponseRecorder
-	filed  []ledger.Bill
-	before string
+	rec      *httptest.ResponseRecorder
+	filed    []ledger.Bill
+	received string
 }
 
 func (bi *bills) Add(el ledger.Bill) {
 	bi.filed = append(bi.filed, el)
 	if bi.rec != nil {
-		bi.before = bi.rec.Body.String()
+		bi.received = bi.rec.Body.String()
 	}
 }
 
@@ -164,7 +164,7 @@
 	newServer(t, us, bi).ServeHTTP(rec, post(goodBody, nil))
 	assert.Equal(t, rec.Code, 200)
 	assert.Equal(t, len(bi.filed), 1)
-	assert.Equal(t, bi.before, "data: one\n\ndata: two\n\n")
+	assert.Equal(t, bi.received, "data: one\n\ndata: two\n\n")
 	assert.Equal(t, rec.Body.String(), "data: one\n\ndata: two\n\ndata: [DONE]\n\n")
 }
 
--- a/io/engine/engine.go
+++ b/io/engine/engine.go
@@ -81,7 +81,7 @@
 	if ctx.Err() != nil {
 		return &core.Failure{Code: core.CodeCallerGone, Ran: core.RanUnknown, Message: "the caller gave up or its deadline passed"}
 	}
-	return eng.breakFailure("the engine broke the call off")
+	return eng.brokenCallFailure("the engine broke the call off")
 }
 
 // probeTimeout bounds one probe. It is short because the engine runs on this host.
@@ -106,9 +106,9 @@
 	return rs.Body.Close()
 }
 
-// breakFailure distinguishes a crash of the engine from a single call that the engine aborted. The
-// requests in flight at a crash become suspects for its cause.
-func (eng *Engine) breakFailure(message string) *core.Failure {
+// brokenCallFailure distinguishes a crash of the engine from a single call that the engine aborted.
+// The requests in flight at a crash become suspects for its cause.
+func (eng *Engine) brokenCallFailure(message string) *core.Failure {
 	if eng.Probe() == nil {
 		return core.OutcomeUnknown("%s", message)
 	}
@@ -135,7 +135,7 @@
 	defer rs.Body.Close()
 	body, err := io.ReadAll(io.LimitReader(rs.Body, maxAnswer+1))
 	if err != nil {
-		return nil, eng.breakFailure("the engine broke the answer off")
+		return nil, eng.brokenCallFailure("the engine broke the answer off")
 	}
 	if len(body) > maxAnswer {
 		return nil, &core.Failure{Code: core.CodeTooLarge, Ran: core.RanFailed, Message: "the engine's answer is too large"}
--- a/io/engine/stream.go
+++ b/io/engine/stream.go
@@ -59,7 +59,7 @@
 		if err != nil {
 			// A connection that ends before [DONE] truncates the answer, even if it is closed
 			// cleanly.
-			return nil, sm.eng.breakFailure("the engine broke the stream off")
+			return nil, sm.eng.brokenCallFailure("the engine broke the stream off")
 		}
 		line = bytes.TrimRight(line, "\r\n")
 		if bytes.HasPrefix(line, dataPrefix) {
--- a/io/front/front.go
+++ b/io/front/front.go
@@ -110,8 +110,8 @@
 	}
 	defer ans.Close()
 	if err := sv.relay(w, ans); err != nil {
-		// Closing the connection before the end of the response is the only way to tell a
-		// caller that the response is incomplete.
+		// Closing the connection before the end of the response is the only way to signal to
+		// a caller that the response is incomplete.
 		panic(http.ErrAbortHandler)
 	}
 }
@@ -224,8 +224,8 @@
 // yet, and returns their number.
 //
 // Requests that arrive after the last exchange has ended are refused. The listener is still
-// open then, and the process takes a moment to exit: a request forwarded in that time was cut
-// off by the exit of the process 45 ms after its arrival.
+// open then, and the process takes a moment to exit: the exit would cut off a request forwarded
+// in that time, such as 45 ms after its arrival.
 func (sv *Server) Drain(ctx context.Context) int64 {
 	if sv.waitIdle(ctx) {
 		sv.drained.Store(true)
--- a/io/front/refuse.go
+++ b/io/front/refuse.go
@@ -10,9 +10,9 @@
 	"skylarkstand/core"
 )
 
-// refusals maps failures that were not run and that the caller can correct to their statuses.
-// All other failures that were not run are 503, after which a caller may resend even work that
-// must not run twice.
+// refusals maps the codes of refusals that the caller can correct to HTTP statuses. All other
+// requests that were not run get 503, after which a caller may resend even work that must not run
+// twice.
 var refusals = map[core.Code]int{
 	core.CodeBadRequest:    http.StatusBadRequest,
 	core.CodeUnauthorized:  http.StatusUnauthorized,
@@ -22,8 +22,8 @@
 	core.CodeHeaderTooLong: http.StatusRequestHeaderFieldsTooLarge,
 }
 
-// status returns the HTTP status of a failure. Work that may have run never gets a status that
-// promises the opposite.
+// status returns the HTTP status of a failure. A request that may have run never gets a status that
+// states that it was not run.
 func status(fl *core.Failure) int {
 	if fl.Ran != core.NotRun {
 		if fl.Code == core.CodeDeadline {
@@ -45,7 +45,7 @@
 	return core.OutcomeUnknown("%v", err)
 }
 
-// refuse responds with a failure, immediately, with Retry-After if the failure has a time.
+// refuse responds with a failure, immediately, with Retry-After if the failure states one.
 func (sv *Server) refuse(w http.ResponseWriter, id core.RequestID, fl *core.Failure) {
 	hd := w.Header()
 	sv.announceClose(hd)
--- a/io/upstream/conn.go
+++ b/io/upstream/conn.go
@@ -65,7 +65,7 @@
 func (co *conn) usable() bool { return co.br.Buffered() == 0 && IsIdle(co.Conn) }
 
 // IsIdle reports whether a connection is open and the kernel holds no unread data of it. A
-// connection that does not expose its file descriptor counts as quiet.
+// connection that does not expose its file descriptor counts as idle.
 func IsIdle(nc net.Conn) bool {
 	sc, ok := nc.(syscall.Conn)
 	if !ok {
@@ -75,13 +75,13 @@
 	if err != nil {
 		return false
 	}
-	quiet := false
+	idle := false
 	err = rc.Control(func(fd uintptr) {
 		var one [1]byte
 		_, _, err := unix.Recvfrom(int(fd), one[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
-		quiet = errors.Is(err, unix.EAGAIN)
+		idle = errors.Is(err, unix.EAGAIN)
 	})
-	return err == nil && quiet
+	return err == nil && idle
 }
 
 // reusable reports whether the connection can carry another request.
--- a/io/upstream/upstream.go
+++ b/io/upstream/upstream.go
@@ -4,7 +4,7 @@
 // It exists because the client of net/http hides what the router needs: whether any byte of a
 // request was sent, so that "not run" can be stated truthfully; that nothing is ever sent
 // twice; and which bytes on a connection belong to which request. An upstream may respond
-// before it has read a body, send more than one response, or let a connection go silent. A
+// before it has read a body, send more than one response, or stop sending on an open connection. A
 // connection that delivers bytes belonging to no request is closed, and a response counts as
 // complete only if its framing says so.
 //
@@ -38,9 +38,9 @@
 	// timeout.
 	idleTimeout = 8 * time.Second
 	// idleMargin is how much earlier than the upstream this client closes an idle connection: a
-	// request that crosses the upstream's close may or may not have run.
+	// request that is sent while the upstream closes the connection may or may not have run.
 	idleMargin = 800 * time.Millisecond
-	// maxIdle bounds the idle connections to one upstream: the width of a usual burst. Each
+	// maxIdle bounds the idle connections to one upstream: the size of a usual burst. Each
 	// takes about 5 kB here, and one of the connections that the upstream accepts.
 	maxIdle = 32
 	// maxForeign is how many responses to other requests are skipped before a connection is
@@ -322,13 +322,13 @@
 
 // end returns the connection to the pool or closes it. The connection is kept only if the
 // response is complete, the request was written completely, and no data follows the response.
-func (bo *body) end(whole bool) {
+func (bo *body) end(complete bool) {
 	if bo.done {
 		return
 	}
 	bo.done = true
 	// A cancelled context may be about to interrupt the connection.
-	if bo.stop() && whole && bo.reuse && bo.idle > 0 && bo.co.reusable() {
+	if bo.stop() && complete && bo.reuse && bo.idle > 0 && bo.co.reusable() {
 		bo.cl.put(bo.co, bo.idle)
 		return
 	}
--- a/io/upstream/upstream_test.go
+++ b/io/upstream/upstream_test.go
@@ -124,8 +124,8 @@
 		testName string
 		handler  handler
 		body     string
-		whole    bool
-		sent     bool // whether the error before any response states so
+		complete bool
+		sent     bool // whether the result must be an error that says that the request may have run
 	}{
 		{"with a length", responds(response("a", "done")), "done", true, false},
 		{"chunked", responds("HTTP/1.1 200 OK\r\nId: a\r\nTransfer-Encoding: chunked\r\n\r\n4\r\ndone\r\n0\r\n\r\n"), "done", true, false},
@@ -145,7 +145,7 @@
 			defer cleanup()
 			got, err := roundTrip(t, cl, newPeer(t, sc.handler), "a", "lamp")
 			assert.Equal(t, got, sc.body)
-			assert.Equal(t, err == nil, sc.whole, "%v", err)
+			assert.Equal(t, err == nil, sc.complete, "%v", err)
 			if sc.sent {
 				assert.Assert(t, upstream.MaybeSent(err), "the error must state that the request may have run")
 			}
@@ -153,8 +153,8 @@
 	}
 }
 
-// Guards against an extra response that the next request on the connection takes for its own,
-// so that its caller receives another caller's quote.
+// Guards against an extra response that is delivered as the response to the next request on the
+// connection, so that its caller receives another caller's quote.
 func TestExtraResponseClosesConnection(t *testing.T) {
 	cl, cleanup := upstream.New()
 	defer cleanup()
