--- a/core/chain/chain.go
+++ b/core/chain/chain.go
@@ -91,7 +91,7 @@
 
 // CreateAs is Create with a nonce that the caller chooses. A writer whose call ended with
 // ErrOutcomeUnknown calls it again with the same nonce, number and payload; with a new nonce it
-// would take its own earlier write for another writer's.
+// would treat its own earlier write as another writer's.
 func (ch *Chain) CreateAs(ctx context.Context, n uint64, nonce string, payload []byte) error {
 	return ch.createWithRetry(ctx, n, record{Nonce: nonce, Payload: payload})
 }
--- a/core/claim/table_test.go
+++ b/core/claim/table_test.go
@@ -89,7 +89,7 @@
 
 // A caller retries its key after days, when its first answer has been dropped. A key without a
 // timestamp cannot be checked, but a time-ordered key must be refused, also by an agent whose clock
-// stands still; otherwise the operation runs twice.
+// has stopped; otherwise the operation runs twice.
 func TestRetention(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		wo := newHarness(1)
@@ -135,7 +135,7 @@
 
 // A caller sends one key with two bodies, or retries while its first request still runs. It must
 // get neither the other body's answer nor a second run.
-func TestSameKey(t *testing.T) {
+func TestConcurrentRequestsWithOneKey(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		wo := newHarness(2)
 		defer wo.stop()
--- a/core/declaration/check_workspaces.go
+++ b/core/declaration/check_workspaces.go
@@ -25,7 +25,7 @@
 			ch.add(NothingAllowed, place+".allow", "the workspace may use no model and no service", "allow a version or a service")
 		}
 		for _, al := range ws.Allow {
-			ch.allow(ws, al)
+			ch.checkAllow(ws, al)
 		}
 		for _, id := range ws.Services {
 			if ch.sn.service(id) == nil {
@@ -47,7 +47,8 @@
 	return nil
 }
 
-func (ch *checker) allow(ws *Workspace, al Allow) {
+// checkAllow validates an entry of a workspace's allow list.
+func (ch *checker) checkAllow(ws *Workspace, al Allow) {
 	place := fmt.Sprintf("workspaces[%s].allow[%s]", ws.ID, al.Model)
 	if len(al.Versions) == 0 {
 		ch.add(NothingAllowed, place, "no version of the model is allowed", "list the versions or remove the entry")
--- a/core/ledger/copies/copies.go
+++ b/core/ledger/copies/copies.go
@@ -36,7 +36,7 @@
 	// retryPause is the pause between two offers of one process's bills. A successor needs a second
 	// or two; after this pause it is considered paused, dead or without the store, and the next one
 	// in order of preference receives an offer as well. The pause doubles up to maxDoublings times:
-	// while the store is down for hours, every offer fails, and offers would fill the narrow link
+	// while the store is down for hours, every offer fails, and offers would use up the bandwidth
 	// between regions.
 	retryPause   = 15 * time.Second
 	maxDoublings = 5
--- a/core/ledger/property_test.go
+++ b/core/ledger/property_test.go
@@ -122,7 +122,8 @@
 	}
 }
 
-func (wo *harness) die(t *rapid.T) {
+// crashSometimes ends the entry, in one of ten calls.
+func (wo *harness) crashSometimes(t *rapid.T) {
 	if rapid.IntRange(0, 9).Draw(t, "dies") == 0 {
 		wo.dead = true
 		wo.stores[0].set(1, true)
@@ -176,7 +177,7 @@
 	wo := newHarness(t)
 	t.Repeat(map[string]func(*rapid.T){
 		"settle": wo.settleRequest, "settle-2": wo.settleRequest, "write": wo.write, "write-2": wo.write,
-		"offer": wo.offer, "offer-2": wo.offer, "die": wo.die, "pass": wo.wait, "pass-2": wo.wait,
+		"offer": wo.offer, "offer-2": wo.offer, "die": wo.crashSometimes, "pass": wo.wait, "pass-2": wo.wait,
 		"": wo.check,
 	})
 	wo.finish(t)
--- a/core/ledger/sum_test.go
+++ b/core/ledger/sum_test.go
@@ -64,7 +64,7 @@
 				write(t, st, en)
 			}
 			if sc.expected == "" {
-				// The hint of the head refers to an entry that is gone.
+				// The head key refers to a deleted entry.
 				assert.NilError(t, st.Delete(t.Context(), "ledger/p/3", 0))
 				sc.expected = "1 requests 700, 0 retried, duplicated [], faults [ledger/p: entry 2 is missing ledger/p: entry 3 is missing]"
 			}
--- a/core/ledger/writer_test.go
+++ b/core/ledger/writer_test.go
@@ -45,7 +45,7 @@
 }
 
 // The store accepts a segment, but its reply is lost and the store is then down for longer than the
-// entry waits. A writer that retries with a new nonce finds its own segment, takes it for another
+// entry waits. A writer that retries with a new nonce finds its own segment, treats it as another
 // writer's and never writes again: every later bill of that entry is missing on the customers'
 // accounts.
 func TestWriterRecognizesItsUnsettledSegment(t *testing.T) {
--- a/io/caller/server_test.go
+++ b/io/caller/server_test.go
@@ -192,9 +192,9 @@
 	assert.Equal(t, len(bi.filed), 0)
 }
 
-// Guards against a client that takes a part for the whole: a long response that is not streamed
-// is cut after a part of it was sent. It is too late for an error status, so the connection
-// must break.
+// Guards against a client that treats a part of a response as complete: a long response that is
+// not streamed is cut after a part of it was sent. It is too late for an error status, so the
+// connection must break.
 func TestCutLongResponseBreaksConnection(t *testing.T) {
 	us := &upstream{chunks: []string{"one", "two"}, end: core.OutcomeUnknown("the link was lost")}
 	hs := httptest.NewServer(newServer(t, us, new(bills)))
--- a/io/front/front_test.go
+++ b/io/front/front_test.go
@@ -209,9 +209,9 @@
 	return nil, core.OutcomeUnknown("%v", ctx.Err())
 }
 
-// Guards against a planned stop that exits without a final response to a request whose upstream
-// has not responded in time. The caller must get the response that the outcome of its claim is
-// unknown; it could not distinguish a closed connection from a network fault.
+// Guards against a process that exits at a planned stop without a final response to a request
+// whose upstream has not responded in time. The caller must get the response that the outcome of
+// its claim is unknown; it could not distinguish a closed connection from a network fault.
 func TestStopSendsFinalResponse(t *testing.T) {
 	mu := mute{make(chan struct{})}
 	sv, nc := serve(t, mu, route.Limits{})
--- a/io/link/convert.go
+++ b/io/link/convert.go
@@ -37,7 +37,7 @@
 }
 
 // FailureFromFrame decodes what FailureFrame encoded. An unrecognized value of Ran becomes
-// core.RanUnknown, the outcome that makes no promise about whether the attempt ran.
+// core.RanUnknown, which does not state whether the attempt ran.
 func FailureFromFrame(fa *frame.Failure) *core.Failure {
 	ran := core.Ran(fa.Ran)
 	if ran != core.NotRun && ran != core.RanFailed {
--- a/io/peer/pins.go
+++ b/io/peer/pins.go
@@ -193,7 +193,7 @@
 		return nil, err
 	}
 	go func() {
-		_ = me.serve(me.lifetime(), st)
+		_ = me.serve(me.serveContext(), st)
 		ses.Close()
 	}()
 	me.outbound.mu.Lock()
@@ -209,8 +209,8 @@
 	return ses, nil
 }
 
-// lifetime returns the context of Serve, or the background context before Serve is called.
-func (me *Mesh) lifetime() context.Context {
+// serveContext returns the context of Serve, or the background context before Serve is called.
+func (me *Mesh) serveContext() context.Context {
 	me.mu.Lock()
 	defer me.mu.Unlock()
 	if me.ctx == nil {
--- a/io/upstream/upstream.go
+++ b/io/upstream/upstream.go
@@ -2,7 +2,7 @@
 // kept-alive connection.
 //
 // It exists because the client of net/http hides what the router needs: whether any byte of a
-// request was sent, so that "not run" can be stated truthfully; that nothing is ever sent
+// request was sent, so that "not run" is reported only if it is certain; that nothing is ever sent
 // twice; and which bytes on a connection belong to which request. An upstream may respond
 // before it has read a body, send more than one response, or stop sending on an open connection. A
 // connection that delivers bytes belonging to no request is closed, and a response counts as
