--- a/core/claim/table_test.go
+++ b/core/claim/table_test.go
@@ -47,8 +47,8 @@
 	}
 }
 
-// A store that is down refuses before anything is written: the caller must be told at once that
-// nothing was claimed, and the same key must work once the store is up again.
+// A store that is down refuses before anything is written: the caller must get at once the error
+// that nothing was claimed, and the same key must work once the store is up again.
 func TestStoreDown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		wo := newHarness(1)
@@ -89,7 +89,7 @@
 
 // A caller retries its key after days, when its first answer has been dropped. A key without a
 // timestamp cannot be checked, but a time-ordered key must be refused, also by an agent whose clock
-// stands still; otherwise the operation runs twice.
+// has stopped; otherwise the operation runs twice.
 func TestRetention(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		wo := newHarness(1)
@@ -135,7 +135,7 @@
 
 // A caller sends one key with two bodies, or retries while its first request still runs. It must
 // get neither the other body's answer nor a second run.
-func TestSameKey(t *testing.T) {
+func TestConcurrentRequestsWithOneKey(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		wo := newHarness(2)
 		defer wo.stop()
--- a/core/ledger/property_test.go
+++ b/core/ledger/property_test.go
@@ -122,7 +122,8 @@
 	}
 }
 
-func (wo *harness) die(t *rapid.T) {
+// crashSometimes ends the entry, in one of ten calls.
+func (wo *harness) crashSometimes(t *rapid.T) {
 	if rapid.IntRange(0, 9).Draw(t, "dies") == 0 {
 		wo.dead = true
 		wo.stores[0].set(1, true)
@@ -137,7 +138,7 @@
 func (wo *harness) check(t *rapid.T) {
 	acc, err := ledger.Sum(context.Background(), wo.st)
 	assert.NilError(t, err)
-	assert.Equal(t, len(acc.Duplicated), 0, "doubled: %v", acc.Duplicated)
+	assert.Equal(t, len(acc.Duplicated), 0, "bills stored twice: %v", acc.Duplicated)
 	assert.Equal(t, len(acc.Faults), 0, "faults: %v", acc.Faults)
 	wo.mu.Lock()
 	defer wo.mu.Unlock()
@@ -176,14 +177,14 @@
 	wo := newHarness(t)
 	t.Repeat(map[string]func(*rapid.T){
 		"settle": wo.settleRequest, "settle-2": wo.settleRequest, "write": wo.write, "write-2": wo.write,
-		"offer": wo.offer, "offer-2": wo.offer, "die": wo.die, "pass": wo.wait, "pass-2": wo.wait,
+		"offer": wo.offer, "offer-2": wo.offer, "die": wo.crashSometimes, "pass": wo.wait, "pass-2": wo.wait,
 		"": wo.check,
 	})
 	wo.finish(t)
 }
 
-// By default the property test runs with one seed and takes a second or two; rapid's flags set
-// others.
+// By default the property test runs with one seed and takes a second or two. rapid's flags override
+// the seed and the number of checks.
 const (
 	seed   = "7"
 	checks = "500"
