--- a/core/prefixsync/prefixsync.go
+++ b/core/prefixsync/prefixsync.go
@@ -12,8 +12,8 @@
 //
 // # Usage
 //
-//	du := prefixsync.New(deps, inf, fleet, memory, learner)
-//	sup.Add(du) // ends by itself
+//	sy := prefixsync.New(deps, inf, fleet, caches, learner)
+//	sup.Add(sy) // ends when all queries have ended
 package prefixsync
 
 import (
@@ -33,7 +33,7 @@
 // Learner records the prefixes cached by engines.
 type Learner interface {
 	// RecordCached records the prefixes cached by one engine.
-	RecordCached(ho core.Host, held []core.CachedPart)
+	RecordCached(ho core.Host, cached []core.CachedPart)
 }
 
 // Syncer is the service that queries the engines. It implements suture.Service.
@@ -113,11 +113,11 @@
 
 func (re *Syncer) query(ctx context.Context, ho core.Host) {
 	startedAt := time.Now()
-	held, err := re.mem.CachedParts(ctx, ho)
+	cached, err := re.mem.CachedParts(ctx, ho)
 	if err != nil {
 		event.Log(re.deps.Log, event.MemoryUnknown, "upstream", ho.ID, "error", err)
 		return
 	}
-	re.le.RecordCached(ho, held)
-	event.Log(re.deps.Log, event.MemoryRecalled, "upstream", ho.ID, "parts", len(held), "took", time.Since(startedAt))
+	re.le.RecordCached(ho, cached)
+	event.Log(re.deps.Log, event.MemoryRecalled, "upstream", ho.ID, "parts", len(cached), "took", time.Since(startedAt))
 }
--- a/core/prefixsync/prefixsync_test.go
+++ b/core/prefixsync/prefixsync_test.go
@@ -38,13 +38,13 @@
 }
 
 // RecordCached implements prefixsync.Learner.
-func (en *engines) RecordCached(ho core.Host, held []core.CachedPart) {
+func (en *engines) RecordCached(ho core.Host, cached []core.CachedPart) {
 	en.mu.Lock()
 	defer en.mu.Unlock()
-	en.learned[ho.ID] = held
+	en.learned[ho.ID] = cached
 }
 
-// Guards against an entry that starts, after all entries were lost, without knowledge of the
+// Guards against an entry that starts, after all entries were lost, without the list of the
 // engines' cached prefixes: each retry of a broken stream would then wait up to seconds for
 // a new prefill. An engine that does not respond must not delay the responses of the others.
 func TestStartingEntryLearnsCachedPrefixes(t *testing.T) {
--- a/core/propagation/propagation.go
+++ b/core/propagation/propagation.go
@@ -3,7 +3,7 @@
 //
 // # Usage
 //
-//	rep := propagation.Follow(ctx, hosts, gen, ask, func(zo propagation.ZoneReport) { fmt.Println(zo) })
+//	rep := propagation.Follow(ctx, hosts, gen, wait, func(zo propagation.ZoneReport) { fmt.Println(zo) })
 //	if len(rep.Missing) > 0 { … }
 package propagation
 
@@ -45,15 +45,16 @@
 	// connection, and 12,000 at once would exceed the capacity of the operator's machine.
 	// The limit is per zone so that an unresponsive zone does not block the others.
 	maxConcurrent = 64
-	// requestTimeout bounds one request. An unresponsive process is requested again after
-	// the others of its zone; otherwise 64 unresponsive processes would block the rest.
+	// requestTimeout bounds one request. A request that times out is sent again after the
+	// requests to the other processes of its zone; otherwise 64 unresponsive processes
+	// would block the rest.
 	requestTimeout = 2 * time.Second
 	retryDelay     = 100 * time.Millisecond
 )
 
 // Follow waits for every listed process that has an address and is not leaving, and calls
 // done for each zone when its last process has the generation or the context has ended.
-func Follow(ctx context.Context, hosts []core.Host, gen core.Generation, ask WaitFunc, done func(ZoneReport)) Report {
+func Follow(ctx context.Context, hosts []core.Host, gen core.Generation, wait WaitFunc, done func(ZoneReport)) Report {
 	startedAt := time.Now()
 	byZone := map[core.Zone][]core.Host{}
 	for _, ho := range hosts {
@@ -66,7 +67,7 @@
 	var wg sync.WaitGroup
 	for _, members := range byZone {
 		wg.Go(func() {
-			zo := followZone(ctx, members, gen, ask)
+			zo := followZone(ctx, members, gen, wait)
 			zo.Took = time.Since(startedAt)
 			mu.Lock()
 			defer mu.Unlock()
@@ -81,7 +82,7 @@
 	return rep
 }
 
-func followZone(ctx context.Context, members []core.Host, gen core.Generation, ask WaitFunc) ZoneReport {
+func followZone(ctx context.Context, members []core.Host, gen core.Generation, wait WaitFunc) ZoneReport {
 	sem := make(chan struct{}, maxConcurrent)
 	zo := ZoneReport{Zone: members[0].Zone, Region: members[0].Region}
 	var mu sync.Mutex
@@ -93,7 +94,7 @@
 			zo.Agents++
 		}
 		wg.Go(func() {
-			if awaitGeneration(ctx, ho.Addr, gen, ask, sem) {
+			if awaitGeneration(ctx, ho.Addr, gen, wait, sem) {
 				return
 			}
 			mu.Lock()
@@ -106,13 +107,13 @@
 	return zo
 }
 
-// awaitGeneration requests one process repeatedly until it has the generation, and returns
+// awaitGeneration sends requests to one process until it has the generation, and returns
 // false if the context ends first.
-func awaitGeneration(ctx context.Context, addr string, gen core.Generation, ask WaitFunc, sem chan struct{}) bool {
+func awaitGeneration(ctx context.Context, addr string, gen core.Generation, wait WaitFunc, sem chan struct{}) bool {
 	for {
 		sem <- struct{}{}
 		reqCtx, cancel := context.WithTimeout(ctx, requestTimeout)
-		err := ask(reqCtx, addr, gen)
+		err := wait(reqCtx, addr, gen)
 		cancel()
 		<-sem
 		if err == nil {
--- a/core/propagation/propagation_test.go
+++ b/core/propagation/propagation_test.go
@@ -26,7 +26,7 @@
 			}
 			hosts = append(hosts, core.Host{Role: role, Addr: fmt.Sprintf("%d:%03d", i%3, i), Zone: core.Zone(fmt.Sprint(i % 3))})
 		}
-		ask := func(ctx context.Context, addr string, _ core.Generation) error {
+		wait := func(ctx context.Context, addr string, _ core.Generation) error {
 			if addr[0] == '2' {
 				<-ctx.Done()
 				return ctx.Err()
@@ -37,7 +37,7 @@
 		ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 		defer cancel()
 		var order []core.Zone
-		rep := propagation.Follow(ctx, hosts, 7, ask, func(zo propagation.ZoneReport) { order = append(order, zo.Zone) })
+		rep := propagation.Follow(ctx, hosts, 7, wait, func(zo propagation.ZoneReport) { order = append(order, zo.Zone) })
 		assert.Equal(t, len(rep.Zones), 3)
 		assert.Equal(t, len(rep.Missing), 300)
 		assert.Equal(t, rep.Zones[0].Entries+rep.Zones[0].Agents, 300)
--- a/core/registration/registration.go
+++ b/core/registration/registration.go
@@ -1,7 +1,7 @@
-// Package registration keeps an entry in the store's list of entries while it runs, by a lease.
-// From the list, an entry takes the siblings to contact when the store rejects it, and
-// entries determine which of them performs the writes that only one should make. The list
-// is a hint: no correctness guarantee depends on it.
+// Package registration keeps an entry in the store's list of entries while it runs, under a
+// lease. From the list, an entry takes the siblings to contact when the store rejects it,
+// and entries determine which of them performs the writes that only one should make. The
+// list is a hint: no correctness guarantee depends on it.
 //
 // # Usage
 //
@@ -78,7 +78,7 @@
 		return err
 	}
 	// The key may still exist under an older lease, or from a write whose reply was lost. It
-	// then expires with that lease and is written again one round later.
+	// then expires with that lease, and a later attempt writes it again.
 	if _, err := re.st.Create(ctx, re.key, re.value, lease); err != nil {
 		return err
 	}
--- a/core/replica/change_log.go
+++ b/core/replica/change_log.go
@@ -40,6 +40,8 @@
 	}
 }
 
+// since returns the changes after a revision, or false if some of them were dropped from
+// the log.
 func (cl *changeLog) since(after core.Revision) ([]core.Change, bool) {
 	if after < cl.base {
 		return nil, false
--- a/core/replica/follow.go
+++ b/core/replica/follow.go
@@ -15,8 +15,8 @@
 type Update struct {
 	// Newer reports whether the other entry's replica is newer than the revision.
 	Newer bool
-	// Items is the other entry's full copy if Whole is set. Otherwise Changes lead from
-	// the requested revision to Revision.
+	// Whole reports whether Items is the other entry's full copy. Otherwise Changes are the
+	// changes from the requested revision to Revision.
 	Whole    bool
 	Items    []core.Item
 	Changes  []core.Change
@@ -227,13 +227,14 @@
 		case <-fo.downSignal:
 		}
 		for fo.storeDown() && ctx.Err() == nil {
-			fo.pollSibling(ctx)
+			fo.fetchFromSiblings(ctx)
 			sleep(ctx, siblingPollInterval)
 		}
 	}
 }
 
-func (fo *Follower) pollSibling(ctx context.Context) {
+// fetchFromSiblings fetches an update from any sibling and applies it.
+func (fo *Follower) fetchFromSiblings(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, siblingPollTimeout)
 	defer cancel()
 	requestedAt := time.Now()
--- a/core/replica/follow_test.go
+++ b/core/replica/follow_test.go
@@ -22,7 +22,7 @@
 	mu        sync.Mutex
 	items     []core.Item
 	rev       core.Revision
-	silent    bool
+	hanging   bool
 	rejecting bool
 	compact   bool
 	// loseReply makes the store lose its next reply that contains changes.
@@ -51,15 +51,14 @@
 	fn()
 }
 
-// respond hangs while the store is silent, for at most a little longer than the requested
+// respond hangs while the store is hanging, for at most a little longer than the requested
 // wait, like a client with its own timeout.
 func (sh *fakeStore) respond(ctx context.Context, wait time.Duration) error {
 	sh.mu.Lock()
-
-	silent, rejecting := sh.silent, sh.rejecting
+	hanging, rejecting := sh.hanging, sh.rejecting
 	sh.mu.Unlock()
 	switch {
-	case silent:
+	case hanging:
 		select {
 		case <-ctx.Done():
 		case <-time.After(wait + 700*time.Millisecond):
@@ -71,8 +70,8 @@
 	return ctx.Err()
 }
 
-// takeLoseReply reports whether the current reply is lost, and resets the flag.
-func (sh *fakeStore) takeLoseReply() bool {
+// consumeLoseReply reports whether the current reply is lost, and resets the flag.
+func (sh *fakeStore) consumeLoseReply() bool {
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
 	was := sh.loseReply
@@ -109,7 +108,7 @@
 		switch {
 		case compact:
 			return nil, 0, core.ErrCompacted
-		case len(out) > 0 && sh.takeLoseReply():
+		case len(out) > 0 && sh.consumeLoseReply():
 			time.Sleep(time.Until(until) + 700*time.Millisecond)
 			return nil, 0, core.ErrUnavailable
 		case len(out) > 0 || !time.Now().Before(until):
@@ -179,15 +178,15 @@
 // Guards against a change that is noticed late after store calls hung for some seconds,
 // such as seven: the store accepts an operator's change when it recovers, while a watch
 // sent just before still waits for its timeout. Callers would get the old configuration
-// for five seconds longer than at the next entry.
+// for five seconds longer than at other entries.
 func TestChangeArrivesAfterStoreHang(t *testing.T) {
-	for _, silence := range []time.Duration{3 * time.Second, 7 * time.Second, 7300 * time.Millisecond, 9900 * time.Millisecond} {
+	for _, outage := range []time.Duration{3 * time.Second, 7 * time.Second, 7300 * time.Millisecond, 9900 * time.Millisecond} {
 		sh := new(fakeStore)
 		sh.put("one")
 		runFollower(t, sh, fakeSibling{}, func(mi *replica.Replica, _ *replica.Follower) {
-			sh.set(func() { sh.silent = true })
-			time.Sleep(silence)
-			sh.set(func() { sh.silent = false })
+			sh.set(func() { sh.hanging = true })
+			time.Sleep(outage)
+			sh.set(func() { sh.hanging = false })
 			sh.put("two")
 			time.Sleep(2500 * time.Millisecond)
 			assertSecondValue(t, mi)
@@ -238,7 +237,7 @@
 
 // Guards against too many watch calls on an idle store, each of which has a cost, and
 // against too few: a replica that no call has confirmed for seconds counts as stale, and
-// callers would be refused because of keys and routes that are merely unknown.
+// callers would be refused although their keys and routes may be valid.
 func TestIdleStoreNeedsFewCalls(t *testing.T) {
 	sh := new(fakeStore)
 	sh.put("one")
@@ -254,7 +253,7 @@
 }
 
 // TestSkippedChangesAreMarked guards against a subscriber that takes the changes of a new
-// copy for the complete history.
+// copy as the complete history.
 func TestSkippedChangesAreMarked(t *testing.T) {
 	mi := replica.New()
 	var got []core.Change
--- a/core/replica/readers_test.go
+++ b/core/replica/readers_test.go
@@ -32,8 +32,8 @@
 	if re.unresponsive {
 		return replica.Update{}, errors.New("no answer")
 	}
-	changes, rev, kept := re.mi.Since(after)
-	if !kept {
+	changes, rev, complete := re.mi.Since(after)
+	if !complete {
 		return replica.Update{}, errors.New("the changes are no longer in the log")
 	}
 	return replica.Update{Newer: rev > after, Changes: changes, Revision: rev, Doubtful: re.doubtful}, nil
--- a/core/replica/replica.go
+++ b/core/replica/replica.go
@@ -4,9 +4,9 @@
 // The replica is filled from the store, by an initial listing followed by watches, or
 // from another entry while the store does not answer this one. A copy with a higher
 // revision replaces one with a lower revision and never the reverse, so that a
-// configuration in force is never rolled back by stale data. If the store rejects
-// single hosts, or a host is cut off from the store, that host only needs the detour
-// through a sibling entry.
+// configuration in force is never rolled back by stale data. A host that the store
+// rejects, or that is cut off from the store, receives the changes from a sibling entry
+// instead.
 //
 // # Usage
 //
--- a/core/watch/evacuation_test.go
+++ b/core/watch/evacuation_test.go
@@ -24,7 +24,7 @@
 	return watch.Record{}, nil
 }
 
-func (wo world) serving() string {
+func (wo fixture) serving() string {
 	out := ""
 	for _, ho := range wo.fl.Serving("desk", time.Now(), core.Regions{}) {
 		out += string(ho.ID)
@@ -37,7 +37,7 @@
 // TestEvacuationLastsUntilItsKeyIsRemoved guards against an evacuation that ends because of
 // an older copy, a dropped history, or upstream listings that are removed and written again.
 func TestEvacuationLastsUntilItsKeyIsRemoved(t *testing.T) {
-	wo, now := newWorld("self", layout{}, true), time.Now()
+	wo, now := newFixture("self", layout{}, true), time.Now()
 	before := []core.Item{item("up/a", 1), item("up/b", 2)}
 	wo.mi.Replace(before, 2, now)
 	assert.Equal(t, wo.serving(), "ab")
@@ -58,7 +58,7 @@
 // TestEvacuationInTheFirstCopy guards against an entry that sends work to an evacuated zone
 // right after its start, for any order of keys in the first copy.
 func TestEvacuationInTheFirstCopy(t *testing.T) {
-	wo := newWorld("self", layout{}, true)
+	wo := newFixture("self", layout{}, true)
 	wo.mi.Replace([]core.Item{item("up/a", 7), item("up/b", 8), item("out/b", 5)}, 9, time.Now())
 	assert.Equal(t, wo.serving(), "a")
 }
--- a/core/watch/world_test.go
+++ b/core/watch/fixture_test.go
@@ -11,18 +11,18 @@
 	"skylarkstand/core/watch"
 )
 
-// world is an entry's replica and the components that it updates.
-type world struct {
+// fixture is an entry's replica and the components that it updates.
+type fixture struct {
 	mi *replica.Replica
 	fl *fleet.Fleet
 	wu *warmup.Tracker
 	fd *watch.Handler
 }
 
-// newWorld returns the world of an entry on a platform with the given layout. doubtful
+// newFixture returns the fixture of an entry on a platform with the given layout. doubtful
 // states whether removals are doubtful.
-func newWorld(self core.ProcessID, la watch.Layout, doubtful bool) world {
-	wo := world{mi: replica.New(), fl: fleet.New(), wu: warmup.New(self, warmup.Overshoot(1.5, 5))}
+func newFixture(self core.ProcessID, la watch.Layout, doubtful bool) fixture {
+	wo := fixture{mi: replica.New(), fl: fleet.New(), wu: warmup.New(self, warmup.Overshoot(1.5, 5))}
 	wo.fd = watch.New(core.NewDeps(), la, watch.Targets{
 		InForce: route.NewInForce(), Fleet: wo.fl, Warmup: wo.wu, Regions: map[core.Zone]core.Region{"z": "r"},
 		Doubtful: func(time.Time) bool { return doubtful }, OnRemoved: func(core.Host) {},
--- a/core/watch/handler.go
+++ b/core/watch/handler.go
@@ -91,8 +91,8 @@
 	// restored contains the upstreams whose listing has not been written since the
 	// evacuation of their zone ended.
 	restored map[core.UpstreamID]bool
-	// newest is the latest configuration in the current batch.
-	newest *route.Document
+	// newestConfig is the newest configuration in the current batch.
+	newestConfig *route.Document
 }
 
 // New returns a Handler that routes changes to pa.
@@ -191,7 +191,7 @@
 	case err != nil:
 		fd.logMalformed(ch, err)
 	case en.Configuration != nil:
-		fd.newest = en.Configuration
+		fd.newestConfig = en.Configuration
 	case en.Order != nil:
 		fd.pa.Canary.Order(now, *en.Order)
 		event.Log(fd.deps.Log, event.CanaryOrdered, "service", en.Order.Service, "target", en.Order.Target,
@@ -250,8 +250,8 @@
 
 // adoptConfiguration puts the newest configuration of a batch in force.
 func (fd *Handler) adoptConfiguration() {
-	doc := fd.newest
-	fd.newest = nil
+	doc := fd.newestConfig
+	fd.newestConfig = nil
 	if doc == nil {
 		return
 	}
--- a/core/watch/cold_test.go
+++ b/core/watch/warmup_test.go
@@ -16,10 +16,10 @@
 	"skylarkstand/core/watch"
 )
 
-// coldLayout decodes upstream listings whose value is the remaining warm-up time.
-type coldLayout struct{}
+// warmupLayout decodes upstream listings whose value is the remaining warm-up time.
+type warmupLayout struct{}
 
-func (coldLayout) Decode(it core.Item) (watch.Record, error) {
+func (warmupLayout) Decode(it core.Item) (watch.Record, error) {
 	if it.Key == "out/z" {
 		return watch.Record{Evacuated: "z"}, nil
 	}
@@ -33,22 +33,22 @@
 	return watch.Record{Upstream: id, Host: &core.Host{ID: id, Service: "pool", Zone: "z", Region: "r", Warming: left}}, nil
 }
 
-// coldBound allows maxPerSecond requests in one second.
-var coldBound = warmup.ColdLimit{Rate: 5.2, Duration: 3 * time.Second}
+// coldLimit allows maxPerSecond requests in one second.
+var coldLimit = warmup.ColdLimit{Rate: 5.2, Duration: 3 * time.Second}
 
 const maxPerSecond = 12
 
-// coldEntry is one entry with its own replica.
-type coldEntry struct {
-	world
+// simulatedEntry is one entry with its own replica.
+type simulatedEntry struct {
+	fixture
 	next int           // index of the next change in the log
 	lag  time.Duration // delay with which changes arrive
 	// pausedUntil is when a pause of the process ends.
 	pausedUntil time.Time
 }
 
-func newColdEntry(id core.ProcessID, lag time.Duration) *coldEntry {
-	return &coldEntry{world: newWorld(id, coldLayout{}, false), lag: lag}
+func newSimulatedEntry(id core.ProcessID, lag time.Duration) *simulatedEntry {
+	return &simulatedEntry{fixture: newFixture(id, warmupLayout{}, false), lag: lag}
 }
 
 // loggedChange is a change of the store and its time.
@@ -57,12 +57,12 @@
 	at     time.Time
 }
 
-// coldWorld simulates a store, entries that send as many requests as possible to one
+// warmupSimulation holds a store, entries that send as many requests as possible to one
 // upstream, and the requests that arrive there.
-type coldWorld struct {
+type warmupSimulation struct {
 	rng          *rand.Rand
 	log          []loggedChange
-	entries      []*coldEntry
+	entries      []*simulatedEntry
 	arrivals     []time.Time
 	requests     []inFlight
 	releaseEarly bool
@@ -78,18 +78,18 @@
 	permit *warmup.Permit
 }
 
-func (wo *coldWorld) write(key string, val any, gone bool) {
+func (wo *warmupSimulation) write(key string, val any, gone bool) {
 	raw, _ := json.Marshal(val)
 	re := core.Revision(len(wo.log) + 1)
 	wo.log = append(wo.log, loggedChange{core.Change{Item: core.Item{Key: key, Value: raw, Revision: re}, Removed: gone}, time.Now()})
 }
 
-func (wo *coldWorld) join(id string) {
+func (wo *warmupSimulation) join(id string) {
 	wo.write(watch.PrefixEntries+id, watch.Member{Zone: "z"}, false)
 }
 
 // snapshot returns the store's content after the first n changes.
-func (wo *coldWorld) snapshot(n int) ([]core.Item, core.Revision) {
+func (wo *warmupSimulation) snapshot(n int) ([]core.Item, core.Revision) {
 	items := map[string]core.Item{}
 	for _, lo := range wo.log[:n] {
 		items[lo.change.Key] = lo.change.Item
@@ -105,7 +105,7 @@
 }
 
 // deliver applies the changes that have reached an entry, sometimes as a full copy.
-func (wo *coldWorld) deliver(en *coldEntry) {
+func (wo *warmupSimulation) deliver(en *simulatedEntry) {
 	now, first := time.Now(), en.next
 	for en.next < len(wo.log) && !now.Before(wo.log[en.next].at.Add(en.lag)) {
 		en.next++
@@ -126,11 +126,11 @@
 }
 
 // sendAllowed sends as many requests as an entry has permits for.
-func (wo *coldWorld) sendAllowed(en *coldEntry) {
+func (wo *warmupSimulation) sendAllowed(en *simulatedEntry) {
 	now := time.Now()
 	for _, ho := range en.fl.Serving("pool", now, core.Regions{}) {
 		for range maxPerSecond {
-			pe, ok := en.wu.Acquire(now, &ho, coldBound, false)
+			pe, ok := en.wu.Acquire(now, &ho, coldLimit, false)
 			if !ok {
 				break
 			}
@@ -144,7 +144,7 @@
 	}
 }
 
-func (wo *coldWorld) step() {
+func (wo *warmupSimulation) step() {
 	now := time.Now()
 	wo.requests = slices.DeleteFunc(wo.requests, func(be inFlight) bool {
 		if now.Before(be.at) {
@@ -166,7 +166,7 @@
 }
 
 // peakRate returns the highest number of arrivals in any second of the warm-up.
-func (wo *coldWorld) peakRate() int {
+func (wo *warmupSimulation) peakRate() int {
 	slices.SortFunc(wo.arrivals, time.Time.Compare)
 	peak, first := 0, 0
 	for i, at := range wo.arrivals {
@@ -181,10 +181,10 @@
 	return peak
 }
 
-// simulateCold simulates the three seconds of an upstream's warm-up with forty entries, some
+// simulateWarmup simulates the three seconds of an upstream's warm-up with forty entries, some
 // of which start, leave, pause or receive changes late.
-func simulateCold(seed uint64, evacuated, releaseEarly bool) *coldWorld {
-	wo := &coldWorld{rng: rand.New(rand.NewPCG(seed, 1)), releaseEarly: releaseEarly}
+func simulateWarmup(seed uint64, evacuated, releaseEarly bool) *warmupSimulation {
+	wo := &warmupSimulation{rng: rand.New(rand.NewPCG(seed, 1)), releaseEarly: releaseEarly}
 	for i := range 40 {
 		wo.join(fmt.Sprint("p", i))
 	}
@@ -193,7 +193,7 @@
 		wo.write("out/z", nil, false)
 	}
 	for i := range 40 {
-		en := newColdEntry(core.ProcessID(fmt.Sprint("p", i)), time.Duration(wo.rng.IntN(1500))*time.Millisecond)
+		en := newSimulatedEntry(core.ProcessID(fmt.Sprint("p", i)), time.Duration(wo.rng.IntN(1500))*time.Millisecond)
 		if wo.rng.IntN(10) == 0 {
 			en.lag = time.Hour // The entry is cut off from the store and the other entries.
 		}
@@ -217,7 +217,7 @@
 			wo.write(watch.PrefixEntries+fmt.Sprint("p", wo.rng.IntN(40)), nil, true)
 		case 1:
 			id := fmt.Sprint("q", len(wo.log))
-			wo.entries = append(wo.entries, newColdEntry(core.ProcessID(id), 0))
+			wo.entries = append(wo.entries, newSimulatedEntry(core.ProcessID(id), 0))
 			wo.started++
 			wo.join(id)
 		case 2:
@@ -236,10 +236,11 @@
 	for _, evacuated := range []bool{false, true} {
 		for seed := range uint64(20) {
 			synctest.Test(t, func(t *testing.T) {
-				wo := simulateCold(seed, evacuated, false)
+				wo := simulateWarmup(seed, evacuated, false)
 				limit := maxPerSecond
 				if evacuated {
-					limit += wo.started // These entries cannot know that an evacuation has ended.
+					// The first copy of an entry that starts does not show that an evacuation has ended.
+					limit += wo.started
 				}
 				assert.Assert(t, wo.peakRate() <= limit, "seed %d: %d requests in one second", seed, wo.peakRate())
 				assert.Assert(t, len(wo.arrivals) >= maxPerSecond/2, "seed %d: %d requests in total", seed, len(wo.arrivals))
@@ -254,7 +255,7 @@
 	over := 0
 	for seed := range uint64(20) {
 		synctest.Test(t, func(*testing.T) {
-			if simulateCold(seed, false, true).peakRate() > maxPerSecond {
+			if simulateWarmup(seed, false, true).peakRate() > maxPerSecond {
 				over++
 			}
 		})
@@ -262,21 +263,21 @@
 	assert.Assert(t, over > 0)
 }
 
-// TestUpstreamThatIsColdAgain guards against requests beyond the limit at an upstream that
-// reports that it is cold again, or has restarted under the same id.
-func TestUpstreamThatIsColdAgain(t *testing.T) {
+// TestWarmupRestartsWhenUpstreamIsColdAgain guards against requests beyond the limit at an
+// upstream that reports that it is cold again, or has restarted under the same id.
+func TestWarmupRestartsWhenUpstreamIsColdAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		wo := &coldWorld{rng: rand.New(rand.NewPCG(1, 1))}
+		wo := &warmupSimulation{rng: rand.New(rand.NewPCG(1, 1))}
 		wo.join("p0")
 		wo.write("up/1", 0, false)
-		en := newColdEntry("p0", 0)
+		en := newSimulatedEntry("p0", 0)
 		en.mi.Replace(nil, 0, time.Now())
 		deliver := func() {
 			for ; en.next < len(wo.log); en.next++ {
 				en.mi.Apply([]core.Change{wo.log[en.next].change}, core.Revision(en.next+1), time.Now())
 			}
 		}
-		cold := func() bool { return en.wu.IsCold(time.Now(), "1", coldBound) }
+		cold := func() bool { return en.wu.IsCold(time.Now(), "1", coldLimit) }
 		deliver()
 		assert.Assert(t, !cold())
 		wo.write("up/1", 2*time.Second, false)
@@ -290,7 +291,7 @@
 		wo.write("out/z", nil, true)
 		deliver()
 		assert.Assert(t, cold(), "the evacuation has ended")
-		time.Sleep(coldBound.Duration)
+		time.Sleep(coldLimit.Duration)
 		assert.Assert(t, !cold())
 	})
 }
