--- a/io/sibling/digest_test.go
+++ b/io/sibling/digest_test.go
@@ -22,17 +22,17 @@
 	return len(data), nil
 }
 
-// fakePeer records the loads and digests that an entry receives.
-type fakePeer struct {
+// receivedGossip records the loads and digests that an entry receives.
+type receivedGossip struct {
 	Loads
 	loads   []balance.Load
 	digests []replica.Digest
 }
 
-func (pe *fakePeer) ReceiveLoad(_ uint64, lo balance.Load) { pe.loads = append(pe.loads, lo) }
+func (pe *receivedGossip) ReceiveLoad(_ uint64, lo balance.Load) { pe.loads = append(pe.loads, lo) }
 
-// fakeDigests provides an entry's digest and records received ones in a fakePeer.
-type fakeDigests struct{ pe *fakePeer }
+// fakeDigests provides an entry's digest and records received ones in a receivedGossip.
+type fakeDigests struct{ pe *receivedGossip }
 
 func (di fakeDigests) Digest(time.Time) replica.Digest { return replica.Digest{Revision: 7} }
 
@@ -40,8 +40,9 @@
 	di.pe.digests = append(di.pe.digests, got)
 }
 
-func newFakePeer() (*Gossiper, *fakePeer) {
-	pe := &fakePeer{}
+// newTestGossiper returns a Gossiper and the record of what it receives.
+func newTestGossiper() (*Gossiper, *receivedGossip) {
+	pe := &receivedGossip{}
 	addrs := func() []string { return []string{"127.0.0.1:7340"} }
 	return NewGossiper("p", "127.0.0.1:7341", pe, fakeDigests{pe}, addrs, func() bool { return true }), pe
 }
@@ -49,8 +50,8 @@
 // TestDigestDatagramLeavesLoadUnchanged guards against an entry whose load is reset to zero
 // at its siblings when it announces a new revision.
 func TestDigestDatagramLeavesLoadUnchanged(t *testing.T) {
-	sender, _ := newFakePeer()
-	receiver, pe := newFakePeer()
+	sender, _ := newTestGossiper()
+	receiver, pe := newTestGossiper()
 	wi := &recordingConn{}
 	sender.sendDigest(wi)
 	assert.Equal(t, len(wi.sent), 1)
--- a/io/sibling/facts.go
+++ b/io/sibling/facts.go
@@ -8,17 +8,16 @@
 )
 
 // A facts datagram consists of a format byte and the facts, each with the upstream's hash,
-// its start, the cooldown in restUnit, and the number of consecutive attempts at which the
-// upstream was absent.
+// its start, the cooldown in cooldownUnit, and the number of consecutive failed connects.
 const (
-	factsFormat = 0x81
-	factSize    = 8 + 2 + 2 + 1
-	restUnit    = 10 * time.Millisecond
+	factsFormat  = 0x81
+	factSize     = 8 + 2 + 2 + 1
+	cooldownUnit = 10 * time.Millisecond
 	// maxFacts keeps a datagram below the usual packet size. More upstreams fail at once
 	// only when an availability zone fails, and those left out are reported when they are
 	// tried again.
-	maxFacts = 100
-	maxAway  = 1<<8 - 1
+	maxFacts          = 100
+	maxFailedConnects = 1<<8 - 1
 )
 
 func encodeFacts(facts []balance.Fact) []byte {
@@ -28,8 +27,8 @@
 	for _, fa := range facts {
 		data = binary.BigEndian.AppendUint64(data, fa.Upstream)
 		data = binary.BigEndian.AppendUint16(data, fa.Start)
-		data = binary.BigEndian.AppendUint16(data, uint16(min((fa.DownFor+restUnit-1)/restUnit, maxUnits)))
-		data = append(data, byte(min(fa.FailedConnects, maxAway)))
+		data = binary.BigEndian.AppendUint16(data, uint16(min((fa.DownFor+cooldownUnit-1)/cooldownUnit, maxUnits)))
+		data = append(data, byte(min(fa.FailedConnects, maxFailedConnects)))
 	}
 	return data
 }
@@ -44,7 +43,7 @@
 		out = append(out, balance.Fact{
 			Upstream:       binary.BigEndian.Uint64(row),
 			Start:          binary.BigEndian.Uint16(row[8:]),
-			DownFor:        time.Duration(binary.BigEndian.Uint16(row[10:])) * restUnit,
+			DownFor:        time.Duration(binary.BigEndian.Uint16(row[10:])) * cooldownUnit,
 			FailedConnects: int(row[12]),
 		})
 	}
--- a/io/sibling/gossip.go
+++ b/io/sibling/gossip.go
@@ -21,7 +21,8 @@
 	TakeLoad() balance.Load
 	// ReceiveLoad records the load announced by another entry.
 	ReceiveLoad(from uint64, lo balance.Load)
-	// SentSignal signals that TakeCalls has calls to announce immediately.
+	// SentSignal returns a channel that receives when TakeCalls has calls to announce
+	// immediately.
 	SentSignal() <-chan struct{}
 	// TakeCalls returns the calls sent to upstreams since the previous call of TakeCalls.
 	TakeCalls() []balance.Share
@@ -70,7 +71,7 @@
 	rotation        rotation
 	// limiter bounds the datagrams sent outside gossip rounds.
 	limiter *rate.Limiter
-	// unsentFacts are found but not yet announced.
+	// unsentFacts holds the facts that are not announced yet.
 	unsentFacts []balance.Fact
 }
 
@@ -111,22 +112,22 @@
 // with the service's hash and the retries left; and in the remaining bytes the prefixes
 // cached by engines, each with the upstream's hash and the hash of the prompt part.
 const (
-	loadFormat   = 5
-	digestSize   = 8 + 2 + 2
-	loadHeadSize = 1 + 8 + digestSize + 1 + 1
-	budgetSize   = 8 + 2
-	digestUnit   = 10 * time.Millisecond
-	noContact    = maxUnits
-	shareSize    = 8 + 2 + 2
-	keptSize     = 8 + 8
-	pendingUnit  = 10 * time.Millisecond
-	// maxShares and maxKept keep a datagram below the usual packet size of 1,500 bytes.
+	loadFormat     = 5
+	digestSize     = 8 + 2 + 2
+	loadHeadSize   = 1 + 8 + digestSize + 1 + 1
+	budgetSize     = 8 + 2
+	digestUnit     = 10 * time.Millisecond
+	noContact      = maxUnits
+	shareSize      = 8 + 2 + 2
+	cachedPartSize = 8 + 8
+	pendingUnit    = 10 * time.Millisecond
+	// maxShares and maxCachedParts keep a datagram below the usual packet size of 1,500 bytes.
 	// An entry has attempts at more upstreams only in installations so large that a
 	// subset suffices.
-	maxShares  = 64
-	maxKept    = 36
-	maxBudgets = 4
-	maxUnits   = 1<<16 - 1
+	maxShares      = 64
+	maxCachedParts = 36
+	maxBudgets     = 4
+	maxUnits       = 1<<16 - 1
 	// siblingsPerRound is the number of siblings addressed in one gossip round. Four
 	// rounds a second with datagrams of one or two hundred bytes stay below 8 kB a second
 	// for any number of entries; with 72 entries in a region, each receives the load of
@@ -160,7 +161,7 @@
 		case <-sh.ld.SentSignal():
 			sh.sendSentCalls(pc)
 			sh.sendRemoteCalls(pc)
-			sh.sendFacts(pc, false) // An attempt at an absent upstream is followed by a retry, which triggers this case.
+			sh.sendFacts(pc, false) // A failed connect is followed by a retry, whose call triggers this case.
 		}
 	}
 }
@@ -189,7 +190,7 @@
 	if !sh.limiter.AllowN(time.Now(), len(addrs)) {
 		return
 	}
-	write(pc, addrs, encodeSent(balance.Hash(sh.self), sent))
+	sendDatagrams(pc, addrs, encodeSent(balance.Hash(sh.self), sent))
 }
 
 // sendFacts sends facts about upstreams to all siblings: immediately if the rate limit
@@ -201,7 +202,7 @@
 	}
 	addrs := sh.addrs()
 	if round || sh.limiter.AllowN(time.Now(), len(addrs)) {
-		write(pc, addrs, encodeFacts(sh.unsentFacts))
+		sendDatagrams(pc, addrs, encodeFacts(sh.unsentFacts))
 		sh.unsentFacts = nil
 	}
 }
@@ -210,15 +211,16 @@
 // this entry's replica.
 func (sh *Gossiper) sendDigest(pc net.PacketConn) {
 	if sh.isReader() {
-		write(pc, sh.addrs(), encodeRevision(sh.di.Digest(time.Now())))
+		sendDatagrams(pc, sh.addrs(), encodeDigest(sh.di.Digest(time.Now())))
 	}
 }
 
 func (sh *Gossiper) sendTo(pc net.PacketConn, addrs []string, lo balance.Load) {
-	write(pc, addrs, encode(balance.Hash(sh.self), sh.di.Digest(time.Now()), lo))
+	sendDatagrams(pc, addrs, encodeLoad(balance.Hash(sh.self), sh.di.Digest(time.Now()), lo))
 }
 
-func write(pc net.PacketConn, addrs []string, data []byte) {
+// sendDatagrams sends data to each of the addresses.
+func sendDatagrams(pc net.PacketConn, addrs []string, data []byte) {
 	for _, addr := range addrs {
 		if to, err := net.ResolveUDPAddr("udp", addr); err == nil {
 			_, _ = pc.WriteTo(data, to) // The next datagram makes up for a lost one.
@@ -226,9 +228,9 @@
 	}
 }
 
-func encode(self uint64, di replica.Digest, lo balance.Load) []byte {
-	shares, kept := lo.Shares[:min(len(lo.Shares), maxShares)], lo.CachedParts[:min(len(lo.CachedParts), maxKept)]
-	data := make([]byte, 0, loadHeadSize+len(shares)*shareSize+len(kept)*keptSize)
+func encodeLoad(self uint64, di replica.Digest, lo balance.Load) []byte {
+	shares, cached := lo.Shares[:min(len(lo.Shares), maxShares)], lo.CachedParts[:min(len(lo.CachedParts), maxCachedParts)]
+	data := make([]byte, 0, loadHeadSize+len(shares)*shareSize+len(cached)*cachedPartSize)
 	data = append(data, loadFormat)
 	data = binary.BigEndian.AppendUint64(data, self)
 	data = appendDigest(data, di)
@@ -236,7 +238,7 @@
 	data = append(data, byte(len(shares)), byte(len(budgets)))
 	data = appendShares(data, shares)
 	data = appendBudgets(data, budgets)
-	for _, ke := range kept {
+	for _, ke := range cached {
 		data = binary.BigEndian.AppendUint64(data, ke.Upstream)
 		data = binary.BigEndian.AppendUint64(data, ke.Part)
 	}
@@ -249,14 +251,14 @@
 	return binary.BigEndian.AppendUint16(data, contactUnits(di.Contact))
 }
 
-// revisionFormat is the format byte of a datagram that contains only a digest.
-const revisionFormat = 0x84
+// digestFormat is the format byte of a datagram that contains only a digest.
+const digestFormat = 0x84
 
-func encodeRevision(di replica.Digest) []byte { return appendDigest([]byte{revisionFormat}, di) }
+func encodeDigest(di replica.Digest) []byte { return appendDigest([]byte{digestFormat}, di) }
 
-// decodeRevision decodes a digest datagram. It returns false for any other datagram.
-func decodeRevision(data []byte) (replica.Digest, bool) {
-	if len(data) != 1+digestSize || data[0] != revisionFormat {
+// decodeDigestDatagram decodes a digest datagram. It returns false for any other datagram.
+func decodeDigestDatagram(data []byte) (replica.Digest, bool) {
+	if len(data) != 1+digestSize || data[0] != digestFormat {
 		return replica.Digest{}, false
 	}
 	return decodeDigest(data[1:]), true
@@ -271,19 +273,19 @@
 
 // decode decodes a load datagram. It returns false for any other datagram, including those
 // of other releases.
-func decode(data []byte) (from uint64, di replica.Digest, lo balance.Load, ok bool) {
+func decodeLoad(data []byte) (from uint64, di replica.Digest, lo balance.Load, ok bool) {
 	if len(data) < loadHeadSize || data[0] != loadFormat {
 		return 0, di, lo, false
 	}
 	from = binary.BigEndian.Uint64(data[1:])
 	di = decodeDigest(data[9:])
-	shares, budgets, rest := int(data[loadHeadSize-2])*shareSize, int(data[loadHeadSize-1])*budgetSize, data[loadHeadSize:]
-	if len(rest) < shares+budgets || (len(rest)-shares-budgets)%keptSize != 0 {
+	shares, budgets, payload := int(data[loadHeadSize-2])*shareSize, int(data[loadHeadSize-1])*budgetSize, data[loadHeadSize:]
+	if len(payload) < shares+budgets || (len(payload)-shares-budgets)%cachedPartSize != 0 {
 		return 0, di, lo, false
 	}
-	lo.Shares = decodeShares(rest[:shares])
-	lo.Budgets = decodeBudgets(rest[shares : shares+budgets])
-	for row := rest[shares+budgets:]; len(row) > 0; row = row[keptSize:] {
+	lo.Shares = decodeShares(payload[:shares])
+	lo.Budgets = decodeBudgets(payload[shares : shares+budgets])
+	for row := payload[shares+budgets:]; len(row) > 0; row = row[cachedPartSize:] {
 		lo.CachedParts = append(lo.CachedParts, balance.CachedPart{Upstream: binary.BigEndian.Uint64(row), Part: binary.BigEndian.Uint64(row[8:])})
 	}
 	return from, di, lo, true
@@ -302,7 +304,7 @@
 }
 
 func (sh *Gossiper) receive(pc net.PacketConn) {
-	buf := make([]byte, loadHeadSize+maxShares*shareSize+maxBudgets*budgetSize+maxKept*keptSize)
+	buf := make([]byte, loadHeadSize+maxShares*shareSize+maxBudgets*budgetSize+maxCachedParts*cachedPartSize)
 	for {
 		n, addr, err := pc.ReadFrom(buf)
 		if errors.Is(err, net.ErrClosed) {
@@ -334,11 +336,11 @@
 		sh.ld.ReceiveCalls(from, sent)
 		return
 	}
-	if di, ok := decodeRevision(data); ok {
+	if di, ok := decodeDigestDatagram(data); ok {
 		sh.receiveDigest(di, addr)
 		return
 	}
-	if from, di, lo, ok := decode(data); ok {
+	if from, di, lo, ok := decodeLoad(data); ok {
 		sh.ld.ReceiveLoad(from, lo)
 		sh.receiveDigest(di, addr)
 	}
--- a/io/sibling/gossip_test.go
+++ b/io/sibling/gossip_test.go
@@ -21,22 +21,22 @@
 		Budgets:     []balance.RetryBudget{{Service: 1 << 61, Left: -3}, {Service: 2, Left: 40}},
 	}
 	wo := replica.Digest{Revision: 1 << 40, Age: 2 * time.Second, Contact: 40 * time.Millisecond}
-	data := encode(42, wo, lo)
-	from, digest, got, ok := decode(data)
+	data := encodeLoad(42, wo, lo)
+	from, digest, got, ok := decodeLoad(data)
 	assert.Assert(t, ok)
 	assert.Equal(t, digest, wo)
 	assert.Equal(t, from, uint64(42))
 	lo.Shares[1].Own, lo.Shares[1].Pending = maxUnits, maxUnits*pendingUnit
 	assert.DeepEqual(t, got, lo)
 	for n := range data {
-		_, _, _, ok := decode(data[:n])
+		_, _, _, ok := decodeLoad(data[:n])
 		assert.Assert(t, !ok || n == loadHeadSize+2*shareSize+2*budgetSize, "%d bytes", n)
 	}
 	data[0]++
-	_, _, _, ok = decode(data)
+	_, _, _, ok = decodeLoad(data)
 	assert.Assert(t, !ok)
 	wo = replica.Digest{Age: time.Hour, Contact: replica.NoContact}
-	_, digest, _, _ = decode(encode(42, wo, lo))
+	_, digest, _, _ = decodeLoad(encodeLoad(42, wo, lo))
 	assert.Equal(t, digest, replica.Digest{Age: maxUnits * digestUnit, Contact: replica.NoContact})
 }
 
@@ -49,9 +49,9 @@
 		lo.CachedParts = append(lo.CachedParts, balance.CachedPart{Part: uint64(i)})
 		lo.Budgets = append(lo.Budgets, balance.RetryBudget{Left: 1e9})
 	}
-	data := encode(1, replica.Digest{}, lo)
+	data := encodeLoad(1, replica.Digest{}, lo)
 	assert.Assert(t, len(data) <= 1472, "%d", len(data))
-	_, _, got, ok := decode(data)
+	_, _, got, ok := decodeLoad(data)
 	assert.Assert(t, ok)
 	assert.Equal(t, fmt.Sprint(len(got.Shares), " ", len(got.CachedParts)), "64 36")
 }
@@ -68,9 +68,9 @@
 	assert.Assert(t, ok && got[0].DownFor > 0, "a short cooldown must not be rounded to zero, which means that the upstream answers")
 	_, ok = decodeFacts(data[:len(data)-1])
 	assert.Assert(t, !ok)
-	_, ok = decodeFacts(encode(1, replica.Digest{}, balance.Load{}))
+	_, ok = decodeFacts(encodeLoad(1, replica.Digest{}, balance.Load{}))
 	assert.Assert(t, !ok)
-	_, _, _, ok = decode(data)
+	_, _, _, ok = decodeLoad(data)
 	assert.Assert(t, !ok)
 	assert.Assert(t, len(encodeFacts(make([]balance.Fact, 500))) <= 1472)
 }
--- a/io/sibling/remote.go
+++ b/io/sibling/remote.go
@@ -33,7 +33,7 @@
 	first := int(balance.Hash(sh.self) % (1 << 16)) //nolint:gosec // Below 1<<16.
 	for _, addrs := range regions {
 		slices.Sort(addrs)
-		write(pc, []string{addrs[(first+sh.remoteRound)%len(addrs)]}, data)
+		sendDatagrams(pc, []string{addrs[(first+sh.remoteRound)%len(addrs)]}, data)
 	}
 }
 
@@ -47,7 +47,7 @@
 	for region, addrs := range sh.remote() {
 		for _, se := range sent {
 			if se.To == balance.Hash(region) && sh.limiter.AllowN(time.Now(), len(addrs)) {
-				write(pc, addrs, encodeRemoteCalls(se))
+				sendDatagrams(pc, addrs, encodeRemoteCalls(se))
 			}
 		}
 	}
--- a/io/sibling/remote_test.go
+++ b/io/sibling/remote_test.go
@@ -24,7 +24,7 @@
 		_, ok := decodeRegion(data[:n])
 		assert.Assert(t, !ok || n == regionHeadSize, "%d bytes", n)
 	}
-	_, _, _, ok = decode(data)
+	_, _, _, ok = decodeLoad(data)
 	assert.Assert(t, !ok)
 	_, ok = decodeFacts(data)
 	assert.Assert(t, !ok)
--- a/io/sibling/rotation.go
+++ b/io/sibling/rotation.go
@@ -17,12 +17,12 @@
 type siblingState struct {
 	// roundsWaited is the number of rounds since the sibling's previous datagram.
 	roundsWaited int
-	// kept are the cached prefixes not yet sent to the sibling.
-	kept []balance.CachedPart
+	// unsent are the cached prefixes not yet sent to the sibling.
+	unsent []balance.CachedPart
 }
 
 // beginRound removes siblings that are gone and queues new cached prefixes for the others.
-func (tu rotation) beginRound(addrs []string, kept []balance.CachedPart) {
+func (tu rotation) beginRound(addrs []string, cached []balance.CachedPart) {
 	for addr := range tu {
 		if !slices.Contains(addrs, addr) {
 			delete(tu, addr)
@@ -35,8 +35,8 @@
 			tu[addr] = one
 		}
 		one.roundsWaited++
-		one.kept = append(one.kept, kept...)
-		one.kept = one.kept[max(len(one.kept)-maxKept, 0):]
+		one.unsent = append(one.unsent, cached...)
+		one.unsent = one.unsent[max(len(one.unsent)-maxCachedParts, 0):]
 	}
 }
 
@@ -53,7 +53,7 @@
 
 // takePending returns the cached prefixes not yet sent to a sibling, and resets its wait.
 func (tu rotation) takePending(addr string) []balance.CachedPart {
-	kept := tu[addr].kept
+	unsent := tu[addr].unsent
 	*tu[addr] = siblingState{}
-	return kept
+	return unsent
 }
--- a/io/sibling/rotation_test.go
+++ b/io/sibling/rotation_test.go
@@ -9,7 +9,7 @@
 	"skylarkstand/core/balance"
 )
 
-// Guards against siblings that never learn of a cached prefix because they were not selected
+// Guards against siblings that never receive a cached prefix because they were not selected
 // in the round after its prefill.
 func TestEverySiblingReceivesEveryPrefix(t *testing.T) {
 	var addrs []string
--- a/io/sibling/sibling.go
+++ b/io/sibling/sibling.go
@@ -47,7 +47,8 @@
 	AgeMs    int64 `json:"age-ms"`
 	Doubtful bool  `json:"doubtful,omitempty"`
 	Newer    bool  `json:"newer"`
-	// Whole reports whether Items is the whole replica; otherwise Changes lead to it.
+	// Whole reports whether Items is the whole replica. Otherwise Changes are the changes since
+	// the client's revision.
 	Whole   bool     `json:"whole,omitempty"`
 	Items   []item   `json:"items,omitempty"`
 	Changes []change `json:"changes,omitempty"`
@@ -74,7 +75,7 @@
 			http.Error(w, "after must be a revision", http.StatusBadRequest)
 			return
 		}
-		if _, _, kept := mi.Since(core.Revision(after)); !kept && rq.FormValue(changesOnly) != "" {
+		if _, _, complete := mi.Since(core.Revision(after)); !complete && rq.FormValue(changesOnly) != "" {
 			http.Error(w, "the changes are not kept any more", http.StatusGone)
 			return
 		}
@@ -110,7 +111,8 @@
 	_ = zw.Close()
 }
 
-// updateSince returns what the replica contains beyond a revision.
+// updateSince returns the response for a client at a revision: the changes since then, or the
+// whole replica if some of them were dropped from the log.
 func updateSince(mi *replica.Replica, after core.Revision) message {
 	age := mi.Age(time.Now())
 	changes, rev, ok := mi.Since(after)
@@ -143,8 +145,8 @@
 }
 
 // Each round requests evidence from half of the siblings in rotation, so that two rounds
-// cover the sessions of all of them. The number is at least minReporters, which together see
-// enough of any service, and at most maxReporters.
+// cover the sessions of all of them. The number is at least minReporters, whose evidence
+// together suffices for any service, and at most maxReporters.
 const (
 	minReporters = 12
 	maxReporters = 24
