--- a/core/event/event.go
+++ b/core/event/event.go
@@ -30,14 +30,16 @@
 	// 60 requests with one attempt each.
 	requestLineLimit = 300
 	// defaultLineLimit is the same limit for each of the other events. A process that starts
-	// receives the state of all upstreams at once; what matters of it is in the metrics.
+	// receives the state of all upstreams at once and may exceed it; the metrics still show that
+	// state.
 	defaultLineLimit = 100
 	// firstRequestEvent is the lowest number of a request event.
 	firstRequestEvent = 500
 )
 
 // MaxLinesPerSecond returns the maximum number of lines per second that a process writes of an
-// event. Events that are not in the catalogue have the limit of those that do not concern requests.
+// event. An event that is not in the catalogue has the limit of an event that does not concern
+// requests.
 func MaxLinesPerSecond(name string) int {
 	if ev := byName[name]; ev != nil && ev.Number >= firstRequestEvent {
 		return requestLineLimit
--- a/core/event/event_test.go
+++ b/core/event/event_test.go
@@ -10,7 +10,7 @@
 
 // The test guards against two events that share a number or a name, or that lack a description.
 // Operators who look up a log line in the reference page would then find a wrong event or none.
-func TestCatalogueIsWhole(t *testing.T) {
+func TestEventsAreUniqueAndDescribed(t *testing.T) {
 	numbers, names := map[int]string{}, map[string]bool{}
 	for _, ev := range event.Catalogue() {
 		assert.Equal(t, numbers[ev.Number], "", "%s", ev.Name)
--- a/core/failure.go
+++ b/core/failure.go
@@ -90,7 +90,7 @@
 	Request    RequestID `json:"request-id"`
 }
 
-// Problem converts a failure for the caller of a request.
+// Problem returns the JSON form of the failure for the request with the given id.
 func (fl *Failure) Problem(id RequestID) Problem {
 	return Problem{Code: fl.Code, Message: fl.Message, Ran: fl.Ran, RetryAfter: fl.RetryAfter.Seconds(), Request: id}
 }
--- a/core/losses/cause.go
+++ b/core/losses/cause.go
@@ -32,7 +32,7 @@
 	OverDeadline Cause = "over the deadline"
 	// NoUpstream is a request that no upstream accepted.
 	NoUpstream Cause = "no upstream"
-	// LostAtUpstream is an answer that was lost or broken off, and a request that could not be
+	// LostAtUpstream is a request whose answer was lost or broken off, and that could not be
 	// retried.
 	LostAtUpstream Cause = "lost at an upstream"
 	// UpstreamError is an error that an upstream returned itself.
@@ -90,11 +90,11 @@
 	case number(rq.end.Get("status")) >= minErrorStatus:
 		return UpstreamError
 	}
-	first, aim := seconds(rq.end.Get("first")), seconds(rq.end.Get("aim"))
+	first, target := seconds(rq.end.Get("first")), seconds(rq.end.Get("aim"))
 	pause, gap := seconds(rq.end.Get("pause")), seconds(rq.end.Get("gap"))
 	confidence := number(rq.end.Get("confidence"))
 	switch {
-	case aim > 0 && first > aim:
+	case target > 0 && first > target:
 		return rq.latenessCause(first)
 	case gap > 0 && pause > gap:
 		return Paused
@@ -132,7 +132,7 @@
 }
 
 // number parses the value of an attribute, seconds a duration in seconds. A missing or malformed
-// value is 0: only this program writes the lines, so that a malformed value is treated as missing.
+// value is 0: only this program writes the lines, so no other format is expected.
 func number(text string) float64 {
 	val, err := strconv.ParseFloat(text, 64)
 	if err != nil {
--- a/core/losses/count.go
+++ b/core/losses/count.go
@@ -65,17 +65,17 @@
 	if len(rqs) == 0 {
 		return ta
 	}
-	routes, work := map[string]*Row{}, map[string]*ModelUsage{}
+	routes, usage := map[string]*Row{}, map[string]*ModelUsage{}
 	start := rqs[0].at
 	for _, rq := range rqs {
 		ca := rq.cause()
 		ta.Total.add(ca)
 		routeRow(routes, rq.route).add(ca)
 		ta.spanRow(rq.at.Sub(start), span).add(ca)
-		rq.addWork(work)
+		rq.addUsage(usage)
 	}
 	ta.Routes = sorted(routes, func(ro *Row) string { return ro.Name })
-	ta.Models = sorted(work, func(wo *ModelUsage) string { return wo.Model })
+	ta.Models = sorted(usage, func(wo *ModelUsage) string { return wo.Model })
 	return ta
 }
 
@@ -105,15 +105,15 @@
 	}
 }
 
-func (rq *request) addWork(work map[string]*ModelUsage) {
+func (rq *request) addUsage(usage map[string]*ModelUsage) {
 	for _, at := range rq.attempts {
 		if at.model == "" {
 			continue
 		}
-		wo := work[at.model]
+		wo := usage[at.model]
 		if wo == nil {
 			wo = &ModelUsage{Model: at.model}
-			work[at.model] = wo
+			usage[at.model] = wo
 		}
 		wo.Attempts++
 		if at.verdict == "unsure" {
--- a/core/losses/losses_test.go
+++ b/core/losses/losses_test.go
@@ -61,11 +61,11 @@
 		{"no end", []string{begun}, losses.ProcessEnded},
 		{"no configuration", []string{`"msg":"exchange-refused","request":"r1","code":"no-configuration"`}, losses.Unconfigured},
 		{"no route", []string{`"msg":"exchange-refused","request":"r1","code":"unknown-route"`}, losses.NotAllowed},
-		{"full", []string{`"msg":"exchange-refused","request":"r1","code":"overloaded"`}, losses.Overloaded},
+		{"overloaded", []string{`"msg":"exchange-refused","request":"r1","code":"overloaded"`}, losses.Overloaded},
 		{"cut off by a planned stop", []string{begun, `"msg":"exchange-cut","request":"r1","code":"leaving"`}, losses.Stopping},
 		{"over the deadline", []string{begun, `"msg":"exchange-failed","request":"r1","code":"deadline"`}, losses.OverDeadline},
 		{"caller gone", []string{begun, `"msg":"exchange-cut","request":"r1","code":"caller-gone"`}, losses.CallerGone},
-		{"lost", []string{begun, `"msg":"exchange-failed","request":"r1","code":"outcome-unknown"`}, losses.LostAtUpstream},
+		{"outcome unknown", []string{begun, `"msg":"exchange-failed","request":"r1","code":"outcome-unknown"`}, losses.LostAtUpstream},
 		{"a code of a later release", []string{begun, `"msg":"exchange-failed","request":"r1","code":"new"`}, losses.Unknown},
 	}
 	for _, sc := range scenarios {
--- a/core/losses/write.go
+++ b/core/losses/write.go
@@ -22,7 +22,7 @@
 	fmt.Fprintf(tw, "all requests\t%d\t\n", ta.Total.Requests)
 	writeRows(tw, "route", ta.Routes)
 	writeRows(tw, "from", ta.Spans)
-	fmt.Fprintf(tw, "\nmodel\tattempts\tdoubted\ttokens read\ttokens kept\n")
+	fmt.Fprintf(tw, "\nmodel\tattempts\tescalated\ttokens prefilled\ttokens cached\n")
 	for _, wo := range ta.Models {
 		fmt.Fprintf(tw, "%s\t%d\t%d\t%d\t%d\n", wo.Model, wo.Attempts, wo.Escalated, wo.PrefilledTokens, wo.CachedTokens)
 	}
--- a/core/mechanism/mechanism.go
+++ b/core/mechanism/mechanism.go
@@ -25,10 +25,11 @@
 // The mechanisms.
 const (
 	// PrefixAffinity selects one upstream of the region by hashing the shared parts of a prompt.
-	// All entries prefer it as long as they do not receive which prompts engines have processed.
+	// All entries prefer it while they receive no announcements of the prompts that engines have
+	// processed.
 	PrefixAffinity Name = "prefix-homes"
 	// SiblingPrompts uses the announcements of other entries about the prompts that engines have
-	// processed, SiblingLoads those about their work at the engines.
+	// processed, SiblingLoads the announcements about their work at the engines.
 	SiblingPrompts Name = "told-prompts"
 	SiblingLoads   Name = "told-loads"
 	// PrefillRate measures the prefill throughput of engines for each model.
@@ -100,7 +101,7 @@
 	var of Disabled
 	for _, name := range names {
 		if !slices.Contains(all, Name(name)) {
-			return Disabled{}, eris.Errorf("there is no mechanism %q; there are %s", name, list())
+			return Disabled{}, eris.Errorf("no mechanism %q exists; use one of %s", name, list())
 		}
 		of.names = append(of.names, Name(name))
 	}
--- a/core/meter/catalogue.go
+++ b/core/meter/catalogue.go
@@ -18,7 +18,7 @@
 		"Time from the arrival of a request to the start of the attempt whose response was used: the time lost to failed attempts and to answers that were escalated. A gateway has no queue of its own; requests wait at upstreams.",
 		"it increases while `first-byte-seconds` minus this metric does not"}
 	Attempts = &Metric{"attempts", Counter, []string{"verdict"},
-		"Attempts by result: `taken`, `unsure` (escalated to a larger model), `failed`, `refused`, `stranger`, `unreached`, `absent` (no process listens) or `lost`.",
+		"Attempts by result: `taken`, `unsure` (escalated to a larger model), `failed`, `refused`, `stranger` (the address belongs to another upstream now), `unreached` (nothing was sent), `absent` (no process listens) or `lost`.",
 		"`lost` exceeds a few percent of the exchanges"}
 	Repeats = &Metric{"repeats", Counter, []string{"purpose", "granted"},
 		"Retries requested from the retry budget, by purpose: a `retry` of a failed attempt, or a `climb` (escalation) to a larger model.",
--- a/core/store.go
+++ b/core/store.go
@@ -33,7 +33,7 @@
 	// certainly did not take effect.
 	ErrUnavailable = errors.New("store: unavailable")
 	// ErrCompacted means that the store no longer has the history from the requested revision on.
-	ErrCompacted = errors.New("store: history gone")
+	ErrCompacted = errors.New("store: the history from the requested revision on was compacted")
 	// ErrUncertain means that the reply was lost. The write may have taken effect or may still do
 	// so; the only way to find out is to read the key.
 	ErrUncertain = errors.New("store: outcome uncertain")
--- a/core/trace/doc.go
+++ b/core/trace/doc.go
@@ -4,7 +4,7 @@
 // The reconstruction consists of the lines with the request's id, from every entry that received
 // it, and of the lines about the state of those entries at that time: the upstreams that the request
 // was sent to, the configuration, the roll-outs, the store. Lines may be missing because a process
-// was killed or dropped lines; the reader must learn where.
+// was killed or dropped lines; the output shows where.
 //
 // # Usage
 //
--- a/core/trace/trace.go
+++ b/core/trace/trace.go
@@ -132,7 +132,7 @@
 	return sc.processes[li.processName()] && !li.At.Before(sc.from.Add(-timeBefore)) && !li.At.After(sc.to.Add(timeAfter))
 }
 
-// includes reports whether a line without the request's id belongs to the story.
+// includes reports whether a line without the request's id belongs to the trace.
 func (sc scope) includes(li *Line) bool {
 	if !sc.covers(li) {
 		return false
@@ -269,7 +269,7 @@
 	default:
 		why = "the line was dropped, or the request was still in flight when the log ended"
 	}
-	return []string{fmt.Sprintf("%s did not log how the request ended: its last line about it is %s at %s, its last line of all is %s at %s: %s",
+	return []string{fmt.Sprintf("%s did not log how the request ended: its last line about the request is %s at %s, its last line in the log is %s at %s: %s",
 		shortName(process), last.Event, clock(last.At), end.Event, clock(end.At), why)}
 }
 
--- a/core/trace/write.go
+++ b/core/trace/write.go
@@ -14,7 +14,7 @@
 // clock formats the time of a line.
 func clock(at time.Time) string { return at.UTC().Format("15:04:05.000") }
 
-// Write prints a story: its lines, counts of other requests at the same entries and upstreams, and
+// Write prints the trace: its lines, counts of other requests at the same entries and upstreams, and
 // what is missing. The request's own lines are marked with an asterisk.
 func (st *Trace) Write(w io.Writer) error {
 	var sb strings.Builder
@@ -30,7 +30,7 @@
 		fmt.Fprintf(&sb, "missing: %s\n", text)
 	}
 	_, err := io.WriteString(w, sb.String())
-	return eris.Wrap(err, "story")
+	return eris.Wrap(err, "write the trace")
 }
 
 func (st *Trace) writeLine(sb *strings.Builder, li *Line) {
--- a/io/logline/logline.go
+++ b/io/logline/logline.go
@@ -72,7 +72,7 @@
 
 // logDropped logs how many lines of each event were dropped. It runs on the writer's own goroutine
 // and must not block on a full buffer: its lines use the last quarter of the buffer, and the counts
-// of those that do not fit are added up again for the next time.
+// of lines that do not fit are added to the next report.
 func logDropped(wr *writer, ha slog.Handler, dropped map[string]int) {
 	for _, name := range slices.Sorted(maps.Keys(dropped)) {
 		ev, now := event.LogDropped, time.Now()
--- a/io/logline/logline_test.go
+++ b/io/logline/logline_test.go
@@ -76,7 +76,7 @@
 
 // A burst of requests arrives while the reader of the log hangs for a moment. Each line must either
 // be written or be counted as dropped under its event. Otherwise, an engineer who searches for a
-// request does not know whether its lines may be missing.
+// request cannot find out whether its lines may be missing.
 func TestEachLineIsWrittenOrCounted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		sl := newStalledOutput()
--- a/io/logline/writer.go
+++ b/io/logline/writer.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	// bufferedLines is the number of lines that can wait for the writer: those of a quarter of a
-	// second at the total limit, 256 kB.
+	// bufferedLines is the number of lines that can wait for the writer: a quarter of a second of
+	// lines at the total limit, 256 kB.
 	bufferedLines = 512
 	// linesPerSecond limits the lines per second of all events together. A busy entry serves 60
 	// requests a second with two or three lines each.
