--- a/core/dispatch/chat.go
+++ b/core/dispatch/chat.go
@@ -20,7 +20,7 @@
 		return nil, err
 	}
 	out := &Outcome{dis: dis, rq: rq, Cascade: pd.plan.Cascade}
-	wk := &stageRunner{dis: dis, planned: pd, rq: rq, out: out, began: time.Now(), ran: make([]bool, len(pd.plan.Stages))}
+	wk := &stageRunner{dis: dis, planned: pd, rq: rq, out: out, began: time.Now(), attempted: make([]bool, len(pd.plan.Stages))}
 	if err := wk.run(ctx); err != nil {
 		return nil, out.fail(err)
 	}
@@ -104,9 +104,9 @@
 	rq    *Request
 	out   *Outcome
 	began time.Time
-	// ran marks the stages that were attempted; saved is the last complete answer.
-	ran   []bool
-	saved *savedAnswer
+	// attempted marks the stages that were attempted; saved is the last complete answer.
+	attempted []bool
+	saved     *savedAnswer
 	// mayHaveRun is set when a stage failed after its work may have run on an upstream.
 	mayHaveRun bool
 }
@@ -181,7 +181,7 @@
 func (wk *stageRunner) stage(ctx context.Context, de cascade.Decision) error {
 	st := wk.plan.Stages[de.Stage]
 	pos := wk.position()
-	wk.ran[de.Stage] = true
+	wk.attempted[de.Stage] = true
 	if st.JoinedRollOut {
 		wk.dis.eval.guard.CountExposed(st.Target)
 	}
@@ -296,7 +296,7 @@
 	if ke == nil || ctx.Err() != nil {
 		return false
 	}
-	out.ans, out.buffered, out.ended = ke.ans, ke.buffered, true
+	out.ans, out.buffered, out.usageRecorded = ke.ans, ke.buffered, true
 	out.lines = out.lines[:ke.lines]
 	out.Target, out.Repinned = ke.target, ke.repinned
 	wk.dis.eval.learner.RecordResult(wk.qu, ke.quality, time.Since(wk.began))
@@ -310,14 +310,14 @@
 	if ctx.Err() != nil || !replaceable(fl) {
 		return false, cascade.Decision{}
 	}
-	last := slices.Index(wk.ran, true)
-	for i := last + 1; i < len(wk.ran); i++ {
-		if !wk.ran[i] {
+	last := slices.Index(wk.attempted, true)
+	for i := last + 1; i < len(wk.attempted); i++ {
+		if !wk.attempted[i] {
 			return true, cascade.Decision{Stage: i, Final: true}
 		}
 	}
 	for i := last - 1; i >= 0; i-- {
-		if !wk.ran[i] {
+		if !wk.attempted[i] {
 			return true, cascade.Decision{Stage: i, Final: true}
 		}
 	}
--- a/core/dispatch/chat_test.go
+++ b/core/dispatch/chat_test.go
@@ -255,7 +255,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		inf, gu := inForce(t, declaration.RollOut{Model: "desk", Version: "v2", Percent: 50}), rollout.New()
 		gu.Apply(inf.Current())
-		ra := &byVersion{}
+		ra := &versionRater{}
 		dis := dispatch.New(core.NewDeps(), inf, &upstreams{}, ra, &billRecorder{}, dispatch.Guard(gu))
 		exposed := 0
 		for i := range 400 {
@@ -273,10 +273,10 @@
 	})
 }
 
-// byVersion rates v2 badly and takes 100 ms.
-type byVersion struct{}
+// versionRater rates v2 badly and takes 100 ms.
+type versionRater struct{}
 
-func (*byVersion) Rate(_ context.Context, mv core.ModelVersion, _, _ []byte) (core.Quality, error) {
+func (*versionRater) Rate(_ context.Context, mv core.ModelVersion, _, _ []byte) (core.Quality, error) {
 	time.Sleep(100 * time.Millisecond)
 	if mv.Version == "v2" {
 		return 0, nil
--- a/core/dispatch/dispatch.go
+++ b/core/dispatch/dispatch.go
@@ -6,7 +6,7 @@
 //	dis := dispatch.New(deps, inForce, upstreams, rater, ledger)
 //	out, err := dis.Chat(ctx, rq)
 //	io.Copy(w, out)        // out.Next until io.EOF
-//	out.Settle()           // bills; before the end is sent to the caller
+//	out.Settle()           // files the bill, before the end of the answer is sent to the caller
 //
 // Errors are [core.Failure]s. A failure with [core.NotRun] guarantees that no stage of the
 // request reached an upstream.
@@ -58,7 +58,7 @@
 
 // RandomSource sets the source of random numbers for the selection of upstreams. The function
 // returns a number from 0 to n-1 and is never called concurrently.
-func RandomSource(fn func(n int) int) Option { return func(dis *Dispatcher) { dis.pl.draw = fn } }
+func RandomSource(fn func(n int) int) Option { return func(dis *Dispatcher) { dis.pl.randIntN = fn } }
 
 // New returns a Dispatcher.
 func New(deps core.Deps, inf *declaration.InForce, ups core.Upstreams, ra core.Rater, bi Biller, opts ...Option) *Dispatcher {
--- a/core/dispatch/outcome.go
+++ b/core/dispatch/outcome.go
@@ -24,8 +24,9 @@
 	ans      core.Answer
 	lines    []*lineItem
 	buffered *bytes.Buffer
-	ended    bool
-	bill     ledger.Bill
+	// usageRecorded is set once the usage and cost of the current stage are recorded.
+	usageRecorded bool
+	bill          ledger.Bill
 }
 
 // lineItem is a line of a bill whose usage and cost are not known yet.
@@ -36,7 +37,7 @@
 }
 
 func (out *Outcome) setAnswer(ans core.Answer, li *lineItem) {
-	out.ans, out.buffered, out.ended = ans, nil, false
+	out.ans, out.buffered, out.usageRecorded = ans, nil, false
 	out.lines = append(out.lines, li)
 }
 
@@ -68,10 +69,10 @@
 
 // recordUsage records the usage and cost of the current stage after its answer ended regularly.
 func (out *Outcome) recordUsage() {
-	if out.ended {
+	if out.usageRecorded {
 		return
 	}
-	out.ended = true
+	out.usageRecorded = true
 	li := out.lines[len(out.lines)-1]
 	li.Usage = out.ans.Usage()
 	li.Cost = li.price(li.Usage)
@@ -134,7 +135,7 @@
 	return ledger.Digest(rq.Body, string(rq.Service), string(rq.Operation), rq.IdempotencyKey)
 }
 
-// floorProvider is a biller that knows the lowest position at which the next bill can be stored.
+// floorProvider is a biller that returns the lowest position at which the next bill can be stored.
 type floorProvider interface{ Floor() ledger.Floor }
 
 // Close aborts the answer.
@@ -144,8 +145,8 @@
 	}
 }
 
-// fail converts the failure of a stage to that of the request: once a stage has run, the request
-// as a whole cannot be reported as not run.
+// fail converts the failure of a stage to the failure of the request: once a stage has run, the
+// request as a whole cannot be reported as not run.
 func (out *Outcome) fail(err error) error {
 	fl := asFailure(err)
 	if fl.Ran == core.NotRun && len(out.lines) > 0 {
--- a/core/dispatch/preferred.go
+++ b/core/dispatch/preferred.go
@@ -10,11 +10,11 @@
 	"skylarkstand/core/rendezvous"
 )
 
-// preferred reduces the candidates for an at-most-once operation to the one that its bucket of
-// claims prefers among those that were not tried yet.
+// preferred returns, of the candidates for an at-most-once operation that were not tried yet, the
+// upstream with the highest rendezvous weight for the operation's bucket of claims.
 //
-// So all entries send the keys of one bucket to the same agent, by rendezvous hashing over the
-// upstreams that are up. This is meant for thousands of claims per second: two agents that
+// So all entries send the keys of one bucket to the same agent, as long as they list the same
+// upstreams as up. This is meant for thousands of claims per second: two agents that
 // write the same bucket cause each other write conflicts and repeated reads, and their claims
 // cannot be grouped into one write. An entry with a different view of the upstreams causes
 // such conflicts but never a second run: the claim alone guarantees that.
--- a/core/dispatch/shared_picker.go
+++ b/core/dispatch/shared_picker.go
@@ -39,7 +39,8 @@
 // sharedPicker makes a Picker safe for concurrent use.
 type sharedPicker struct {
 	list Lister
-	draw func(n int) int
+	// randIntN returns a random number in [0, n).
+	randIntN func(n int) int
 
 	mu sync.Mutex
 	pk *placement.Picker
@@ -48,7 +49,7 @@
 }
 
 func newSharedPicker(deps core.Deps, ups core.Upstreams) *sharedPicker {
-	return &sharedPicker{list: singleEntry{ups}, draw: rand.IntN, pk: placement.New(deps.Zone, deps.Region)}
+	return &sharedPicker{list: singleEntry{ups}, randIntN: rand.IntN, pk: placement.New(deps.Zone, deps.Region)}
 }
 
 // candidates lists the upstreams to select from. The caller holds mu.
@@ -75,7 +76,7 @@
 	}
 	return pl.pk.Pick(time.Now(), placement.Request{
 		Pool: poolOf(at), Prefix: placement.Prefix(rq.Prompt), Body: len(rq.Body), CrossRegion: rq.CrossRegion, Tried: tried,
-	}, cands, pl.draw)
+	}, cands, pl.randIntN)
 }
 
 func poolOf(at *core.Attempt) placement.Pool {
@@ -138,12 +139,12 @@
 }
 
 // Capacity returns the capacity of the upstreams of a model version or plain service, in the local
-// region or, if far is set, in the other regions.
-func (dis *Dispatcher) Capacity(mv core.ModelVersion, sv core.ServiceID, far bool) placement.Capacity {
+// region or, if crossRegion is set, in the other regions.
+func (dis *Dispatcher) Capacity(mv core.ModelVersion, sv core.ServiceID, crossRegion bool) placement.Capacity {
 	dis.pl.mu.Lock()
 	defer dis.pl.mu.Unlock()
 	cands := dis.pl.candidates(mv, sv)
-	if far {
+	if crossRegion {
 		return dis.pl.pk.CrossRegionCapacity(time.Now(), cands)
 	}
 	return dis.pl.pk.Capacity(cands, dis.pl.list.EntryCount())
--- a/core/dispatch/try.go
+++ b/core/dispatch/try.go
@@ -12,11 +12,11 @@
 )
 
 // try sends an attempt to one upstream after another until one accepts it. After an attempt with
-// an unknown outcome, it continues only if the work is repeatable.
-func (dis *Dispatcher) try(ctx context.Context, sn *declaration.Snapshot, rq *Request, at core.Attempt, repeatable bool) (core.Answer, *lineItem, error) {
+// an unknown outcome, it continues only if the work is retryable.
+func (dis *Dispatcher) try(ctx context.Context, sn *declaration.Snapshot, rq *Request, at core.Attempt, retryable bool) (core.Answer, *lineItem, error) {
 	at.Request, at.Workspace, at.Generation, at.Body = rq.ID, rq.Workspace, sn.Number, rq.Body
 	at.Priority = rq.Priority
-	tries := retry.NewAttempts(dis.budget)
+	attempts := retry.NewAttempts(dis.budget)
 	var tried []core.UpstreamID
 	var last *core.Failure
 	ran := false
@@ -40,7 +40,7 @@
 		}
 		last = asFailure(err)
 		ran = ran || last.Ran != core.NotRun
-		if ctx.Err() != nil || !tries.MayRetry(last, repeatable) {
+		if ctx.Err() != nil || !attempts.MayRetry(last, retryable) {
 			break
 		}
 	}
--- a/core/dispatch/try_test.go
+++ b/core/dispatch/try_test.go
@@ -53,18 +53,18 @@
 	leaving := core.Refuse(core.CodeLeaving, time.Second, "leaving")
 	lost := core.OutcomeUnknown("lost")
 	scenarios := []struct {
-		testName   string
-		results    []*core.Failure
-		repeatable bool
-		tried      int
-		want       core.Ran // empty if answered
+		testName  string
+		results   []*core.Failure
+		retryable bool
+		tried     int
+		want      core.Ran // empty if answered
 	}{
 		{"answered at once", []*core.Failure{nil}, true, 1, ""},
 		{"refused by a leaving one, then answered", []*core.Failure{leaving, leaving, nil}, false, 3, ""},
 		{"refused by all", []*core.Failure{leaving, leaving, leaving}, true, 3, core.NotRun},
 		{"an overloaded pool is tried twice", []*core.Failure{full, full}, true, 2, core.NotRun},
 		{"lost, then refused", []*core.Failure{lost, full, full}, true, 3, core.RanUnknown},
-		{"lost and not repeatable", []*core.Failure{lost}, false, 1, core.RanUnknown},
+		{"lost and not retryable", []*core.Failure{lost}, false, 1, core.RanUnknown},
 	}
 	for _, sc := range scenarios {
 		t.Run(sc.testName, func(t *testing.T) {
@@ -74,7 +74,7 @@
 			dis := New(deps, declaration.NewInForce(), ups, nil, noBiller{}, RandomSource(rand.New(rand.NewPCG(1, 1)).IntN))
 			ctx, cancel := context.WithTimeout(t.Context(), time.Hour)
 			defer cancel()
-			_, _, err := dis.try(ctx, &declaration.Snapshot{}, &Request{Deadline: 2 * time.Hour, Priority: 1}, core.Attempt{}, sc.repeatable)
+			_, _, err := dis.try(ctx, &declaration.Snapshot{}, &Request{Deadline: 2 * time.Hour, Priority: 1}, core.Attempt{}, sc.retryable)
 			assert.Equal(t, len(ups.tried), sc.tried)
 			slices.Sort(ups.tried)
 			assert.Equal(t, len(slices.Compact(ups.tried)), sc.tried, "an upstream was tried twice")
--- a/core/execute/answer.go
+++ b/core/execute/answer.go
@@ -8,16 +8,17 @@
 	"skylarkstand/core/claim"
 )
 
-// slotAnswer is an answer that frees its slot when it is closed.
+// slotAnswer is an answer that calls release when it is closed, to free its slot or to leave the
+// exclusive gate.
 type slotAnswer struct {
 	core.Answer
-	exit func()
+	release func()
 }
 
-// Close aborts the attempt and frees the slot.
+// Close aborts the attempt and calls release.
 func (he *slotAnswer) Close() {
 	he.Answer.Close()
-	he.exit()
+	he.release()
 }
 
 // storedAnswer is an answer that is completely in memory.
--- a/core/execute/claimed.go
+++ b/core/execute/claimed.go
@@ -26,11 +26,11 @@
 	storeTimeout = time.Second
 	// retryAfterStore is the Retry-After when a claim could not be written.
 	retryAfterStore = 2 * time.Second
-	// retryAfterFull is the Retry-After when there is no room for another claim. Only claims whose
-	// retention ends make room.
+	// retryAfterFull is the Retry-After when the bucket has no space for another claim. Space is
+	// freed only when the retention of claims ends.
 	retryAfterFull = 10 * time.Minute
-	// retryAfterUnknown is the Retry-After when another attempt has the key. A retry with the same
-	// key is safe and returns the answer once it is stored.
+	// retryAfterUnknown is the Retry-After when another attempt has claimed the key. A retry with
+	// the same key is safe and returns the answer once it is stored.
 	retryAfterUnknown = 2 * time.Second
 	// otherAgentWait is how long a caller waits for the answer of an attempt at another agent. Most
 	// operations take less. If that agent is gone, its callers wait this long in vain.
@@ -58,7 +58,7 @@
 		// operation.
 		return nil, core.Refuse(core.CodeBadRequest, 0, "operation %s runs at most once and needs an Idempotency-Key header", at.Operation)
 	}
-	if ex.bound.full() {
+	if ex.queue.full() {
 		// Refuse before the claim, so that a burst of calls that cannot run does not wait for two
 		// group writes per call before it is refused.
 		return nil, core.Refuse(core.CodeOverloaded, minRetryAfter, "the queue of upstream %s is full", ex.host.ID)
@@ -86,9 +86,9 @@
 //
 // Simultaneous callers of one key may reach several agents. One of the agents runs the
 // operation, which mostly takes less than a second. Without the wait, callers at the other
-// agents would be told that the outcome is unknown although the answer is stored a moment
-// later: 53 of 200 callers of one key at three agents. If the other agent releases its claim
-// during the wait, this attempt takes it over.
+// agents would receive an unknown outcome although the answer is stored a moment later:
+// 53 of 200 callers of one key at three agents. If the other agent releases its claim during the
+// wait, this attempt takes it over.
 func (ex *Executor) acquireClaim(ctx context.Context, req claim.Request) (claim.Outcome, error) {
 	until := time.Now().Add(otherAgentWait)
 	for {
@@ -135,10 +135,10 @@
 	return newReplayAnswer(out), nil
 }
 
-// awaitOther answers a caller whose key another attempt has. It waits for an attempt that still
-// runs at this agent. The outcome of any other attempt is unknown: its agent may be gone and
-// may have called the upstream before, so the operation is never run again, however long ago
-// that was.
+// awaitOther answers a caller whose key is claimed by another attempt. It waits for an attempt that
+// still runs at this agent. The outcome of any other attempt is unknown: its agent may be gone and
+// may have called the upstream before, so the operation is never run again, however long ago that
+// was.
 func (ex *Executor) awaitOther(ctx context.Context, out claim.Outcome) (core.Answer, error) {
 	if out.Owner == ex.deps.Self {
 		if en, ok := ex.claims.AwaitEnding(ctx, out.Attempt); ok {
@@ -157,13 +157,13 @@
 // runOwned calls the upstream under an owned claim and stores the answer. It continues when the
 // caller disconnects: the operation has begun, and the caller's retry with the same key gets
 // its answer.
-func (ex *Executor) runOwned(ctx context.Context, at *core.Attempt, req claim.Request, before time.Time) (core.Answer, error) {
-	exit, err := ex.bound.enter(ctx, at)
+func (ex *Executor) runOwned(ctx context.Context, at *core.Attempt, req claim.Request, runBefore time.Time) (core.Answer, error) {
+	release, err := ex.queue.acquire(ctx, at)
 	if err != nil {
 		return nil, ex.releaseClaim(req, err)
 	}
-	an, err := ex.callOnce(ctx, at, before)
-	exit()
+	an, err := ex.callOnce(ctx, at, runBefore)
+	release()
 	if err != nil {
 		return nil, ex.endFailed(req, err)
 	}
@@ -176,14 +176,14 @@
 	return newStoredAnswer(an), nil
 }
 
-// callOnce makes the one call. It checks again first: the configuration may have changed while the
-// attempt waited for its claim and its slot, and the process may have been paused for so long
-// that other agents have dropped the claim.
-func (ex *Executor) callOnce(ctx context.Context, at *core.Attempt, before time.Time) (claim.Answer, error) {
+// callOnce calls the upstream, unless the current time is after runBefore. It repeats the checks
+// first: the configuration may have changed while the attempt waited for its claim and its slot,
+// and the process may have been paused for so long that other agents have dropped the claim.
+func (ex *Executor) callOnce(ctx context.Context, at *core.Attempt, runBefore time.Time) (claim.Answer, error) {
 	if fl := ex.check(at); fl != nil {
 		return claim.Answer{}, fl
 	}
-	if time.Now().After(before) {
+	if time.Now().After(runBefore) {
 		return claim.Answer{}, core.Refuse(core.CodeDeadline, 0, "the claim is older than the retention")
 	}
 	if ctx.Err() != nil {
--- a/core/execute/claimed_test.go
+++ b/core/execute/claimed_test.go
@@ -19,13 +19,13 @@
 
 // booking is a plain service that counts its runs.
 type booking struct {
-	runs int
-	err  error
-	hold time.Duration
+	runs     int
+	err      error
+	duration time.Duration
 }
 
 func (bo *booking) Run(context.Context, *core.Attempt) (core.Answer, error) {
-	time.Sleep(bo.hold)
+	time.Sleep(bo.duration)
 	var fl *core.Failure
 	if errors.As(bo.err, &fl) && fl.Ran == core.NotRun {
 		return nil, bo.err
@@ -121,7 +121,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		one := newFixture(t)
 		two := one.secondAgent()
-		one.bo.hold = time.Second
+		one.bo.duration = time.Second
 		got := make(chan result)
 		for i := range 40 {
 			fx := []*fixture{one, two}[i%2]
@@ -134,13 +134,13 @@
 	})
 }
 
-// The agent that claimed a key is paused with its host. Callers at the other agent must be told
-// within a few seconds that the outcome is unknown, and nothing may run twice.
+// The agent that claimed a key is paused with its host. Callers at the other agent must
+// receive an unknown outcome within a few seconds, and nothing may run twice.
 func TestCallersDoNotWaitForPausedAgent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		one := newFixture(t)
 		two := one.secondAgent()
-		one.bo.hold = time.Hour
+		one.bo.duration = time.Hour
 		first := make(chan result)
 		go func() { first <- one.send("key") }()
 		time.Sleep(time.Second)
@@ -167,7 +167,7 @@
 			return []result{fx.send("key"), fx.send("key"), fx.send("key")}
 		}, []result{{"", "booked"}, {"", "booked"}, {"", "booked"}}, 1},
 		{"retry while the first attempt runs", func(fx *fixture) []result {
-			fx.bo.hold = time.Minute
+			fx.bo.duration = time.Minute
 			first := make(chan result)
 			go func() { first <- fx.send("key") }()
 			time.Sleep(time.Second)
@@ -193,7 +193,7 @@
 			return []result{first, fx.send("key")}
 		}, []result{{core.NotRun, "store-unavailable"}, {"", "booked"}}, 1},
 		{"the store goes down while the service works", func(fx *fixture) []result {
-			fx.bo.hold = time.Second
+			fx.bo.duration = time.Second
 			time.AfterFunc(time.Second/2, func() { fx.st.SetFaults(fakestore.Faults{Down: true}) })
 			time.AfterFunc(time.Minute, func() { fx.st.SetFaults(fakestore.Faults{}) })
 			first := fx.send("key")
@@ -211,7 +211,7 @@
 			return []result{first, fx.send("key")}
 		}, []result{{core.NotRun, "deadline"}, {"", "booked"}}, 1},
 		{"a burst fills the queue", func(fx *fixture) []result {
-			fx.bo.hold = time.Minute
+			fx.bo.duration = time.Minute
 			for _, key := range []string{"runs", "waits"} {
 				go fx.send(key)
 				time.Sleep(time.Second)
@@ -253,7 +253,7 @@
 func TestAttemptPausedBeyondRetentionDoesNotRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fx := newFixture(t)
-		fx.bo.hold = 50 * time.Hour
+		fx.bo.duration = 50 * time.Hour
 		go fx.send("hangs")
 		time.Sleep(time.Minute)
 		assert.Equal(t, fx.send("waits"), result{core.NotRun, "deadline"})
--- a/core/execute/execute.go
+++ b/core/execute/execute.go
@@ -30,9 +30,9 @@
 	inf    *declaration.InForce
 	runner core.Runner
 	claims *claim.Table
-	bound  sharedSlotQueue
+	queue  sharedSlotQueue
 
-	gate    soloGate
+	gate    exclusiveGate
 	leaving atomic.Bool
 }
 
@@ -40,11 +40,11 @@
 type Option func(*Executor)
 
 // Slots sets how many attempts run on the upstream at the same time.
-func Slots(n int) Option { return func(ex *Executor) { ex.bound.bo.slots = max(n, 1) } }
+func Slots(n int) Option { return func(ex *Executor) { ex.queue.bo.slots = max(n, 1) } }
 
 // Queue sets how many attempts may wait for a slot. The agent refuses further attempts at once, so
 // that the entry still has time to try another upstream.
-func Queue(n int) Option { return func(ex *Executor) { ex.bound.bo.limit = n } }
+func Queue(n int) Option { return func(ex *Executor) { ex.queue.bo.limit = n } }
 
 const (
 	defaultSlots = 16
@@ -57,7 +57,7 @@
 // New returns an Executor for the agent's upstream.
 func New(deps core.Deps, ho core.Host, inf *declaration.InForce, ru core.Runner, tbl *claim.Table, opts ...Option) *Executor {
 	ex := &Executor{deps: deps, host: ho, inf: inf, runner: ru, claims: tbl}
-	ex.bound.bo = NewSlotQueue(defaultSlots, defaultQueue)
+	ex.queue.bo = NewSlotQueue(defaultSlots, defaultQueue)
 	for _, opt := range opts {
 		opt(ex)
 	}
@@ -71,7 +71,7 @@
 func (ex *Executor) Leaving() bool { return ex.leaving.Load() }
 
 // Load returns the current load of the upstream.
-func (ex *Executor) Load() core.Load { return ex.bound.load() }
+func (ex *Executor) Load() core.Load { return ex.queue.load() }
 
 // Probe returns an error if the upstream does not accept connections. It returns nil if the runner
 // has no probe.
@@ -110,29 +110,29 @@
 		exit()
 		return nil, err
 	}
-	return &slotAnswer{Answer: ans, exit: exit}, nil
+	return &slotAnswer{Answer: ans, release: exit}, nil
 }
 
-// runGated runs an attempt that has entered the solo gate.
+// runGated runs an attempt that has entered the exclusive gate.
 func (ex *Executor) runGated(ctx context.Context, at *core.Attempt) (core.Answer, error) {
 	if ex.atMostOnce(at) {
 		return ex.runClaimed(ctx, at)
 	}
-	exit, err := ex.bound.enter(ctx, at)
+	release, err := ex.queue.acquire(ctx, at)
 	if err != nil {
 		return nil, err
 	}
 	// The configuration may have changed while the attempt waited.
 	if fl := ex.check(at); fl != nil {
-		exit()
+		release()
 		return nil, fl
 	}
 	ans, err := ex.runner.Run(ctx, at)
 	if err != nil {
-		exit()
+		release()
 		return nil, err
 	}
-	return &slotAnswer{Answer: ans, exit: exit}, nil
+	return &slotAnswer{Answer: ans, release: release}, nil
 }
 
 func (ex *Executor) check(at *core.Attempt) *core.Failure {
--- a/core/execute/slot_queue.go
+++ b/core/execute/slot_queue.go
@@ -127,9 +127,9 @@
 	bo *SlotQueue
 }
 
-// enter waits for a slot and returns the function that frees it, which may be called more than
+// acquire waits for a slot and returns the function that frees it, which may be called more than
 // once.
-func (bd *sharedSlotQueue) enter(ctx context.Context, at *core.Attempt) (exit func(), err error) {
+func (bd *sharedSlotQueue) acquire(ctx context.Context, at *core.Attempt) (release func(), err error) {
 	bd.mu.Lock()
 	pl, _, fl := bd.bo.Acquire(time.Now(), at.Priority, at.Deadline)
 	bd.mu.Unlock()
--- a/core/execute/slot_queue_test.go
+++ b/core/execute/slot_queue_test.go
@@ -13,31 +13,31 @@
 // Several entries act on the same outdated report and send attempts to one upstream. An attempt
 // that cannot be served in time must be refused on arrival: if it waited, its entry would have no
 // time left to try another upstream, and its caller would get no answer before its deadline.
-func TestBoundRefusesOnArrivalAndOrdersByPriority(t *testing.T) {
+func TestSlotQueueRefusesOnArrivalAndOrdersByPriority(t *testing.T) {
 	now := time.Unix(0, 0)
 	bo := execute.NewSlotQueue(2, 4)
-	enter := func(priority int, left time.Duration) (*execute.Ticket, *core.Failure) {
+	acquire := func(priority int, left time.Duration) (*execute.Ticket, *core.Failure) {
 		pl, _, fl := bo.Acquire(now, priority, left)
 		return pl, fl
 	}
-	first, _ := enter(0, 0)
-	second, _ := enter(0, 0)
+	first, _ := acquire(0, 0)
+	second, _ := acquire(0, 0)
 	now = now.Add(time.Second) // The assumed hold time is 1s.
 
-	_, fl := enter(0, 600*time.Millisecond)
+	_, fl := acquire(0, 600*time.Millisecond)
 	assert.Equal(t, fl.Code, core.CodeOverloaded)
 	assert.Equal(t, fl.Ran, core.NotRun)
 	assert.Assert(t, fl.RetryAfter > 0)
-	low, fl := enter(-1, 2*time.Second)
+	low, fl := acquire(-1, 2*time.Second)
 	assert.Assert(t, fl == nil)
-	normal, fl := enter(0, 2*time.Second)
+	normal, fl := acquire(0, 2*time.Second)
 	assert.Assert(t, fl == nil)
-	_, fl = enter(-1, 1500*time.Millisecond)
+	_, fl = acquire(-1, 1500*time.Millisecond)
 	assert.Assert(t, fl != nil, "behind two others, the attempt would wait 1.5s")
-	high, fl := enter(1, 1500*time.Millisecond)
+	high, fl := acquire(1, 1500*time.Millisecond)
 	assert.Assert(t, fl == nil, "ahead of the others, the attempt waits 0.5s")
-	canceled, _ := enter(0, 0)
-	_, fl = enter(0, 0)
+	canceled, _ := acquire(0, 0)
+	_, fl = acquire(0, 0)
 	assert.Equal(t, fl.Code, core.CodeOverloaded, "the queue is full")
 	assert.Equal(t, bo.Load(), core.Load{Running: 2, Queued: 4, Slots: 2})
 
--- a/core/order/order.go
+++ b/core/order/order.go
@@ -9,7 +9,7 @@
 //
 // # Usage
 //
-//	fence, err := order.NewIssuer(store).Next(ctx, "desk-1")   // whoever gives orders
+//	fence, err := order.NewIssuer(store).Next(ctx, "desk-1")   // the process that gives orders
 //	err = order.NewGate(store, "desk-1").Pass(ctx, fence, send) // the agent
 package order
 
@@ -27,10 +27,10 @@
 
 // Errors of orders. With either of them, nothing was sent to the engine.
 var (
-	// ErrSuperseded: a newer order has been given.
+	// ErrSuperseded means that a newer order has been given.
 	ErrSuperseded = errors.New("order: a newer order was given")
-	// ErrUnavailable: the store is unavailable, so it is unknown whether the order is the newest. A
-	// delayed order does no harm, an outdated one does.
+	// ErrUnavailable means that the store is unavailable, so it is unknown whether the order is the
+	// newest. A delayed order does no harm, an outdated one does.
 	ErrUnavailable = errors.New("order: store away")
 )
 
--- a/core/order/order_test.go
+++ b/core/order/order_test.go
@@ -12,8 +12,8 @@
 	"skylarkstand/core/order"
 )
 
-// row is a store with a single key that can lose the reply to a write.
-type row struct {
+// singleKeyStore is a store with a single key that can lose the reply to a write.
+type singleKeyStore struct {
 	core.Store
 	mu          sync.Mutex
 	item        core.Item
@@ -22,7 +22,7 @@
 	lostReplies int
 }
 
-func (ro *row) Get(_ context.Context, _ string) (core.Item, error) {
+func (ro *singleKeyStore) Get(_ context.Context, _ string) (core.Item, error) {
 	ro.mu.Lock()
 	defer ro.mu.Unlock()
 	switch {
@@ -34,11 +34,11 @@
 	return ro.item, nil
 }
 
-func (ro *row) Create(ctx context.Context, key string, value []byte, _ core.LeaseID) (core.Revision, error) {
+func (ro *singleKeyStore) Create(ctx context.Context, key string, value []byte, _ core.LeaseID) (core.Revision, error) {
 	return ro.Swap(ctx, key, 0, value)
 }
 
-func (ro *row) Swap(_ context.Context, _ string, prev core.Revision, value []byte) (core.Revision, error) {
+func (ro *singleKeyStore) Swap(_ context.Context, _ string, prev core.Revision, value []byte) (core.Revision, error) {
 	ro.mu.Lock()
 	defer ro.mu.Unlock()
 	if ro.item.Revision != prev {
@@ -55,7 +55,7 @@
 // Several operators give orders at once, and the store loses a reply. If a number were issued twice,
 // the agent could not determine which order is newer.
 func TestFencingNumbersAreUnique(t *testing.T) {
-	ro := &row{loseReply: true}
+	ro := &singleKeyStore{loseReply: true}
 	var mu sync.Mutex
 	seen := map[order.FencingNumber]bool{}
 	var wg sync.WaitGroup
@@ -78,7 +78,7 @@
 // order. The engine ignores fencing numbers. The agent must refuse the late order, even if it was
 // restarted in the meantime and has lost its state.
 func TestOutdatedOrderIsNotSent(t *testing.T) {
-	ro := new(row)
+	ro := new(singleKeyStore)
 	is := order.NewIssuer(ro)
 	old, err := is.Next(t.Context(), "desk-1")
 	assert.NilError(t, err)
--- a/core/routing/routing.go
+++ b/core/routing/routing.go
@@ -44,7 +44,8 @@
 	return !halted && !se.Stale && se.Fraction*100 < float64(ro.Percent)
 }
 
-// Plan is what a request runs on: one stage for a model, one or more for a cascade.
+// Plan lists the model versions that a request may run on: one stage for a model, one or more for a
+// cascade.
 type Plan struct {
 	Cascade core.CascadeID
 	Stages  []Stage
