--- a/core/execute/slot_queue.go
+++ b/core/execute/slot_queue.go
@@ -26,7 +26,7 @@
 // not be used by several goroutines at the same time.
 //
 // Several entries may act on the same outdated report of a free upstream and send attempts at
-// once. Only the agent sees all of them, so it decides, and it decides early: an attempt whose
+// once. Only the agent receives all of them, so it decides, and it decides early: an attempt whose
 // deadline would pass in the queue is refused on arrival, while its entry still has time to
 // try another upstream.
 type SlotQueue struct {
--- a/core/replica/follow.go
+++ b/core/replica/follow.go
@@ -206,7 +206,7 @@
 	}
 }
 
-// Doubtful reports whether a removal seen now may be a lease that expired during a store
+// Doubtful reports whether a removal received now may be a lease that expired during a store
 // outage.
 func (fo *Follower) Doubtful(now time.Time) bool {
 	fo.mu.Lock()
--- a/core/replica/follow_test.go
+++ b/core/replica/follow_test.go
@@ -252,8 +252,8 @@
 	})
 }
 
-// TestSkippedChangesAreMarked guards against a subscriber that takes the changes of a new
-// copy as the complete history.
+// TestSkippedChangesAreMarked guards against a subscriber that treats the changes of a
+// new copy as the complete history.
 func TestSkippedChangesAreMarked(t *testing.T) {
 	mi := replica.New()
 	var got []core.Change
