--- a/core/execute/solo_test.go
+++ b/core/execute/exclusive_test.go
@@ -12,9 +12,9 @@
 
 // If a suspect ran beside other attempts and crashed the engine, the others would fail and become
 // suspects too. It must wait until the upstream is idle, and nothing may start while it runs.
-func TestSoloRunsAlone(t *testing.T) {
+func TestExclusiveAttemptRunsAlone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var ga soloGate
+		var ga exclusiveGate
 		ctx, ho := t.Context(), core.Host{ID: "desk-1"}
 		assert.Assert(t, ga.enter(ctx, ho, false) == nil)
 		entered := make(chan *core.Failure)
@@ -31,9 +31,9 @@
 
 // A long answer keeps the upstream busy for longer than a suspect may wait. The suspect must be
 // refused, and the upstream must accept other work again.
-func TestSoloIsRefusedWhileUpstreamStaysBusy(t *testing.T) {
+func TestExclusiveAttemptIsRefusedWhileUpstreamStaysBusy(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var ga soloGate
+		var ga exclusiveGate
 		ho := core.Host{ID: "desk-1"}
 		assert.Assert(t, ga.enter(t.Context(), ho, false) == nil)
 		assert.Assert(t, ga.enter(context.Background(), ho, true) != nil)
