--- a/app/check.go
+++ b/app/check.go
@@ -36,7 +36,7 @@
 	if len(fa.Files) == 1 {
 		raw, err := readFile(fa.Files[0])
 		if err != nil {
-			return declaration.Document{}, eris.Wrap(err, "configuration")
+			return declaration.Document{}, eris.Wrap(err, "the configuration could not be read")
 		}
 		doc, err := declaration.Load(raw)
 		return doc, refusalError(fa.name(), err)
@@ -45,7 +45,7 @@
 	for _, path := range fa.Files {
 		raw, err := readFile(path)
 		if err != nil {
-			return declaration.Document{}, eris.Wrap(err, "configuration")
+			return declaration.Document{}, eris.Wrap(err, "the configuration could not be read")
 		}
 		doc, err := declaration.Parse(raw)
 		if err != nil {
--- a/app/explain.go
+++ b/app/explain.go
@@ -48,7 +48,7 @@
 func readLog(lo *trace.Log, name string) error {
 	fi, err := os.Open(name)
 	if err != nil {
-		return &exitError{ExitUsage, eris.Wrap(err, "log")}
+		return &exitError{ExitUsage, eris.Wrap(err, "the log could not be opened")}
 	}
 	defer fi.Close()
 	return lo.Read(name, fi)
--- a/app/gateway.go
+++ b/app/gateway.go
@@ -104,7 +104,7 @@
 func newShutdownState() *shutdownState { return &shutdownState{epoch: time.Now()} }
 
 // setDeadline records when the process ends. It is called once the balancer has stopped sending
-// connections: callers that still connect have no other entry to use.
+// connections. Callers that still connect after that have no other entry to use.
 func (sc *shutdownState) setDeadline(at time.Time) { sc.deadline.Store(int64(at.Sub(sc.epoch))) }
 
 // remaining returns how long the process still serves. The result is false until the deadline is
@@ -138,7 +138,7 @@
 	defer closeInternal()
 	li, err := net.Listen("tcp", gw.set.Listen)
 	if err != nil {
-		return eris.Wrap(err, "listen")
+		return eris.Wrap(err, "the listener for callers could not be opened")
 	}
 	hs := gw.srv.HTTP()
 	served := make(chan error, 1)
@@ -147,7 +147,7 @@
 		"zone", gw.deps.Zone, "store", gw.set.Store)
 	select {
 	case err := <-served:
-		return eris.Wrap(err, "serve")
+		return eris.Wrap(err, "the server for callers failed")
 	case <-ctx.Done():
 	}
 	gw.drain()
@@ -185,7 +185,7 @@
 func serveOn(addr string, ha http.Handler) (func(), error) {
 	li, err := net.Listen("tcp", addr)
 	if err != nil {
-		return nil, eris.Wrap(err, "listen")
+		return nil, eris.Wrap(err, "an internal listener could not be opened")
 	}
 	hs := &http.Server{Handler: ha, ReadHeaderTimeout: headerTimeout}
 	go func() { _ = hs.Serve(li) }()
@@ -293,5 +293,5 @@
 // memberRecord encodes this process's record in the list of entries.
 func memberRecord(set settings.Gateway, deps core.Deps) ([]byte, error) {
 	raw, err := json.Marshal(watch.Member{ID: deps.Self, Addr: set.Siblings, Zone: deps.Zone})
-	return raw, eris.Wrap(err, "register")
+	return raw, eris.Wrap(err, "this entry's record could not be encoded")
 }
--- a/app/guard_service.go
+++ b/app/guard_service.go
@@ -30,8 +30,8 @@
 	// it the configuration is stale.
 	maxAge time.Duration
 
-	// stale and pending record that the current stale configuration or failed recording was
-	// logged, so that each is logged once.
+	// stale is set while the configuration is stale, pending while a halt could not be recorded.
+	// Both are set after the condition was logged, so that it is logged once.
 	stale, pending bool
 	// announced holds the versions whose halt was logged and announced.
 	announced map[core.ModelVersion]bool
@@ -47,9 +47,10 @@
 }
 
 const (
-	// guardInterval is how often evidence is sent to the home of a roll-out and how often recording
-	// a halt is retried. On average, the callers of half an interval are exposed to a bad version
-	// in addition; each interval costs one frame per roll-out.
+	// guardInterval is how often evidence is sent to the home of a roll-out, the entry that decides
+	// on it, and how often recording a halt is retried. It delays a halt by half an interval on
+	// average, in which callers still reach a bad version; each interval costs one frame per
+	// roll-out.
 	guardInterval = 500 * time.Millisecond
 	// sendTimeout bounds the wait for a home that is frozen or has a long round-trip time.
 	sendTimeout = 400 * time.Millisecond
@@ -95,12 +96,12 @@
 			gd.gu.DecideLocally(ba.Model, false)
 			gd.gu.MergeBatch(ba)
 		default:
-			gd.gu.DecideLocally(ba.Model, !gd.send(ctx, home, ba))
+			gd.gu.DecideLocally(ba.Model, !gd.sendBatch(ctx, home, ba))
 		}
 	}
 }
 
-func (gd *guardService) send(ctx context.Context, home core.Host, ba rollout.Batch) bool {
+func (gd *guardService) sendBatch(ctx context.Context, home core.Host, ba rollout.Batch) bool {
 	sctx, cancel := context.WithTimeout(ctx, sendTimeout)
 	defer cancel()
 	return gd.mesh.SendEvidence(sctx, home, ba) == nil
--- a/app/history.go
+++ b/app/history.go
@@ -34,7 +34,7 @@
 			return nil
 		}
 		if err != nil {
-			return eris.Wrap(err, "history")
+			return eris.Wrap(err, "the history could not be read")
 		}
 		if err := cmd.print(gen); err != nil {
 			return err
@@ -46,7 +46,7 @@
 	if cmd.JSON {
 		enc := json.NewEncoder(os.Stdout)
 		enc.SetEscapeHTML(false)
-		return eris.Wrap(enc.Encode(historyLine{gen.Number, gen.Audit}), "history")
+		return eris.Wrap(enc.Encode(historyLine{gen.Number, gen.Audit}), "the history could not be printed")
 	}
 	fmt.Printf("%d  %s  %s: %s\n", gen.Number, gen.Audit.When.Format(time.RFC3339), gen.Audit.Who, gen.Audit.Why)
 	printAudit(gen.Audit)
--- a/app/load.go
+++ b/app/load.go
@@ -20,7 +20,7 @@
 func (cmd *loadCmd) run(ctx context.Context) error {
 	raw, err := readFile(cmd.Mix)
 	if err != nil {
-		return eris.Wrap(err, "mix")
+		return eris.Wrap(err, "the mix could not be read")
 	}
 	mix, err := load.ParseMix(raw)
 	if errors.Is(err, load.ErrMix) {
@@ -45,13 +45,13 @@
 	}
 	fi, err := os.Create(path)
 	if err != nil {
-		return eris.Wrap(err, "report")
+		return eris.Wrap(err, "the report could not be written")
 	}
 	if err := write(fi); err != nil {
 		_ = fi.Close()
 		return err
 	}
-	return eris.Wrap(fi.Close(), "report")
+	return eris.Wrap(fi.Close(), "the report could not be written")
 }
 
 func isTerminal(fi *os.File) bool {
--- a/app/order.go
+++ b/app/order.go
@@ -29,7 +29,7 @@
 
 func (cmd *orderCmd) run(ctx context.Context) error {
 	if !json.Valid([]byte(cmd.Order)) {
-		return &exitError{ExitUsage, eris.New("the order is not JSON")}
+		return &exitError{ExitUsage, eris.New(`the order is not valid JSON; write it as in '{"load":"desk@v2"}'`)}
 	}
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
--- a/app/settings/gateway.go
+++ b/app/settings/gateway.go
@@ -87,7 +87,7 @@
 	set := DefaultGateway()
 	raw, err := os.ReadFile(path)
 	if err != nil {
-		return set, eris.Wrap(err, "settings")
+		return set, eris.Wrap(err, "the settings could not be read")
 	}
 	std, err := hujson.Standardize(raw)
 	if err != nil {
--- a/app/settings/load.go
+++ b/app/settings/load.go
@@ -92,7 +92,7 @@
 func load(path string, kd schema.Kind, out any) (Faults, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
-		return nil, eris.Wrap(err, "settings")
+		return nil, eris.Wrap(err, "the settings could not be read")
 	}
 	std, err := hujson.Standardize(raw)
 	if err != nil {
@@ -100,13 +100,13 @@
 	}
 	list, err := schema.Validate(kd, std)
 	if err != nil {
-		return nil, eris.Wrapf(err, "settings %s", path)
+		return nil, eris.Wrapf(err, "settings %s could not be validated", path)
 	}
 	var fa Faults
 	for _, el := range list {
 		fa = append(fa, el.String())
 	}
-	return fa, eris.Wrapf(decode(std, list, out), "settings %s", path)
+	return fa, eris.Wrapf(decode(std, list, out), "settings %s could not be decoded", path)
 }
 
 // decode decodes the valid fields. Fields of another type than declared are skipped: the decoder
@@ -134,7 +134,7 @@
 }
 
 // has reports whether a field already has a fault. Only the first fault of a field is reported,
-// since a second line would confuse.
+// since a second one about the same field would confuse the operator.
 func (fa *Faults) has(name string) bool {
 	for _, line := range *fa {
 		if strings.HasPrefix(line, name+":") {
--- a/app/status_page.go
+++ b/app/status_page.go
@@ -28,11 +28,11 @@
 	Process    core.ProcessID  `json:"process"`
 	Zone       core.Zone       `json:"zone"`
 	Generation core.Generation `json:"generation"`
-	// Heard is the time since the generation was last confirmed to be the newest, in seconds;
+	// ConfirmedAgo is the time since the generation was last confirmed to be the newest, in seconds;
 	// negative if it was never confirmed.
-	Heard     float64          `json:"heard-seconds-ago"`
-	Upstreams []upstreamStatus `json:"upstreams"`
-	Suspects  []suspectStatus  `json:"suspects"`
+	ConfirmedAgo float64          `json:"heard-seconds-ago"`
+	Upstreams    []upstreamStatus `json:"upstreams"`
+	Suspects     []suspectStatus  `json:"suspects"`
 }
 
 type upstreamStatus struct {
@@ -58,9 +58,9 @@
 }
 
 func (sp *statusPage) status(now time.Time) entryStatus {
-	es := entryStatus{Process: sp.deps.Self, Zone: sp.deps.Zone, Generation: sp.inf.Number(), Heard: -1}
-	if heard := sp.inf.ConfirmedAt(); !heard.IsZero() {
-		es.Heard = now.Sub(heard).Seconds()
+	es := entryStatus{Process: sp.deps.Self, Zone: sp.deps.Zone, Generation: sp.inf.Number(), ConfirmedAgo: -1}
+	if confirmed := sp.inf.ConfirmedAt(); !confirmed.IsZero() {
+		es.ConfirmedAgo = now.Sub(confirmed).Seconds()
 	}
 	for _, up := range sp.pool.All() {
 		es.Upstreams = append(es.Upstreams, describe(up))
@@ -94,7 +94,7 @@
 func printEntry(ctx context.Context, base string) error {
 	rq, err := http.NewRequestWithContext(ctx, http.MethodGet, base+"/status", http.NoBody)
 	if err != nil {
-		return eris.Wrap(err, "entry")
+		return eris.Wrap(err, "the URL of the entry is invalid")
 	}
 	rs, err := http.DefaultClient.Do(rq)
 	if err != nil {
@@ -105,7 +105,7 @@
 	if err := json.NewDecoder(rs.Body).Decode(&es); err != nil {
 		return eris.Wrap(err, "the entry's status cannot be decoded; check that this is its admin address")
 	}
-	fmt.Printf("entry %s in %s: generation %d in force, confirmed %.1f s ago\n", es.Process, es.Zone, es.Generation, es.Heard)
+	fmt.Printf("entry %s in %s: generation %d in force, confirmed %.1f s ago\n", es.Process, es.Zone, es.Generation, es.ConfirmedAgo)
 	for _, us := range es.Upstreams {
 		fmt.Printf("  upstream %-16s %-20s %-10s %-8s running %d, queued %d, slots %d\n", us.ID, us.Serves, us.Zone, us.State, us.Running, us.Queued, us.Slots)
 	}
--- a/deploy/ablation/main.go
+++ b/deploy/ablation/main.go
@@ -59,7 +59,7 @@
 	}
 	dir, err := os.MkdirTemp("", "ablation-")
 	if err != nil {
-		return eris.Wrap(err, "ablation")
+		return eris.Wrap(err, "the directory for the copies could not be created")
 	}
 	defer os.RemoveAll(dir)
 	for _, site := range ar.Sites {
@@ -70,11 +70,11 @@
 		}
 		fmt.Printf("  %-18s %.3f\n", baseline, mean(baselineScores))
 		for _, na := range names {
-			without, err := ar.runDays(ctx, filepath.Join(dir, na), na, site)
+			disabledScores, err := ar.runDays(ctx, filepath.Join(dir, na), na, site)
 			if err != nil {
 				return err
 			}
-			diff, stdErr := compare(baselineScores, without)
+			diff, stdErr := compare(baselineScores, disabledScores)
 			fmt.Printf("  %-18s %+.4f +- %.4f\n", na, diff, stdErr)
 		}
 	}
@@ -82,8 +82,8 @@
 }
 
 // runDays runs all days with all seeds and returns their scores, always in the same order.
-func (ar args) runDays(ctx context.Context, tree, without, site string) ([]float64, error) {
-	if err := prepare(ctx, tree, without); err != nil {
+func (ar args) runDays(ctx context.Context, tree, disabled, site string) ([]float64, error) {
+	if err := prepare(ctx, tree, disabled); err != nil {
 		return nil, err
 	}
 	type day struct{ name, seed string }
@@ -100,31 +100,31 @@
 		running <- struct{}{}
 		wg.Go(func() {
 			defer func() { <-running }()
-			out[i], errs[i] = ar.runDay(ctx, tree, without, site, da.name, da.seed)
+			out[i], errs[i] = ar.runDay(ctx, tree, disabled, site, da.name, da.seed)
 		})
 	}
 	wg.Wait()
 	return out, errors.Join(errs...)
 }
 
-// prepare copies the committed sources to tree and disables a mechanism, if one is given.
-func prepare(ctx context.Context, tree, without string) error {
+// prepare copies the committed sources to tree. It disables a mechanism there, if one is given.
+func prepare(ctx context.Context, tree, disabled string) error {
 	if _, err := os.Stat(tree); err == nil {
 		return nil // The copy was made for a previous site.
 	}
 	if out, err := exec.CommandContext(ctx, "git", "clone", "--quiet", ".", tree).CombinedOutput(); err != nil {
-		return eris.Wrapf(err, "clone: %s", out)
+		return eris.Wrapf(err, "the sources could not be cloned: %s", out)
 	}
-	if without == "" {
+	if disabled == "" {
 		return nil
 	}
 	path := filepath.Join(tree, "deploy", "gateway.jsonc")
 	raw, err := os.ReadFile(path)
 	if err != nil {
-		return eris.Wrap(err, "template")
+		return eris.Wrap(err, "the settings template could not be read")
 	}
-	changed := strings.Replace(string(raw), "\n{\n", fmt.Sprintf("\n{\n  \"without\": [%q],\n", without), 1)
-	return eris.Wrap(os.WriteFile(path, []byte(changed), 0o644), "template") //nolint:gosec // As the file it replaces.
+	changed := strings.Replace(string(raw), "\n{\n", fmt.Sprintf("\n{\n  \"without\": [%q],\n", disabled), 1)
+	return eris.Wrap(os.WriteFile(path, []byte(changed), 0o644), "the settings template could not be written") //nolint:gosec // As the file it replaces.
 }
 
 // report is the part of a day's report that is used.
@@ -134,10 +134,10 @@
 }
 
 // runDay runs one day and returns its score.
-func (ar args) runDay(ctx context.Context, tree, without, site, day, seed string) (float64, error) {
+func (ar args) runDay(ctx context.Context, tree, disabled, site, day, seed string) (float64, error) {
 	file := filepath.Join(tree, fmt.Sprintf("report-%s-%s.json", day, seed))
 	defer os.Remove(file)
-	argv := []string{"run", site, day, "--no-cpu", "--report", file, "--why", "ablation: without " + without}
+	argv := []string{"run", site, day, "--no-cpu", "--report", file, "--why", "ablation: without " + disabled}
 	if seed != "0" {
 		argv = append(argv, "--seed", seed)
 	}
@@ -153,7 +153,7 @@
 		return 0, eris.Wrapf(err, "%s, seed %s", day, seed)
 	}
 	for rule := range re.Violations {
-		fmt.Printf("  %s, seed %s, without %q: rule %s was violated\n", day, seed, without, rule)
+		fmt.Printf("  %s, seed %s, without %q: rule %s was violated\n", day, seed, disabled, rule)
 	}
 	return re.Score, nil
 }
@@ -167,10 +167,10 @@
 }
 
 // compare returns the mean of the paired differences and its standard error.
-func compare(baselineScores, without []float64) (diff, stdErr float64) {
+func compare(baselineScores, disabledScores []float64) (diff, stdErr float64) {
 	diffs := make([]float64, len(baselineScores))
 	for i := range baselineScores {
-		diffs[i] = without[i] - baselineScores[i]
+		diffs[i] = disabledScores[i] - baselineScores[i]
 	}
 	diff = mean(diffs)
 	for _, val := range diffs {
