--- a/load/chart/chart.go
+++ b/load/chart/chart.go
@@ -1,5 +1,5 @@
 // Chart plots the CSV of `skylarkstand load` as an SVG: the median and the
-// 99th percentile latency of whole responses over the time at which their
+// 99th percentile latency of complete responses over the time at which their
 // requests were due. It is a separate program because the plotting library
 // loads its fonts at start, which would cost each agent about four megabytes.
 //
@@ -46,7 +46,7 @@
 	}
 }
 
-// series holds the whole responses of one kind of request.
+// series holds the complete responses of one kind of request.
 type series struct {
 	name      string
 	responses []plotter.XY
@@ -83,7 +83,7 @@
 	return eris.Wrap(err, "write chart")
 }
 
-// read returns the whole responses in a CSV by kind, with times in seconds and
+// read returns the complete responses in a CSV by kind, with times in seconds and
 // latencies in milliseconds.
 func read(rd io.Reader) ([]series, error) {
 	rows, err := csv.NewReader(rd).ReadAll()
--- a/load/chart/chart_test.go
+++ b/load/chart/chart_test.go
@@ -7,7 +7,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestChartPlotsWholeResponsesByKind(t *testing.T) {
+func TestChartPlotsCompleteResponsesByKind(t *testing.T) {
 	var sb strings.Builder
 	err := draw(strings.NewReader("due-ms,name,outcome,total-ms\n10,quick,whole,40\n900,quick,whole,60\n1500,quick,whole,50\n20,claim,not-run,1\n"), &sb)
 	assert.NilError(t, err)
--- a/load/client.go
+++ b/load/client.go
@@ -67,9 +67,9 @@
 	return ca.entry + "/v1/services/" + string(ca.kind.Service) + "/" + string(ca.kind.Operation)
 }
 
-// send sends a call once. The context ends at the call's deadline; left is the time until then,
-// which the request carries in a header.
-func (cl *client) send(ctx context.Context, ca *call, left time.Duration) Attempt {
+// send sends a call once. The context ends at the call's deadline; remaining is the time until
+// then, which the request carries in a header.
+func (cl *client) send(ctx context.Context, ca *call, remaining time.Duration) Attempt {
 	rq, err := http.NewRequestWithContext(ctx, http.MethodPost, ca.url(), bytes.NewReader(ca.body))
 	if err != nil {
 		return Attempt{Outcome: Unsent}
@@ -79,7 +79,7 @@
 	hd.Set("Authorization", "Bearer "+ca.kind.Key)
 	hd.Set("Content-Type", "application/json")
 	hd.Set("X-Request-Id", ca.id)
-	hd.Set("Skylarkstand-Deadline", left.Round(time.Millisecond).String())
+	hd.Set("Skylarkstand-Deadline", remaining.Round(time.Millisecond).String())
 	if ca.kind.Service != "" {
 		hd.Set("Idempotency-Key", ca.id)
 	}
@@ -139,7 +139,7 @@
 	}
 }
 
-// readEvents reads a stream. The response is whole only if the stream ends with [DONE].
+// readEvents reads a stream. The response is complete only if the stream ends with [DONE].
 func (at *Attempt) readEvents(rd io.Reader) {
 	at.Outcome = Truncated
 	failing := false
@@ -157,7 +157,8 @@
 	}
 }
 
-// parseFailure sets the outcome from an error body. A body that is not the API's counts as cut.
+// parseFailure sets the outcome from an error body. A body that is not an API error counts as
+// truncated.
 func (at *Attempt) parseFailure(raw []byte) {
 	var fl failure
 	if json.Unmarshal(raw, &fl) != nil || fl.Error == nil {
--- a/load/load_test.go
+++ b/load/load_test.go
@@ -16,40 +16,40 @@
 	"skylarkstand/core"
 )
 
-func quickMix(rate float64, lasts time.Duration) Mix {
+func quickMix(rate float64, duration time.Duration) Mix {
 	mix := DefaultMix()
-	mix.Entries, mix.Rate, mix.Duration = []string{"http://127.0.0.1:1"}, rate, settings.Duration(lasts)
+	mix.Entries, mix.Rate, mix.Duration = []string{"http://127.0.0.1:1"}, rate, settings.Duration(duration)
 	mix.Requests = []Request{{Name: "quick", Weight: 1, Model: "quick", Deadline: settings.Duration(10 * time.Second), Sessions: 4}}
 	return mix
 }
 
-// fake is a sender that calls a function, for tests in virtual time.
-type fake func(ctx context.Context, ca *call) Attempt
+// fakeSender is a sender that calls a function, for tests in virtual time.
+type fakeSender func(ctx context.Context, ca *call) Attempt
 
-func (fk fake) send(ctx context.Context, ca *call, _ time.Duration) Attempt { return fk(ctx, ca) }
+func (fk fakeSender) send(ctx context.Context, ca *call, _ time.Duration) Attempt { return fk(ctx, ca) }
 
 func TestRetryFollowsOutcomeAndRetryAfter(t *testing.T) {
 	for _, sc := range []struct {
-		testName string
-		at       Attempt
-		attempts int
-		left     time.Duration
-		wait     time.Duration
-		again    bool
+		testName  string
+		at        Attempt
+		attempts  int
+		remaining time.Duration
+		wait      time.Duration
+		retry     bool
 	}{
-		{"whole response", Attempt{Outcome: Complete}, 1, time.Minute, 0, false},
+		{"complete response", Attempt{Outcome: Complete}, 1, time.Minute, 0, false},
 		{"refused with Retry-After", Attempt{Outcome: NotRun, RetryAfter: 2 * time.Second}, 1, time.Minute, 2 * time.Second, true},
 		{"refused without Retry-After", Attempt{Outcome: NotRun}, 1, time.Minute, 0, false},
 		{"Retry-After beyond the deadline", Attempt{Outcome: NotRun, RetryAfter: 2 * time.Second}, 1, time.Second, 2 * time.Second, false},
 		{"outcome unknown", Attempt{Outcome: Unknown}, 1, time.Minute, 0, false},
-		{"cut twice", Attempt{Outcome: Truncated}, 2, time.Minute, 200 * time.Millisecond, true},
+		{"truncated twice", Attempt{Outcome: Truncated}, 2, time.Minute, 200 * time.Millisecond, true},
 		{"retries used up", Attempt{Outcome: Truncated}, 4, time.Minute, 0, false},
 	} {
 		t.Run(sc.testName, func(t *testing.T) {
-			wait, again := RetryDelay(sc.at, sc.attempts, 3, sc.left, 0)
+			wait, retry := RetryDelay(sc.at, sc.attempts, 3, sc.remaining, 0)
 			assert.Equal(t, wait, sc.wait)
-			assert.Equal(t, again, sc.again)
-			late, _ := RetryDelay(sc.at, sc.attempts, 3, sc.left, 1)
+			assert.Equal(t, retry, sc.retry)
+			late, _ := RetryDelay(sc.at, sc.attempts, 3, sc.remaining, 1)
 			assert.Assert(t, late >= wait, "jitter must not shorten a wait: %s < %s", late, wait)
 		})
 	}
@@ -62,7 +62,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		began := time.Now()
 		ru := New(quickMix(100, 6*time.Second))
-		ru.snd = fake(func(context.Context, *call) Attempt {
+		ru.snd = fakeSender(func(context.Context, *call) Attempt {
 			time.Sleep(time.Until(began.Add(3 * time.Second)))
 			return Attempt{Outcome: Complete}
 		})
@@ -82,7 +82,7 @@
 		var mu sync.Mutex
 		refused := map[string]time.Time{}
 		ru := New(quickMix(50, time.Second))
-		ru.snd = fake(func(_ context.Context, ca *call) Attempt {
+		ru.snd = fakeSender(func(_ context.Context, ca *call) Attempt {
 			mu.Lock()
 			defer mu.Unlock()
 			if time.Since(began) < time.Second {
@@ -102,7 +102,7 @@
 	})
 }
 
-// A response that is cut off in the middle is useless to its caller. Counted as whole, it would
+// A response that is cut off in the middle is useless to its caller. Counted as complete, it would
 // hide the failure in the report.
 func TestOutcomesOfResponses(t *testing.T) {
 	for _, sc := range []struct {
@@ -111,10 +111,10 @@
 		body                  string
 		want                  Outcome
 	}{
-		{"whole stream", "text/event-stream", 200, "data: {}\n\ndata: [DONE]\n\n", Complete},
+		{"complete stream", "text/event-stream", 200, "data: {}\n\ndata: [DONE]\n\n", Complete},
 		{"stream without [DONE]", "text/event-stream", 200, "data: {}\n\n", Truncated},
 		{"stream that ends in an error", "text/event-stream", 200, "data: {}\n\nevent: error\ndata: {\"error\":{\"code\":\"outcome-unknown\",\"ran\":\"unknown\"}}\n\n", Unknown},
-		{"whole response", "application/json", 200, "{}", Complete},
+		{"complete response", "application/json", 200, "{}", Complete},
 		{"refused", "application/json", 503, `{"error":{"code":"overloaded","ran":"not-run"}}`, NotRun},
 		{"failed", "application/json", 502, `{"error":{"code":"upstream-failed","ran":"ran"}}`, Ran},
 		{"response of another server", "text/html", 502, "<html>", Truncated},
--- a/load/outcome.go
+++ b/load/outcome.go
@@ -48,14 +48,14 @@
 	maxJitter = 0.25
 )
 
-// RetryDelay returns whether a client retries a request after an attempt, and after which wait.
-// Attempts is the number made so far; left is the time left until the deadline; draw is a random
-// number from 0 to 1.
+// RetryDelay returns how long a client waits after an attempt before it retries the request, and
+// whether it retries at all. Of its arguments, attempts is the number made so far, remaining the
+// time until the deadline, and draw a random number from 0 to 1.
 //
 // A refusal with Retry-After is retried after that many seconds, plus jitter. One without is
 // final: the same request would fail again. A broken connection leaves the outcome open, so the
-// client retries; its idempotency key prevents that an order runs twice.
-func RetryDelay(at Attempt, attempts, retries int, left time.Duration, draw float64) (time.Duration, bool) {
+// client retries; its idempotency key prevents an operation from running twice.
+func RetryDelay(at Attempt, attempts, retries int, remaining time.Duration, draw float64) (time.Duration, bool) {
 	if at.Outcome == Complete || attempts > retries {
 		return 0, false
 	}
@@ -67,5 +67,5 @@
 		return 0, false
 	}
 	wait += time.Duration(float64(wait) * maxJitter * draw)
-	return wait, wait < left
+	return wait, wait < remaining
 }
--- a/load/report.go
+++ b/load/report.go
@@ -33,7 +33,7 @@
 	kinds []kindReport
 }
 
-// kindReport aggregates one kind of request. It records the latencies of whole responses only.
+// kindReport aggregates one kind of request. It records the latencies of complete responses only.
 type kindReport struct {
 	name         string
 	outcomes     map[Outcome]int
--- a/load/runner.go
+++ b/load/runner.go
@@ -25,7 +25,7 @@
 
 // sender sends a call once. It is the HTTP client, or a fake in tests.
 type sender interface {
-	send(ctx context.Context, ca *call, left time.Duration) Attempt
+	send(ctx context.Context, ca *call, remaining time.Duration) Attempt
 }
 
 type sessionKey struct{ kind, session int }
@@ -113,8 +113,8 @@
 		re.Attempts++
 		re.Outcome, re.Code, re.Version = at.Outcome, at.Code, at.Version
 		ru.storePin(key, at.Pin)
-		wait, again := RetryDelay(at, re.Attempts, ru.mix.Retries, time.Until(due.Add(limit)), rand.Float64())
-		if !again || !sleep(ctx, wait) {
+		wait, retry := RetryDelay(at, re.Attempts, ru.mix.Retries, time.Until(due.Add(limit)), rand.Float64())
+		if !retry || !sleep(ctx, wait) {
 			re.FirstByte, re.Total = sent+at.FirstByte, time.Since(due)
 			return re
 		}
--- a/standin/engine/completion.go
+++ b/standin/engine/completion.go
@@ -9,12 +9,12 @@
 
 // completion is one completion in progress.
 type completion struct {
-	en     *Engine
-	fa     Faults
-	id     string
-	words  int
-	prompt int
-	sent   int
+	en           *Engine
+	fa           Faults
+	id           string
+	tokens       int
+	promptTokens int
+	sent         int
 }
 
 // run writes the completion and reports whether it was written completely.
@@ -24,11 +24,11 @@
 		return false
 	}
 	if !stream {
-		return an.writeWhole(w, rq, slow)
+		return an.writeUnstreamed(w, rq, slow)
 	}
 	w.Header().Set("Content-Type", "text/event-stream")
 	ctl := http.NewResponseController(w)
-	for an.sent < an.words {
+	for an.sent < an.tokens {
 		if an.fa.CutAfter > 0 && an.sent >= an.fa.CutAfter {
 			panic(http.ErrAbortHandler)
 		}
@@ -40,17 +40,18 @@
 		if err != nil || ctl.Flush() != nil {
 			return false
 		}
-		if an.sent < an.words && !an.sleep(rq, an.en.cfg.TokenInterval*slow) {
+		if an.sent < an.tokens && !an.sleep(rq, an.en.cfg.TokenInterval*slow) {
 			return false
 		}
 	}
-	_, err := fmt.Fprintf(w, `data: {"id":"chatcmpl-%s","choices":[],"usage":{"prompt_tokens":%d,"completion_tokens":%d}}`+"\n\ndata: [DONE]\n\n", an.id, an.prompt, an.sent)
+	_, err := fmt.Fprintf(w, `data: {"id":"chatcmpl-%s","choices":[],"usage":{"prompt_tokens":%d,"completion_tokens":%d}}`+"\n\ndata: [DONE]\n\n", an.id, an.promptTokens, an.sent)
 	return err == nil
 }
 
-// writeWhole writes the completion as one response and reports whether it was written completely.
-func (an *completion) writeWhole(w http.ResponseWriter, rq *http.Request, slow time.Duration) bool {
-	if !an.sleep(rq, an.en.cfg.TokenInterval*slow*time.Duration(an.words)) {
+// writeUnstreamed writes the completion as one response and reports whether it was written
+// completely.
+func (an *completion) writeUnstreamed(w http.ResponseWriter, rq *http.Request, slow time.Duration) bool {
+	if !an.sleep(rq, an.en.cfg.TokenInterval*slow*time.Duration(an.tokens)) {
 		return false
 	}
 	id := an.id
@@ -58,13 +59,13 @@
 		id = "foreign"
 	}
 	var sb strings.Builder
-	for an.sent < an.words {
+	for an.sent < an.tokens {
 		an.sent++
 		fmt.Fprintf(&sb, "w%d ", an.sent)
 	}
 	w.Header().Set("Content-Type", "application/json")
 	_, err := fmt.Fprintf(w, `{"id":"chatcmpl-%s","object":"chat.completion","choices":[{"index":0,"message":{"role":"assistant","content":"%s"}}],"usage":{"prompt_tokens":%d,"completion_tokens":%d}}`,
-		id, sb.String(), an.prompt, an.sent)
+		id, sb.String(), an.promptTokens, an.sent)
 	return err == nil
 }
 
--- a/standin/engine/engine.go
+++ b/standin/engine/engine.go
@@ -115,15 +115,15 @@
 		w.WriteHeader(http.StatusInternalServerError)
 		return
 	}
-	an := &completion{en: en, fa: fa, id: rq.Header.Get("X-Request-Id"), words: en.words(cb), prompt: len(cb.Messages)/4 + 1}
+	an := &completion{en: en, fa: fa, id: rq.Header.Get("X-Request-Id"), tokens: en.requestedTokens(cb), promptTokens: len(cb.Messages)/4 + 1}
 	en.mu.Lock()
-	line := len(en.journal)
+	index := len(en.journal)
 	en.journal = append(en.journal, JournalEntry{Attempt: an.id, Tag: tag(cb)})
 	en.mu.Unlock()
-	whole := an.run(w, rq, cb.Stream)
+	complete := an.run(w, rq, cb.Stream)
 	en.mu.Lock()
 	defer en.mu.Unlock()
-	en.journal[line].Tokens, en.journal[line].Complete = an.sent, whole
+	en.journal[index].Tokens, en.journal[index].Complete = an.sent, complete
 }
 
 func tag(cb chatBody) string {
@@ -134,28 +134,28 @@
 	return rest[:max(strings.IndexAny(rest, " \""), 0)]
 }
 
-func (en *Engine) words(cb chatBody) int {
-	words := en.cfg.DefaultTokens
+func (en *Engine) requestedTokens(cb chatBody) int {
+	tokens := en.cfg.DefaultTokens
 	if _, rest, ok := strings.Cut(string(cb.Messages), "#words="); ok {
 		digits := strings.IndexFunc(rest, func(r rune) bool { return r < '0' || r > '9' })
 		if n, err := strconv.Atoi(rest[:max(digits, 0)]); err == nil {
-			words = n
+			tokens = n
 		}
 	}
 	if cb.MaxTokens > 0 {
-		words = min(words, cb.MaxTokens)
+		tokens = min(tokens, cb.MaxTokens)
 	}
-	return max(words, 1)
+	return max(tokens, 1)
 }
 
 func (en *Engine) load(w http.ResponseWriter, _ *http.Request) {
-	reply(w, map[string]int{"running": len(en.slots), "waiting": int(en.waiting.Load()), "slots": cap(en.slots)})
+	writeJSON(w, map[string]int{"running": len(en.slots), "waiting": int(en.waiting.Load()), "slots": cap(en.slots)})
 }
 
 func (en *Engine) showJournal(w http.ResponseWriter, _ *http.Request) {
 	en.mu.Lock()
 	defer en.mu.Unlock()
-	reply(w, en.journal)
+	writeJSON(w, en.journal)
 }
 
 // order accepts an order with a fencing number, as in {"fence":7,"load":"v2"}.
@@ -185,7 +185,7 @@
 	en.faults = fa
 }
 
-func reply(w http.ResponseWriter, out any) {
+func writeJSON(w http.ResponseWriter, out any) {
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(out)
 }
--- a/standin/kv/kv.go
+++ b/standin/kv/kv.go
@@ -53,7 +53,7 @@
 	compacted uint64 // history up to this revision is compacted
 	leases    map[int64]time.Duration
 	lease     int64
-	trouble   Fault
+	fault     Fault
 	changed   chan struct{}
 	writes    int
 }
@@ -75,7 +75,7 @@
 
 // ServeHTTP implements http.Handler.
 func (st *Store) ServeHTTP(w http.ResponseWriter, rq *http.Request) {
-	switch st.currentTrouble() {
+	switch st.currentFault() {
 	case Unavailable:
 		w.WriteHeader(http.StatusServiceUnavailable)
 	case LostReplies:
@@ -94,17 +94,17 @@
 func (*discardWriter) WriteHeader(int)             {}
 func (*discardWriter) Write(p []byte) (int, error) { return len(p), nil }
 
-func (st *Store) currentTrouble() Fault {
+func (st *Store) currentFault() Fault {
 	st.mu.Lock()
 	defer st.mu.Unlock()
-	return st.trouble
+	return st.fault
 }
 
-// SetFault sets the fault; None ends it.
+// SetFault sets the fault that applies to further calls; None ends it.
 func (st *Store) SetFault(tr Fault) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
-	st.trouble = tr
+	st.fault = tr
 }
 
 // Put writes a key as the operator or an upstream would.
@@ -172,7 +172,7 @@
 		w.WriteHeader(http.StatusNotFound)
 		return
 	}
-	reply(w, struct {
+	writeJSON(w, struct {
 		item
 		CurrentRev uint64 `json:"current_rev"`
 	}{it, st.rev})
@@ -196,7 +196,7 @@
 	for _, key := range keys[:min(pageSize, len(keys))] {
 		out = append(out, st.items[key])
 	}
-	reply(w, map[string]any{"items": out, "has_more": more, "current_rev": st.rev})
+	writeJSON(w, map[string]any{"items": out, "has_more": more, "current_rev": st.rev})
 }
 
 func (st *Store) getWatch(w http.ResponseWriter, rq *http.Request) {
@@ -219,13 +219,13 @@
 		rev, changed := st.rev, st.changed
 		st.mu.Unlock()
 		if len(events) > 0 {
-			reply(w, map[string]any{"events": events, "current_rev": rev})
+			writeJSON(w, map[string]any{"events": events, "current_rev": rev})
 			return
 		}
 		select {
 		case <-changed:
 		case <-timeout:
-			reply(w, map[string]any{"events": events, "current_rev": rev})
+			writeJSON(w, map[string]any{"events": events, "current_rev": rev})
 			return
 		case <-rq.Context().Done():
 			return
@@ -266,7 +266,7 @@
 		st.write(item{Key: key, Tombstone: true})
 	}
 	st.writes++
-	reply(w, map[string]any{"revision": st.rev})
+	writeJSON(w, map[string]any{"revision": st.rev})
 }
 
 func (st *Store) postLease(w http.ResponseWriter, rq *http.Request) {
@@ -281,7 +281,7 @@
 	defer st.mu.Unlock()
 	st.lease++
 	st.leases[st.lease] = time.Duration(in.TTLMs) * time.Millisecond
-	reply(w, map[string]any{"lease_id": st.lease, "ttl_ms": in.TTLMs})
+	writeJSON(w, map[string]any{"lease_id": st.lease, "ttl_ms": in.TTLMs})
 }
 
 func (st *Store) postKeep(w http.ResponseWriter, rq *http.Request) {
@@ -292,10 +292,10 @@
 		w.WriteHeader(http.StatusNotFound)
 		return
 	}
-	reply(w, map[string]any{"lease_id": id})
+	writeJSON(w, map[string]any{"lease_id": id})
 }
 
-func reply(w http.ResponseWriter, value any) {
+func writeJSON(w http.ResponseWriter, value any) {
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(value)
 }
--- a/standin/platform/platform.go
+++ b/standin/platform/platform.go
@@ -84,8 +84,8 @@
 		defer pl.mu.Unlock()
 		pl.hosts = hosts
 	}
-	if lag := pl.currentFaults().ListDelay; lag > 0 {
-		time.AfterFunc(time.Duration(lag)*time.Millisecond, apply)
+	if delay := pl.currentFaults().ListDelay; delay > 0 {
+		time.AfterFunc(time.Duration(delay)*time.Millisecond, apply)
 		return
 	}
 	apply()
--- a/standin/service/service.go
+++ b/standin/service/service.go
@@ -22,16 +22,16 @@
 
 // Service runs operations and records them. It is safe for concurrent use.
 type Service struct {
-	mux   *http.ServeMux
-	takes time.Duration
+	mux      *http.ServeMux
+	duration time.Duration
 
 	mu      sync.Mutex
 	journal []JournalEntry
 }
 
 // New returns a service whose operations each take the given time.
-func New(takes time.Duration) *Service {
-	sv := &Service{mux: http.NewServeMux(), takes: takes}
+func New(duration time.Duration) *Service {
+	sv := &Service{mux: http.NewServeMux(), duration: duration}
 	sv.mux.HandleFunc("POST /{operation}", sv.run)
 	sv.mux.HandleFunc("GET /journal", sv.showJournal)
 	return sv
@@ -46,7 +46,7 @@
 	sv.journal = append(sv.journal, ru)
 	n := len(sv.journal)
 	sv.mu.Unlock()
-	time.Sleep(sv.takes)
+	time.Sleep(sv.duration)
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(map[string]any{"confirmation": n, "operation": ru.Operation})
 }
--- a/standin/store/store.go
+++ b/standin/store/store.go
@@ -50,13 +50,14 @@
 type Store struct {
 	mux *http.ServeMux
 
-	mu            sync.Mutex
-	items         map[string]*item
-	leases        map[string]*lease
-	revision      uint64
-	changed       chan struct{}
-	faults        Faults
-	counts        Stats
+	mu       sync.Mutex
+	items    map[string]*item
+	leases   map[string]*lease
+	revision uint64
+	changed  chan struct{}
+	faults   Faults
+	counts   Stats
+	// reads and writes are the calls in countedSecond, a Unix time, for the rate limits.
 	countedSecond int64
 	reads         int
 	writes        int
@@ -104,7 +105,7 @@
 func (st *Store) showCounts(w http.ResponseWriter, _ *http.Request) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
-	reply(w, st.counts)
+	writeJSON(w, st.counts)
 }
 
 // admit applies faults and rate limits to a call and reports whether the call continues.
@@ -176,7 +177,7 @@
 	}
 }
 
-func reply(w http.ResponseWriter, out any) {
+func writeJSON(w http.ResponseWriter, out any) {
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(out)
 }
@@ -190,7 +191,7 @@
 		w.WriteHeader(http.StatusNotFound)
 		return
 	}
-	reply(w, it)
+	writeJSON(w, it)
 }
 
 func (st *Store) list(w http.ResponseWriter, rq *http.Request) {
@@ -204,7 +205,7 @@
 		}
 	}
 	slices.SortFunc(its, func(a, b *item) int { return strings.Compare(a.Key, b.Key) })
-	reply(w, its)
+	writeJSON(w, its)
 }
 
 func (st *Store) watch(w http.ResponseWriter, rq *http.Request) {
@@ -224,7 +225,7 @@
 			return
 		}
 		if it != nil && it.Revision > after {
-			reply(w, it)
+			writeJSON(w, it)
 			return
 		}
 		select {
--- a/standin/upstream/upstream.go
+++ b/standin/upstream/upstream.go
@@ -4,10 +4,10 @@
 //
 // # Usage
 //
-//	ru := upstream.New("i-1", "desk", "v1")
-//	srv := httptest.NewServer(ru)
-//	st.Put("servers/i-1", ru.HostEntry(addr, "muc-a", "ready"))
-//	ru.SetMode(upstream.CutOff)
+//	up := upstream.New("i-1", "desk", "v1")
+//	srv := httptest.NewServer(up)
+//	st.Put("servers/i-1", up.HostEntry(addr, "muc-a", "ready"))
+//	up.SetMode(upstream.CutOff)
 package upstream
 
 import (
