--- a/spec/billing.pml
+++ b/spec/billing.pml
@@ -33,7 +33,7 @@
 // mutation: DISCARD_SENT     a bill is reported to the agent as durable when its write was sent
 // mutation: NOTIFY_FIRST     the agent receives its copy before the bill is pending at the owner
 // mutation: BLIND_RECLAIM    the owner reclaims a bill without reading the chains
-// mutation: FRESH_NONCE      the owner mistakes its own unsettled write for another author's
+// mutation: FRESH_NONCE      the owner mistakes its own write, whose reply was lost, for another author's
 
 #define ALL   3            /* bit mask with one bit per bill */
 #define SEAL  4
--- a/spec/chain.pml
+++ b/spec/chain.pml
@@ -104,7 +104,7 @@
 		fi;
 		goto done }
 	:: atomic { !storeUp && !doubt -> result[me] = REFUSED; assert(entryOf[me] == 0); goto done }
-	:: atomic { doubt -> goto done }   /* no result: the write is unsettled */
+	:: atomic { doubt -> goto done }   /* no result: the outcome of the write is unknown */
 	od;
 done:	skip
 }
--- a/spec/roll-out.pml
+++ b/spec/roll-out.pml
@@ -4,8 +4,8 @@
  *
  * Two entries decide by the state of the store that they last read. A write names
  * the revision that it was decided on; it takes effect now, or much later, after
- * its writer has paused and others have written; the writer may never learn
- * whether it did. An entry may restart at any time and then has no state. A
+ * its writer has paused and others have written; the writer may never
+ * receive the reply. An entry may restart at any time and then has no state. A
  * version is good or bad; only a bad one is ever found bad, by either entry, at
  * any time. The entries receive nothing from each other. Each sends a request to
  * the new version while the number it sent there stays within a share of its own
