--- a/test/demo/main.go
+++ b/test/demo/main.go
@@ -272,15 +272,15 @@
 	err := de.entry1.Stop()
 	wg.Wait()
 	de.expect(re != nil && re.Complete && len(strings.Fields(re.Text)) == 600, "the answer in flight: %v", re)
-	de.expect(err == nil, "entry-1 ended with %v", errText(err))
+	de.expect(err == nil, "entry-1 ended with %v", exitText(err))
 	for _, name := range []string{"entry-2", "drafter-1", "desk-2", "subsidy-1"} {
 		err := de.fl.Process(name).Stop()
-		de.expect(err == nil, "%s ended with %v", name, errText(err))
+		de.expect(err == nil, "%s ended with %v", name, exitText(err))
 	}
 	return nil
 }
 
-func errText(err error) string {
+func exitText(err error) string {
 	if err == nil {
 		return "exit 0"
 	}
--- a/test/demo/noisy_neighbour.go
+++ b/test/demo/noisy_neighbour.go
@@ -42,7 +42,7 @@
 			}
 		})
 	}
-	whole, took := 0, make([]time.Duration, quietRequests)
+	complete, took := 0, make([]time.Duration, quietRequests)
 	for i := range quietRequests {
 		began := time.Now()
 		re, err := de.send(de.entry1, "desk", fmt.Sprintf("usual question %d", i), true)
@@ -50,13 +50,13 @@
 			return err
 		}
 		if re.Complete {
-			whole++
+			complete++
 		}
 		took[i] = time.Since(began)
 	}
 	wg.Wait()
 	slices.Sort(took)
-	de.expect(whole == quietRequests, "schools: %d of %d answered completely, half of them within %s", whole, quietRequests, took[quietRequests/2].Round(time.Millisecond))
+	de.expect(complete == quietRequests, "schools: %d of %d answered completely, half of them within %s", complete, quietRequests, took[quietRequests/2].Round(time.Millisecond))
 	de.expect(outcomes["no reply"] == 0, "districts: %v", outcomes)
 	return nil
 }
--- a/test/demo/rollout.go
+++ b/test/demo/rollout.go
@@ -31,14 +31,14 @@
 	if err := de.startRollOut(); err != nil {
 		return err
 	}
-	first, last, reached := 0, 0, 0
+	first, last, exposed := 0, 0, 0
 	for i := 1; i <= rollOutSessions && !de.halted(); i++ {
 		version, err := de.newSession(de.entry1, i)
 		if err != nil {
 			return err
 		}
 		if version == "desk@v2" {
-			reached++
+			exposed++
 			last = i
 			if first == 0 {
 				first = i
@@ -46,11 +46,11 @@
 		}
 	}
 	de.expect(de.halted(), "the guard has halted desk@v2")
-	de.expect(reached > 0 && reached <= maxExposed, "it reached %d sessions, the first was session %d, the last session %d", reached, first, last)
+	de.expect(exposed > 0 && exposed <= maxExposed, "it reached %d sessions, the first was session %d, the last session %d", exposed, first, last)
 	if err := de.awaitHalt(de.entry2, last); err != nil {
 		return err
 	}
-	after := 0
+	exposedAfterHalt := 0
 	for i := range 60 {
 		pr := de.entry1
 		if i%2 == 1 {
@@ -61,10 +61,10 @@
 			return err
 		}
 		if version == "desk@v2" {
-			after++
+			exposedAfterHalt++
 		}
 	}
-	de.expect(after == 0, "of 60 more sessions at both entries, %d got desk@v2", after)
+	de.expect(exposedAfterHalt == 0, "of 60 more sessions at both entries, %d got desk@v2", exposedAfterHalt)
 	return de.showHalt()
 }
 
@@ -102,8 +102,8 @@
 	return de.awaitRollOut()
 }
 
-// awaitRollOut starts sessions until one gets the new version, for up to 10 s: then its
-// engine is linked and the configuration is in force.
+// awaitRollOut starts sessions until one gets the new version, for up to 10 s. This shows
+// that its engine is linked and that the configuration is in force.
 func (de *demo) awaitRollOut() error {
 	deadline := time.Now().Add(10 * time.Second)
 	for i := 0; ; i++ {
@@ -118,8 +118,9 @@
 	}
 }
 
-// awaitHalt repeats a session that got the new version, without its pin, until the entry
-// gives it the stable version, for up to 5 s: then the entry has received the halt.
+// awaitHalt sends requests in a session that got the new version, without its pin, until the
+// entry assigns it the stable version, for up to 5 s. This shows that the entry has received
+// the halt.
 func (de *demo) awaitHalt(pr *fleet.Process, i int) error {
 	deadline := time.Now().Add(5 * time.Second)
 	for {
@@ -166,7 +167,7 @@
 		}
 	}
 	err = de.fl.Process("desk-v2").Stop()
-	de.expect(err == nil, "desk-v2 ended with %v", errText(err))
+	de.expect(err == nil, "desk-v2 ended with %v", exitText(err))
 	return nil
 }
 
--- a/test/fakestore/store.go
+++ b/test/fakestore/store.go
@@ -37,7 +37,7 @@
 	// LoseWrite the share of writes that never take effect; both return the same error.
 	LoseReply, LoseWrite float64
 	// DelayWrite is the share of writes whose reply is lost and that take effect WriteDelay later,
-	// if their condition holds then. If WriteDelay is 0, they are held until ApplyLateWrites.
+	// if their precondition holds then. If WriteDelay is 0, ApplyLateWrites applies them.
 	DelayWrite float64
 	WriteDelay time.Duration
 	// Latency is the duration of each call.
@@ -61,7 +61,7 @@
 	mu             sync.Mutex
 	rnd            *rand.Rand
 	faults         Faults
-	before         func(Op)
+	hook           func(Op)
 	items          map[string]core.Item
 	leases         map[core.LeaseID]*lease
 	rev            core.Revision
@@ -91,7 +91,7 @@
 
 // New returns an empty store without faults.
 func New(opts ...Option) *Store {
-	st := &Store{items: map[string]core.Item{}, leases: map[core.LeaseID]*lease{}, changed: make(chan struct{}), before: func(Op) {}}
+	st := &Store{items: map[string]core.Item{}, leases: map[core.LeaseID]*lease{}, changed: make(chan struct{}), hook: func(Op) {}}
 	Seed(1)(st)
 	for _, opt := range opts {
 		opt(st)
@@ -111,7 +111,7 @@
 func (st *Store) SetHook(fn func(Op)) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
-	st.before = fn
+	st.hook = fn
 }
 
 // Counts returns the numbers of calls so far.
@@ -121,8 +121,8 @@
 	return st.counts
 }
 
-// ApplyLateWrites applies the held late writes whose conditions still hold, and returns how many
-// writes were held.
+// ApplyLateWrites applies the late writes whose preconditions still hold, and returns how many
+// late writes there were.
 func (st *Store) ApplyLateWrites() int {
 	st.mu.Lock()
 	defer st.mu.Unlock()
@@ -137,11 +137,11 @@
 // begin counts a call, and delays or refuses it according to the faults.
 func (st *Store) begin(ctx context.Context, op Op, write bool) error {
 	st.mu.Lock()
-	fa, before := st.faults, st.before
+	fa, hook := st.faults, st.hook
 	refuse := fa.Down || fa.Refuse > 0 && st.rnd.Float64() < fa.Refuse
 	if write {
 		st.counts.Writes++
-		refuse = st.overRate(fa) || refuse
+		refuse = st.exceedsWriteRate(fa) || refuse
 	} else {
 		st.counts.Reads++
 	}
@@ -149,7 +149,7 @@
 		st.counts.Refused++
 	}
 	st.mu.Unlock()
-	before(op)
+	hook(op)
 	if fa.Latency > 0 {
 		select {
 		case <-time.After(fa.Latency):
@@ -163,7 +163,7 @@
 	return nil
 }
 
-func (st *Store) overRate(fa Faults) bool {
+func (st *Store) exceedsWriteRate(fa Faults) bool {
 	now := time.Now().Unix()
 	if now != st.currentSecond {
 		st.currentSecond, st.writesInSecond = now, 0
@@ -193,12 +193,12 @@
 	return effect()
 }
 
-func (st *Store) applyLate(by time.Duration, fn func()) {
-	if by == 0 {
+func (st *Store) applyLate(delay time.Duration, fn func()) {
+	if delay == 0 {
 		st.lateWrites = append(st.lateWrites, fn)
 		return
 	}
-	time.AfterFunc(by, func() {
+	time.AfterFunc(delay, func() {
 		st.mu.Lock()
 		defer st.mu.Unlock()
 		fn()
--- a/test/fleet/client.go
+++ b/test/fleet/client.go
@@ -45,8 +45,8 @@
 }
 
 // Call calls an operation of a plain service.
-func Call(url, key, path, idempotency string, body []byte) (*Reply, error) {
-	return Post(url+"/v1/services/"+path, key, body, map[string]string{"Idempotency-Key": idempotency})
+func Call(url, key, path, idempotencyKey string, body []byte) (*Reply, error) {
+	return Post(url+"/v1/services/"+path, key, body, map[string]string{"Idempotency-Key": idempotencyKey})
 }
 
 // Post sends a request and reads the response to its end.
@@ -66,19 +66,19 @@
 // ReadReply reads a response to its end.
 func ReadReply(rs *http.Response) *Reply { return readResponse(rs, func(int) {}) }
 
-func readResponse(rs *http.Response, token func(int)) *Reply {
+func readResponse(rs *http.Response, onToken func(int)) *Reply {
 	re := &Reply{Status: rs.StatusCode, Header: rs.Header}
 	if strings.HasPrefix(rs.Header.Get("Content-Type"), "text/event-stream") {
-		re.readEvents(rs.Body, token)
+		re.readEvents(rs.Body, onToken)
 	} else {
-		re.readWhole(rs.Body)
+		re.readBody(rs.Body)
 	}
 	return re
 }
 
-// StreamChat streams a completion and calls token with the number of tokens received
-// so far, for each token that arrives.
-func StreamChat(url, key, model, prompt, id string, token func(int)) (*Reply, error) {
+// StreamChat streams a completion and calls onToken for each token that arrives, with the
+// number of tokens received so far.
+func StreamChat(url, key, model, prompt, id string, onToken func(int)) (*Reply, error) {
 	body, err := chatBody(model, prompt, true)
 	if err != nil {
 		return nil, err
@@ -92,7 +92,7 @@
 		return nil, err
 	}
 	defer rs.Body.Close()
-	return readResponse(rs, token), nil
+	return readResponse(rs, onToken), nil
 }
 
 func newPost(url, key string, body []byte, header map[string]string) (*http.Request, error) {
@@ -111,7 +111,7 @@
 	return rq, nil
 }
 
-func (re *Reply) readWhole(rd io.Reader) {
+func (re *Reply) readBody(rd io.Reader) {
 	raw, err := io.ReadAll(rd)
 	re.Body, re.Complete = raw, err == nil && re.Status == http.StatusOK
 	var body struct {
@@ -129,7 +129,7 @@
 	_ = json.Unmarshal(body.Error, &re.Error)
 }
 
-func (re *Reply) readEvents(rd io.Reader, token func(int)) {
+func (re *Reply) readEvents(rd io.Reader, onToken func(int)) {
 	tokens := 0
 	sc := bufio.NewScanner(rd)
 	for sc.Scan() {
@@ -152,7 +152,7 @@
 		if len(ev.Choices) > 0 {
 			re.Text += ev.Choices[0].Delta.Content
 			tokens++
-			token(tokens)
+			onToken(tokens)
 		}
 		if ev.Error != nil {
 			_ = json.Unmarshal(ev.Error, &re.Error)
@@ -178,7 +178,7 @@
 	return json.NewDecoder(rs.Body).Decode(out)
 }
 
-// PostFaults posts a fault order to a stand-in.
+// PostFaults sets the injected faults of a stand-in; body is their JSON.
 func PostFaults(url, body string) error {
 	rs, err := http.Post(url, "application/json", strings.NewReader(body))
 	if err != nil {
--- a/test/fleet/fleet.go
+++ b/test/fleet/fleet.go
@@ -60,7 +60,7 @@
 // to dir. The cleanup function kills the processes that still run.
 func New(bin, dir string) (*Fleet, func(), error) {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
-		return nil, nil, eris.Wrap(err, "fleet")
+		return nil, nil, eris.Wrap(err, "the directory for logs and settings could not be created")
 	}
 	fl := &Fleet{bin: bin, dir: dir, procs: map[string]*Process{}, relays: map[string]*Relay{}}
 	return fl, fl.killAll, nil
@@ -127,7 +127,7 @@
 		}
 		select {
 		case <-ctx.Done():
-			return eris.Errorf("timed out waiting: %s", what)
+			return eris.Errorf("timed out waiting for: %s", what)
 		case <-time.After(20 * time.Millisecond):
 		}
 	}
@@ -261,8 +261,8 @@
 	return pr, fl.PublishHosts()
 }
 
-// relayTo starts a relay to addr and returns its address, or returns addr if the fleet
-// isn't relayed.
+// relayTo starts a relay to addr and returns its address, or returns addr if UseRelays
+// is not set.
 func (fl *Fleet) relayTo(name, addr string) (string, error) {
 	if !fl.UseRelays {
 		return addr, nil
@@ -324,15 +324,15 @@
 func (fl *Fleet) PublishHosts() error {
 	raw, err := json.Marshal(fl.hosts)
 	if err != nil {
-		return eris.Wrap(err, "host list")
+		return eris.Wrap(err, "the host list could not be published")
 	}
 	rq, err := http.NewRequest(http.MethodPut, fl.PlatformURL+"/v1/hosts", strings.NewReader(string(raw)))
 	if err != nil {
-		return eris.Wrap(err, "host list")
+		return eris.Wrap(err, "the host list could not be published")
 	}
 	rs, err := http.DefaultClient.Do(rq)
 	if err != nil {
-		return eris.Wrap(err, "host list")
+		return eris.Wrap(err, "the host list could not be published")
 	}
 	return rs.Body.Close()
 }
--- a/test/fleet/process.go
+++ b/test/fleet/process.go
@@ -45,7 +45,7 @@
 // PID returns the process id.
 func (pr *Process) PID() int { return pr.cmd.Process.Pid }
 
-// Terminate requests a planned stop and does not wait for it.
+// Terminate sends SIGTERM, which starts a graceful shutdown, and does not wait for its end.
 func (pr *Process) Terminate() { pr.signal(syscall.SIGTERM) }
 
 // Hangup sends SIGHUP, which makes the process reload its settings.
@@ -57,7 +57,8 @@
 	return pr.err
 }
 
-// Stop requests a planned stop, waits for it and returns the error of a failed exit.
+// Stop shuts the process down gracefully, waits for its end and returns the error of a failed
+// exit.
 func (pr *Process) Stop() error {
 	pr.Terminate()
 	return pr.Wait()
--- a/test/fleet/relay.go
+++ b/test/fleet/relay.go
@@ -8,7 +8,8 @@
 	"github.com/rotisserie/eris"
 )
 
-// Relay forwards TCP connections to an address. Cut breaks them and Stall stalls them.
+// Relay forwards TCP connections to an address. Cut closes them; Stall stops forwarding without
+// closing them.
 type Relay struct {
 	Addr   string
 	li     net.Listener
@@ -27,7 +28,7 @@
 func NewRelay(target string) (*Relay, func(), error) {
 	li, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		return nil, nil, eris.Wrap(err, "relay")
+		return nil, nil, eris.Wrap(err, "the listener of the relay could not be opened")
 	}
 	re := &Relay{Addr: li.Addr().String(), li: li, target: target, conns: map[net.Conn]bool{}}
 	re.resumed = sync.NewCond(&re.mu)
@@ -97,7 +98,7 @@
 // BytesForwarded returns the number of bytes forwarded, in both directions together.
 func (re *Relay) BytesForwarded() int64 { return re.forwarded.Load() }
 
-// Cut breaks all connections and refuses new ones until Restore.
+// Cut closes all connections, and new ones at once, until Restore.
 func (re *Relay) Cut() {
 	re.mu.Lock()
 	defer re.mu.Unlock()
--- a/test/gateway/gateway_test.go
+++ b/test/gateway/gateway_test.go
@@ -11,8 +11,8 @@
 	"skylarkstand/standin/upstream"
 )
 
-// stream returns the complete stream of the stand-in.
-func stream() string {
+// completeStream returns the complete stream of the stand-in.
+func completeStream() string {
 	out := ""
 	for n := 1; n <= 6; n++ {
 		out += upstream.Event(n)
@@ -48,7 +48,8 @@
 	}
 }
 
-// The gateway refuses requests with the status that tells the caller what to do.
+// The gateway must refuse each kind of invalid request with its own status, and a request that
+// no upstream can run with a Retry-After.
 func TestRefusals(t *testing.T) {
 	wo := newFixture(t, 1)
 	assert.Equal(t, wo.send(request{path: "/nowhere/1"}).status, http.StatusNotFound)
@@ -85,18 +86,18 @@
 	}
 }
 
-// An engine breaks off a stream in the middle of an event. The caller must receive every
+// An engine cuts off a stream in the middle of an event. The caller must receive every
 // event exactly once and in order, the remaining ones from the other engine.
 func TestStreamResumesOnOtherEngine(t *testing.T) {
 	wo := newFixture(t, 1)
 	re := wo.send(request{path: "/draft/1", model: "*"})
 	assert.NilError(t, re.err)
-	assert.Equal(t, re.body, stream())
+	assert.Equal(t, re.body, completeStream())
 	wo.lms[0].SetMode(upstream.CutOff)
 	for range 8 {
 		re := wo.send(request{path: "/draft/1", model: "*"})
 		assert.NilError(t, re.err)
-		assert.Equal(t, re.body, stream())
+		assert.Equal(t, re.body, completeStream())
 	}
 	resumed := 0
 	for _, run := range wo.lms[1].Runs() {
@@ -109,7 +110,7 @@
 }
 
 // An API key is revoked, and the store refuses one of the gateways. Both must soon refuse
-// the key; the refused gateway learns of the change from the other one.
+// the key; the refused gateway receives the change from the other one.
 func TestRevokedKeyIsRefused(t *testing.T) {
 	wo := newFixture(t, 2)
 	for gw := range 2 {
@@ -122,7 +123,7 @@
 	}
 	// An older configuration that arrives late must not be adopted.
 	wo.configure(4, "key-1")
-	wo.st.Put("op/other", "a change that is heard of after it")
+	wo.st.Put("op/other", "a later change")
 	assert.Equal(t, wo.send(request{path: "/lookup/1", key: "key-2"}).status, http.StatusOK)
 }
 
@@ -175,7 +176,7 @@
 	for range callers {
 		re := <-done
 		assert.NilError(t, re.err)
-		assert.Equal(t, re.body, stream())
+		assert.Equal(t, re.body, completeStream())
 	}
 	assert.NilError(t, wo.gws[0].Wait())
 }
--- a/test/gateway/soak_test.go
+++ b/test/gateway/soak_test.go
@@ -20,7 +20,7 @@
 )
 
 // The soak test runs gateways as separate processes, injects random faults around them,
-// and checks by what callers and upstreams observed that no promise was broken. By hand:
+// and checks by what callers and upstreams observed that no promise was broken. To run more seeds:
 //
 //	go test ./test/gateway -run Soak -soak-seeds 50 -soak-first 1000 -timeout 30m
 var (
@@ -77,7 +77,7 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			be.caller(ctx, i, rand.New(rand.NewPCG(seed, uint64(i)+10)))
+			be.sendUntilDone(ctx, i, rand.New(rand.NewPCG(seed, uint64(i)+10)))
 		}()
 	}
 	for range soakFaults {
@@ -133,8 +133,8 @@
 	return be.gws[i]
 }
 
-// caller sends requests over persistent connections until the context ends.
-func (be *soakFixture) caller(ctx context.Context, n int, rnd *rand.Rand) {
+// sendUntilDone sends requests over persistent connections until the context ends.
+func (be *soakFixture) sendUntilDone(ctx context.Context, n int, rnd *rand.Rand) {
 	cl := &http.Client{Transport: &http.Transport{}}
 	defer cl.CloseIdleConnections()
 	kinds := []string{"claim", "lookup", "draft"}
@@ -270,7 +270,7 @@
 			te.checkAnswer(t)
 		}
 		if te.status == http.StatusOK && te.err != nil {
-			assert.Assert(t, te.kind != "draft" || strings.HasPrefix(stream(), te.response.body), "%s: the cut stream is not a prefix of the complete one: %q", te.id, te.response.body)
+			assert.Assert(t, te.kind != "draft" || strings.HasPrefix(completeStream(), te.response.body), "%s: the cut stream is not a prefix of the complete one: %q", te.id, te.response.body)
 		}
 	}
 	assert.Assert(t, answered > len(be.exchanges)/10, "only %d of %d requests were answered; want more than a tenth", answered, len(be.exchanges))
@@ -282,7 +282,7 @@
 	t.Helper()
 	assert.Equal(t, te.header.Get("X-Skylarkstand-Attempt-Id"), te.id)
 	if te.kind == "draft" {
-		assert.Equal(t, te.response.body, stream(), "%s: the stream is not the complete one", te.id)
+		assert.Equal(t, te.response.body, completeStream(), "%s: the stream is not the complete one", te.id)
 		return
 	}
 	assert.Assert(t, strings.HasSuffix(te.response.body, " did "+te.body), "%s: not the answer to this request: %q", te.id, te.response.body)
--- a/test/matrix/checks_test.go
+++ b/test/matrix/checks_test.go
@@ -85,7 +85,7 @@
 }
 
 // retryCalls sends each at-most-once call again with its key through the other entry,
-// as a caller does that has not learned the outcome.
+// as a caller does that has not received the outcome.
 func (wo *fixture) retryCalls() {
 	wo.t.Helper()
 	keys := map[string]bool{}
--- a/test/matrix/faults_test.go
+++ b/test/matrix/faults_test.go
@@ -10,7 +10,7 @@
 )
 
 // faultDuration is how long a temporary fault lasts. It exceeds the time after which
-// a silent link is given up, so that requests meet both sides of that decision.
+// a silent link is closed, so that some requests are sent before that and some after it.
 const faultDuration = 1500 * time.Millisecond
 
 // faults inject a fault and return a function that heals it.
@@ -23,7 +23,7 @@
 	"freeze-entry":    func(wo *fixture) func() { return freeze(wo.entry) },
 	"freeze-upstream": func(wo *fixture) func() { return freeze(wo.upstream()) },
 	"cut-link":        cutLink,
-	"hold-link":       holdLink,
+	"hold-link":       stallLink,
 	"region-cut":      regionCut,
 	"store-down":      storeFault(`{"down":true}`),
 	"store-slow":      storeFault(`{"slow":500}`),
@@ -60,7 +60,7 @@
 	}
 }
 
-func holdLink(wo *fixture) func() {
+func stallLink(wo *fixture) func() {
 	re := wo.fl.Relay(wo.agent)
 	re.Stall()
 	return func() {
--- a/test/matrix/fixture_test.go
+++ b/test/matrix/fixture_test.go
@@ -51,8 +51,8 @@
 // totals are the counts over all cells that the figures report.
 var totals struct{ cells, duplicateRuns, duplicateBills, lostBills atomic.Int64 }
 
-// pollTimeout is far above the time that any step takes, even on a slow machine; when
-// it passes, the awaited state will never come.
+// pollTimeout is far above the time that any step takes, even on a slow machine; a state
+// that is not reached within it will never be reached.
 const pollTimeout = 40 * time.Second
 
 var (
--- a/test/matrix/operator_test.go
+++ b/test/matrix/operator_test.go
@@ -36,9 +36,9 @@
 				t.Parallel()
 				wo := newFixture(t, st.Name)
 				wo.agent = "desk-1"
-				after := operatorSteps[st.Name](wo)
+				checkOutcome := operatorSteps[st.Name](wo)
 				faults[fa.Name](wo)()
-				after()
+				checkOutcome()
 				wo.check()
 				wo.checkRecovery()
 			})
--- a/test/matrix/steps_test.go
+++ b/test/matrix/steps_test.go
@@ -30,6 +30,7 @@
 	"billed":      billed,
 }
 
+// noop is returned by steps that need no release and by faults that need no healing.
 func noop() {}
 
 // accepted sends half of a request's body and delays the rest.
@@ -170,7 +171,7 @@
 	return noop
 }
 
-// setFaults posts a fault order, in JSON, to a stand-in.
+// setFaults sets the injected faults of a stand-in; body is their JSON.
 func (wo *fixture) setFaults(standin, body string) {
 	wo.t.Helper()
 	assert.NilError(wo.t, fleet.PostFaults(wo.fl.Process(standin).URL+"/faults", body))
--- a/test/matrix/table.go
+++ b/test/matrix/table.go
@@ -38,8 +38,8 @@
 var OperatorSteps = []Step{
 	{"apply", "a withdrawal is being applied to a slow store"},
 	{"roll-out", "half of the new sessions get a new version"},
-	{"leave", "an agent was told to stop and has work in flight"},
-	{"stop", "an entry was told to stop and has work in flight"},
+	{"leave", "an agent is shutting down gracefully and has work in flight"},
+	{"stop", "an entry is shutting down gracefully and has work in flight"},
 }
 
 // Fault is a kind of failure that the tests inject.
--- a/test/measure/apply.go
+++ b/test/measure/apply.go
@@ -19,11 +19,12 @@
 	"skylarkstand/test/fleet"
 )
 
-// deployment is one user's zones and number of agents, with entriesPerZone entries in each zone.
+// deployment is the locations and the number of agents of one user, with entriesPerZone entries at
+// each location.
 type deployment struct {
-	user   string
-	places []fleet.Location
-	agents int
+	user      string
+	locations []fleet.Location
+	agents    int
 }
 
 var deployments = []deployment{
@@ -31,7 +32,7 @@
 	{"association", []fleet.Location{{Zone: "sapporo-a", Region: "doo-central"}, {Zone: "otaru-b", Region: "doo-central"}, {Zone: "kushiro-a", Region: "doto-east"}}, 15},
 }
 
-// applies is how many changes are measured.
+// entriesPerZone is the number of entries at each location, applies the number of measured changes.
 const (
 	entriesPerZone = 2
 	applies        = 100
@@ -88,14 +89,14 @@
 		return err
 	}
 	for i := range sh.agents {
-		id, place := fmt.Sprintf("runner-%d", i), sh.places[i%len(sh.places)]
-		if err := fl.StartAgent(id, core.ModelVersion{Model: "desk", Version: "v1"}, place, fl.PlatformURL); err != nil {
+		id, location := fmt.Sprintf("runner-%d", i), sh.locations[i%len(sh.locations)]
+		if err := fl.StartAgent(id, core.ModelVersion{Model: "desk", Version: "v1"}, location, fl.PlatformURL); err != nil {
 			return err
 		}
 	}
-	for _, place := range sh.places {
+	for _, location := range sh.locations {
 		for i := range entriesPerZone {
-			if _, err := fl.StartEntry(fmt.Sprintf("entry-%s-%d", place.Zone, i), place, map[string]any{"log-level": "warn"}); err != nil {
+			if _, err := fl.StartEntry(fmt.Sprintf("entry-%s-%d", location.Zone, i), location, map[string]any{"log-level": "warn"}); err != nil {
 				return err
 			}
 		}
--- a/test/measure/path.go
+++ b/test/measure/path.go
@@ -91,13 +91,13 @@
 	if err != nil {
 		return err
 	}
-	const lasts = 4 * time.Second
-	rate, _ := ri.closedLoop(ri.entry.URL, 16, lasts, true)
+	const duration = 4 * time.Second
+	rate, _ := ri.closedLoop(ri.entry.URL, 16, duration, true)
 	after, err := pathUsage(ri)
 	if err != nil {
 		return err
 	}
-	figure.AtLeast("tokens-per-core-second-burst", rate*400*lasts.Seconds()/(after-before).Seconds(), "1/s", 200_000)
+	figure.AtLeast("tokens-per-core-second-burst", rate*400*duration.Seconds()/(after-before).Seconds(), "1/s", 200_000)
 	return nil
 }
 
@@ -132,9 +132,9 @@
 	if err != nil {
 		return err
 	}
-	passed := ri.fl.Relay("desk-1").BytesForwarded()
+	forwarded := ri.fl.Relay("desk-1").BytesForwarded()
 	time.Sleep(idle)
-	passed = ri.fl.Relay("desk-1").BytesForwarded() - passed
+	forwarded = ri.fl.Relay("desk-1").BytesForwarded() - forwarded
 	en2, err := ri.entry.Usage()
 	if err != nil {
 		return err
@@ -151,7 +151,7 @@
 	figure.AtMost("idle-agent-resident", megabytes(ag2), "MB", 64)
 	figure.AtMost("idle-entry-processor", 100*(en2.Processor-en.Processor).Seconds()/idle.Seconds(), "%core", 1.2)
 	figure.AtMost("idle-agent-processor", 100*(ag2.Processor-ag.Processor).Seconds()/idle.Seconds(), "%core", 1.2)
-	figure.Unbounded("idle-link-bytes-both-ways", float64(passed)/idle.Seconds(), "B/s")
+	figure.Unbounded("idle-link-bytes-both-ways", float64(forwarded)/idle.Seconds(), "B/s")
 	figure.Unbounded("idle-store-calls", float64(reads2+writes2-reads-writes)/idle.Seconds(), "1/s")
 	return nil
 }
--- a/test/measure/rig.go
+++ b/test/measure/rig.go
@@ -59,13 +59,13 @@
 	if err := fl.StartPlatform(nil); err != nil {
 		return err
 	}
-	place := fleet.Location{Zone: "muc-a", Region: "muc"}
+	location := fleet.Location{Zone: "muc-a", Region: "muc"}
 	mv := core.ModelVersion{Model: "desk", Version: "v1"}
-	if err := fl.StartEngine("desk-1", mv, place, append([]string{"--slots", "8192"}, engineArgs...)...); err != nil {
+	if err := fl.StartEngine("desk-1", mv, location, append([]string{"--slots", "8192"}, engineArgs...)...); err != nil {
 		return err
 	}
 	var err error
-	if ri.entry, err = fl.StartEntry("entry-1", place, map[string]any{"max-in-flight": 8192, "log-level": "warn"}); err != nil {
+	if ri.entry, err = fl.StartEntry("entry-1", location, map[string]any{"max-in-flight": 8192, "log-level": "warn"}); err != nil {
 		return err
 	}
 	ri.agent, ri.engine = fl.Process("desk-1"), fl.Process("desk-1-engine")
@@ -83,8 +83,8 @@
 }
 
 // request sends one request and reads its answer. It returns the time to the first byte, and calls
-// gap after each later read with data, with the time since the read before.
-func (ri *rig) request(base string, stream bool, gap func(time.Duration)) (time.Duration, error) {
+// onGap after each later read with data, with the time since the previous read.
+func (ri *rig) request(base string, stream bool, onGap func(time.Duration)) (time.Duration, error) {
 	body := []byte(fmt.Sprintf(`{"model":"desk","stream":%v,"messages":[{"role":"user","content":"hello"}]}`, stream))
 	rq, err := http.NewRequest(http.MethodPost, base+"/v1/chat/completions", bytes.NewReader(body))
 	if err != nil {
@@ -99,7 +99,7 @@
 	}
 	defer rs.Body.Close()
 	if rs.StatusCode != http.StatusOK {
-		return 0, fmt.Errorf("status %d", rs.StatusCode)
+		return 0, fmt.Errorf("the request was answered with status %d, want 200", rs.StatusCode)
 	}
 	buf := make([]byte, 4096)
 	var first time.Duration
@@ -109,8 +109,8 @@
 		now := time.Now()
 		if n > 0 && first == 0 {
 			first = now.Sub(began)
-		} else if n > 0 && gap != nil {
-			gap(now.Sub(last))
+		} else if n > 0 && onGap != nil {
+			onGap(now.Sub(last))
 		}
 		last = now
 		if err == io.EOF {
@@ -125,13 +125,13 @@
 // openLoop sends requests at a rate for a time, without waiting for answers. It records, in
 // microseconds, the time from when each request was due to its first byte, and the gaps between
 // reads.
-func (ri *rig) openLoop(base string, rate int, lasts time.Duration, stream bool) (first, gaps *hdrhistogram.Histogram, failed int64) {
+func (ri *rig) openLoop(base string, rate int, duration time.Duration, stream bool) (first, gaps *hdrhistogram.Histogram, failed int64) {
 	first, gaps = hdrhistogram.New(1, 60_000_000, 3), hdrhistogram.New(1, 60_000_000, 3)
 	var mu sync.Mutex
 	var bad atomic.Int64
 	var wg sync.WaitGroup
 	began := time.Now()
-	for i := range int(lasts.Seconds() * float64(rate)) {
+	for i := range int(duration.Seconds() * float64(rate)) {
 		due := began.Add(time.Duration(i) * time.Second / time.Duration(rate))
 		time.Sleep(time.Until(due))
 		wg.Go(func() {
@@ -156,13 +156,13 @@
 
 // closedLoop sends requests for a time from a number of concurrent callers, each of which waits for
 // its answer. It returns the answers per second and the number of failed requests.
-func (ri *rig) closedLoop(base string, callers int, lasts time.Duration, stream bool) (float64, int64) {
+func (ri *rig) closedLoop(base string, callers int, duration time.Duration, stream bool) (float64, int64) {
 	var done, bad atomic.Int64
 	var wg sync.WaitGroup
 	began := time.Now()
 	for range callers {
 		wg.Go(func() {
-			for time.Since(began) < lasts {
+			for time.Since(began) < duration {
 				if _, err := ri.request(base, stream, nil); err != nil {
 					bad.Add(1)
 					continue
--- a/test/slopes/configuration.go
+++ b/test/slopes/configuration.go
@@ -114,11 +114,11 @@
 		return sum, err
 	}
 	defer ags.cancel()
-	en, err := fl.StartEntry("entry-1", place, nil)
+	en, err := fl.StartEntry("entry-1", location, nil)
 	if err != nil {
 		return sum, err
 	}
-	if err := publishHosts(fl, append([]core.Host{{Role: core.RoleEntry, Addr: en.Addr, Zone: place.Zone, Region: place.Region}}, ags.hosts...)); err != nil {
+	if err := publishHosts(fl, append([]core.Host{{Role: core.RoleEntry, Addr: en.Addr, Zone: location.Zone, Region: location.Region}}, ags.hosts...)); err != nil {
 		return sum, err
 	}
 	ch := chain.New(store.New(fl.StoreURL), publish.Chain)
@@ -154,7 +154,7 @@
 // measureChange returns the cost of one change.
 func measureChange(ch *chain.Chain, num core.Generation, workspaces int, ags *agents, en *fleet.Process) (propagationCost, error) {
 	before := ags.meter.read()
-	use, err := usageOf(en)
+	usageBefore, err := usageOf(en)
 	if err != nil {
 		return propagationCost{}, err
 	}
@@ -166,7 +166,7 @@
 	time.Sleep(200 * time.Millisecond) // Includes returning notices and the entry's remaining work.
 	after, err := usageOf(en)
 	tr := ags.meter.read().since(before)
-	return propagationCost{took, tr.bytes(), tr.data, after.processor - use.processor}, err
+	return propagationCost{took, tr.bytes(), tr.data, after.processor - usageBefore.processor}, err
 }
 
 // measureManyEntries links one agent with several entries that adopt a change at the same time, as
--- a/test/slopes/control.go
+++ b/test/slopes/control.go
@@ -145,8 +145,8 @@
 	return nil, io.EOF
 }
 
-// measureReports changes an agent's load every second and measures the traffic of its links beyond
-// that of the same links when idle.
+// measureReports changes an agent's load every second and measures the traffic of its links, minus
+// the traffic of the same links when idle.
 func measureReports(re *report) error {
 	var pts []point
 	for _, size := range []int{10, 50, 200} {
@@ -184,18 +184,18 @@
 		return 0, err
 	}
 	time.Sleep(time.Second)
-	const lasts = 4
+	const measuredSeconds = 4
 	before := ags.meter.read()
-	time.Sleep(lasts * time.Second)
+	time.Sleep(measuredSeconds * time.Second)
 	quiet := ags.meter.read().since(before)
 	before = ags.meter.read()
 	var wg sync.WaitGroup
-	for range lasts {
+	for range measuredSeconds {
 		wg.Go(func() { _, _ = runAttempts(ags, pools[0], 1) })
 		time.Sleep(time.Second)
 	}
 	busy := ags.meter.read().since(before)
 	close(he.release)
 	wg.Wait()
-	return (busy.bytes() - quiet.bytes()) / lasts, nil
+	return (busy.bytes() - quiet.bytes()) / measuredSeconds, nil
 }
--- a/test/slopes/fit.go
+++ b/test/slopes/fit.go
@@ -24,12 +24,12 @@
 		top = max(top, math.Abs(pt.value))
 	}
 	num := float64(len(pts))
-	spread := num*sxx - sx*sx
-	if spread == 0 {
+	denominator := num*sxx - sx*sx
+	if denominator == 0 {
 		return fit{math.NaN(), math.NaN(), math.NaN()}
 	}
 	var fi fit
-	fi.slope = (num*sxy - sx*sy) / spread
+	fi.slope = (num*sxy - sx*sy) / denominator
 	fi.intercept = (sy - fi.slope*sx) / num
 	fi.slope, fi.intercept = roundToZero(fi.slope, top), roundToZero(fi.intercept, top)
 	for _, pt := range pts {
--- a/test/slopes/fixture.go
+++ b/test/slopes/fixture.go
@@ -22,10 +22,11 @@
 	"skylarkstand/test/fleet"
 )
 
-// place is the location, and desk the model version, of all processes that need only one.
+// location is the availability zone and region, and desk the model version, of all processes that
+// need only one.
 var (
-	place = fleet.Location{Zone: "muc-a", Region: "muc"}
-	desk  = core.ModelVersion{Model: "desk", Version: "v1"}
+	location = fleet.Location{Zone: "muc-a", Region: "muc"}
+	desk     = core.ModelVersion{Model: "desk", Version: "v1"}
 )
 
 // agents are small agents in this process, each with its own listener, configuration and executor,
@@ -49,7 +50,7 @@
 		}
 		ho := core.Host{
 			Role: core.RoleAgent, ID: core.UpstreamID(fmt.Sprintf("desk-%d", i)), Addr: li.Addr().String(),
-			Zone: place.Zone, Region: place.Region, Model: desk.Model, Version: desk.Version,
+			Zone: location.Zone, Region: location.Region, Model: desk.Model, Version: desk.Version,
 		}
 		deps, inf := core.NewDeps(), declaration.NewInForce()
 		tbl, _ := claim.New(deps, nil) // Needs no store, since no operation here runs at most once.
--- a/test/slopes/hosts.go
+++ b/test/slopes/hosts.go
@@ -60,14 +60,14 @@
 		return err
 	}
 	defer cleanup()
-	en, err := fl.StartEntry("entry-1", place, nil)
+	en, err := fl.StartEntry("entry-1", location, nil)
 	if err != nil {
 		return err
 	}
-	hosts := []core.Host{{Role: core.RoleEntry, Addr: en.Addr, Zone: place.Zone, Region: place.Region}}
+	hosts := []core.Host{{Role: core.RoleEntry, Addr: en.Addr, Zone: location.Zone, Region: location.Region}}
 	for i := range lc.size {
 		hosts = append(hosts, core.Host{
-			Role: core.RoleEntry, Addr: fmt.Sprintf("10.%d.%d.%d:9000", i>>16, i>>8&255, i&255), Zone: place.Zone, Region: place.Region,
+			Role: core.RoleEntry, Addr: fmt.Sprintf("10.%d.%d.%d:9000", i>>16, i>>8&255, i&255), Zone: location.Zone, Region: location.Region,
 			ID: core.UpstreamID(fmt.Sprintf("desk-%d", i)), Model: desk.Model, Version: desk.Version, Leaving: true,
 		})
 	}
@@ -120,7 +120,7 @@
 // choiceTime returns the processor time of one choice, in seconds.
 func choiceTime(po *agent.Pool) (float64, error) {
 	const rounds = 50_000
-	pk := placement.New(place.Zone, place.Region)
+	pk := placement.New(location.Zone, location.Region)
 	rnd := rand.New(rand.NewPCG(1, 2))
 	rq := placement.Request{Pool: placement.Pool{Target: desk}}
 	var buf []core.Upstream
--- a/test/slopes/links.go
+++ b/test/slopes/links.go
@@ -71,17 +71,17 @@
 		return il, err
 	}
 	defer ags.cancel()
-	en, err := fl.StartEntry("entry-1", place, nil)
+	en, err := fl.StartEntry("entry-1", location, nil)
 	if err != nil {
 		return il, err
 	}
 	// A process that has just started still collects the garbage of its start-up. The list is
 	// published afterwards, so that only links are added.
-	self := core.Host{Role: core.RoleEntry, Addr: en.Addr, Zone: place.Zone, Region: place.Region}
+	self := core.Host{Role: core.RoleEntry, Addr: en.Addr, Zone: location.Zone, Region: location.Region}
 	if err := publishHosts(fl, append([]core.Host{self}, ags.hosts...)); err != nil {
 		return il, err
 	}
-	if err := fl.StartEngine("alone", desk, fleet.Location{Zone: "muc-b", Region: place.Region}); err != nil {
+	if err := fl.StartEngine("alone", desk, fleet.Location{Zone: "muc-b", Region: location.Region}); err != nil {
 		return il, err
 	}
 	// StartEngine has replaced the list by its own.
@@ -90,7 +90,7 @@
 	}
 	ag := fl.Process("alone")
 	pools, _, cancel := startPools(size, []core.Host{{
-		Role: core.RoleAgent, ID: "alone", Addr: ag.Addr, Zone: place.Zone, Region: place.Region, Model: desk.Model, Version: desk.Version,
+		Role: core.RoleAgent, ID: "alone", Addr: ag.Addr, Zone: location.Zone, Region: location.Region, Model: desk.Model, Version: desk.Version,
 	}})
 	defer cancel()
 	for _, po := range pools {
--- a/test/slopes/path.go
+++ b/test/slopes/path.go
@@ -44,11 +44,11 @@
 
 func (ri *rig) start(engine []string) error {
 	ri.fl.AgentSettings = highLimits
-	if err := ri.fl.StartEngine("desk-1", desk, place, append([]string{"--slots", "8192"}, engine...)...); err != nil {
+	if err := ri.fl.StartEngine("desk-1", desk, location, append([]string{"--slots", "8192"}, engine...)...); err != nil {
 		return err
 	}
 	var err error
-	if ri.entry, err = ri.fl.StartEntry("entry-1", place, map[string]any{"max-in-flight": 8192, "log-level": "warn"}); err != nil {
+	if ri.entry, err = ri.fl.StartEntry("entry-1", location, map[string]any{"max-in-flight": 8192, "log-level": "warn"}); err != nil {
 		return err
 	}
 	ri.agent = ri.fl.Process("desk-1")
@@ -61,8 +61,8 @@
 	})
 }
 
-// request sends a request and reads its answer; it calls began at the first byte of the body.
-func (ri *rig) request(ctx context.Context, prompt string, stream bool, began func()) error {
+// request sends a request and reads its answer; it calls onFirstByte at the first byte of the body.
+func (ri *rig) request(ctx context.Context, prompt string, stream bool, onFirstByte func()) error {
 	body := fmt.Appendf(nil, `{"model":"desk","stream":%v,"messages":[{"role":"user","content":%q}]}`, stream, prompt)
 	rq, err := http.NewRequestWithContext(ctx, http.MethodPost, ri.entry.URL+"/v1/chat/completions", bytes.NewReader(body))
 	if err != nil {
@@ -76,20 +76,20 @@
 	}
 	defer rs.Body.Close()
 	if rs.StatusCode != http.StatusOK {
-		return fmt.Errorf("status %d", rs.StatusCode)
+		return fmt.Errorf("the request was answered with status %d, want 200", rs.StatusCode)
 	}
 	var first [1]byte
 	if _, err := io.ReadFull(rs.Body, first[:]); err != nil {
 		return err
 	}
-	began()
+	onFirstByte()
 	_, err = io.Copy(io.Discard, rs.Body)
 	return err
 }
 
 // offerLoad sends requests at a rate, in an open loop that does not wait for answers, and returns the
 // processor time per second of entry and agent.
-func (ri *rig) offerLoad(rate int, lasts time.Duration, stream bool) (entry, agent float64, err error) {
+func (ri *rig) offerLoad(rate int, duration time.Duration, stream bool) (entry, agent float64, err error) {
 	en, err := usageOf(ri.entry)
 	if err != nil {
 		return 0, 0, err
@@ -101,7 +101,7 @@
 	var wg sync.WaitGroup
 	var failed atomic.Int64
 	began := time.Now()
-	for i := range int(lasts.Seconds() * float64(rate)) {
+	for i := range int(duration.Seconds() * float64(rate)) {
 		time.Sleep(time.Until(began.Add(time.Duration(i) * time.Second / time.Duration(rate))))
 		wg.Go(func() {
 			if ri.request(context.Background(), "hello", stream, func() {}) != nil {
@@ -118,7 +118,7 @@
 		return 0, 0, err
 	}
 	ag2, err := usageOf(ri.agent)
-	return (en2.processor - en.processor) / lasts.Seconds(), (ag2.processor - ag.processor) / lasts.Seconds(), err
+	return (en2.processor - en.processor) / duration.Seconds(), (ag2.processor - ag.processor) / duration.Seconds(), err
 }
 
 // offerTime is how long each rate is offered.
--- a/test/slopes/quantity.go
+++ b/test/slopes/quantity.go
@@ -25,7 +25,7 @@
 	goroutines
 )
 
-// unit is a unit of a dimension; factor converts it into the base unit, except that of cores, see
+// unit is a unit of a dimension; factor converts it into the base unit, except for cores; see
 // String.
 type unit struct {
 	name   string
@@ -47,7 +47,7 @@
 	{"goroutines", goroutines, 1},
 }
 
-// perSecond maps a dimension to the one of its rate.
+// perSecond maps a dimension to the dimension of its rate.
 var perSecond = map[dimension]dimension{
 	byteCount: bytesPerSecond, coreSeconds: cores, calls: callsPerSecond, frameCount: framesPerSecond,
 }
--- a/test/slopes/store.go
+++ b/test/slopes/store.go
@@ -138,7 +138,7 @@
 			return err
 		}
 		for i := range count {
-			if err := fl.StartEngine(fmt.Sprintf("start-%d-%d", count, i), desk, place); err != nil {
+			if err := fl.StartEngine(fmt.Sprintf("start-%d-%d", count, i), desk, location); err != nil {
 				return err
 			}
 		}
--- a/test/slopes/strategies.go
+++ b/test/slopes/strategies.go
@@ -31,8 +31,8 @@
 	name string
 	// links is the largest number of links of a process.
 	links int
-	// notices is the number of short messages with a generation's number, bodies that of copies of
-	// the document.
+	// notices is the number of short messages with a generation's number, bodies the number of
+	// copies of the document.
 	notices, bodies float64
 	hops            int
 	// busiest is the largest number of bodies that a process sends.
@@ -85,7 +85,7 @@
 // adoption on each hop, the bodies that the busiest process sends one after the other, and the rounds
 // waited for.
 func (re *report) compareStrategies(workspaces float64) string {
-	at := func(name string, size float64) float64 {
+	valueAt := func(name string, size float64) float64 {
 		for _, sl := range re.slopes {
 			if sl.name == name {
 				return sl.fit.at(size)
@@ -93,10 +93,10 @@
 		}
 		return math.NaN()
 	}
-	by := func(name string) float64 { return at(name, 1) - at(name, 0) }
+	slopeOf := func(name string) float64 { return valueAt(name, 1) - valueAt(name, 0) }
 	co := costs{
-		body: at("document-size", workspaces), adopt: at("adoption-processor", workspaces),
-		send: by("hand-on-processor-100"), notice: noticeBytes,
+		body: valueAt("document-size", workspaces), adopt: valueAt("adoption-processor", workspaces),
+		send: slopeOf("hand-on-processor-100"), notice: noticeBytes,
 	}
 	var sb strings.Builder
 	fmt.Fprintf(&sb, "## Ways to hand a change on to %d entries and %s agents\n\n", plannedEntries, formatInteger(plannedAgents))
@@ -124,19 +124,19 @@
 			Zone: core.Zone(fmt.Sprintf("zone-%d", zone)), Region: core.Region(fmt.Sprintf("region-%d", zone%regions)),
 		})
 	}
-	held := map[string]int{}
+	linkCounts := map[string]int{}
 	total, crossRegion := 0, 0
 	for _, ho := range hosts {
 		for _, pe := range topology.Peers(hosts, ho) {
-			held[ho.Addr]++
-			held[pe.Addr]++
+			linkCounts[ho.Addr]++
+			linkCounts[pe.Addr]++
 			total++
 			if pe.Region != ho.Region {
 				crossRegion++
 			}
 		}
 	}
-	counts := slices.Sorted(maps.Values(held))
+	counts := slices.Sorted(maps.Values(linkCounts))
 	return fmt.Sprintf("## Links between entries at %d entries, %d zones, %d regions\n\nComputed by core/topology: %s links in all, %s of them between regions; an entry holds\n%d at least, %d at the median, %d at most.\n",
 		plannedEntries, zones, regions, formatInteger(int64(total)), formatInteger(int64(crossRegion)), counts[0], counts[len(counts)/2], counts[len(counts)-1])
 }
--- a/test/slopes/table.go
+++ b/test/slopes/table.go
@@ -26,8 +26,8 @@
 	for i, pt := range sl.points {
 		sizes[i] = fmt.Sprintf("%s: %s", formatNumber(pt.size), quantity{pt.value, sl.dim})
 	}
-	in := func(val float64) quantity { return quantity{val, sl.dim} }
-	return fmt.Sprintf("| `%s` | %s | %s | %s | %s | %s | %s |", sl.name, sl.what, in(sl.fit.slope), sl.per, in(sl.fit.intercept), in(sl.fit.residual), strings.Join(sizes, "; "))
+	toQuantity := func(val float64) quantity { return quantity{val, sl.dim} }
+	return fmt.Sprintf("| `%s` | %s | %s | %s | %s | %s | %s |", sl.name, sl.what, toQuantity(sl.fit.slope), sl.per, toQuantity(sl.fit.intercept), toQuantity(sl.fit.residual), strings.Join(sizes, "; "))
 }
 
 const tableHead = "| slope | of what | slope | per | intercept | worst residual | measured |\n| --- | --- | --- | --- | --- | --- | --- |\n"
@@ -41,16 +41,16 @@
 		if len(cells) != 7 || !strings.HasPrefix(cells[0], "`") {
 			continue
 		}
-		by, err := parseQuantity(cells[2])
+		slopeValue, err := parseQuantity(cells[2])
 		if err != nil {
 			return nil, err
 		}
-		base, err := parseQuantity(cells[4])
+		intercept, err := parseQuantity(cells[4])
 		if err != nil {
 			return nil, err
 		}
 		name := strings.Trim(cells[0], "`")
-		out[name] = slope{name: name, dim: by.dim, fit: fit{slope: by.value, intercept: base.value}}
+		out[name] = slope{name: name, dim: slopeValue.dim, fit: fit{slope: slopeValue.value, intercept: intercept.value}}
 	}
 	return out, nil
 }
