--- a/core/balance/balance.go
+++ b/core/balance/balance.go
@@ -18,17 +18,17 @@
 	Prompt core.Tokens
 	// Engine is set for upstreams that batch requests and have a prefix cache.
 	Engine bool
-	// Pool separates latencies that differ: those of one route from those of another.
+	// Pool is the route's id: the latencies of each route are learned separately.
 	Pool string
 	// Tried are the upstreams that are excluded.
 	Tried []core.UpstreamID
-	// Slack is the time until a response begins too late to be good; 0 is no bound.
+	// Slack is the time left in which a response must begin to meet its target; 0 is no bound.
 	Slack time.Duration
 	// RemoteOnly is set when the request may not be served in this entry's region, so that nothing
 	// about its prompt is announced here.
 	RemoteOnly bool
-	// AtMostOnce is set for work that may run at most once, so that a failing upstream costs the
-	// whole response.
+	// AtMostOnce is set for work that may run at most once: it can't be retried, so that a failing
+	// upstream costs the whole response.
 	AtMostOnce bool
 }
 
@@ -121,7 +121,7 @@
 			uncached = min(uncached, rq.Prompt-core.Tokens(homeCachedShare*float64(sharedTokens(rq.Parts))))
 		}
 		_, pending := pk.workAt(now, pe)
-		if cost := pending + scale(prefill, uncached); least < 0 || cost < least {
+		if cost := pending + prefillTime(prefill, uncached); least < 0 || cost < least {
 			least = cost
 		}
 	}
--- a/core/balance/balance_test.go
+++ b/core/balance/balance_test.go
@@ -28,30 +28,30 @@
 	return []core.Part{{ID: shared, Tokens: 13_000}, {ID: fmt.Sprint("own-", own), Tokens: 3_000}}
 }
 
-func draft(shared string, own int) balance.Request {
+func draftRequest(shared string, own int) balance.Request {
 	return balance.Request{Service: "s", Model: "large", Engine: true, Parts: parts(shared, own), Prompt: 16_000, Pool: "draft"}
 }
 
 // Prompts share long prefixes. An engine that has one cached answers the next in a fifth of the
-// time; sent elsewhere, the prompt keeps another engine from its other callers for a second. But
-// when the engine with the cached prefix is full, waiting there would cost more than repeating the
-// prefill.
+// time; sent elsewhere, the prompt occupies another engine for a second, and other callers wait for
+// that engine. But when the engine with the cached prefix is full, waiting there would cost more
+// than repeating the prefill.
 func TestPromptsGoWhereTheyAreCached(t *testing.T) {
 	pk := balance.New("muc-a", "muc")
 	hosts := pool(12, 64)
 	rnd := rand.New(rand.NewPCG(1, 1))
-	first, ok := pk.Pick(start, hosts, draft("plan-7", 0), rnd.Float64)
+	first, ok := pk.Pick(start, hosts, draftRequest("plan-7", 0), rnd.Float64)
 	assert.Assert(t, ok)
-	fl := pk.Sent(start, first, draft("plan-7", 0))
-	pk.Begun(start.Add(time.Second), fl, draft("plan-7", 0), nil)
+	fl := pk.Sent(start, first, draftRequest("plan-7", 0))
+	pk.Begun(start.Add(time.Second), fl, draftRequest("plan-7", 0), nil)
 	pk.Ended(start.Add(2*time.Second), fl, balance.Good)
-	again, _ := pk.Pick(start.Add(3*time.Second), hosts, draft("plan-7", 1), rnd.Float64)
-	assert.Equal(t, again.ID, first.ID)
+	second, _ := pk.Pick(start.Add(3*time.Second), hosts, draftRequest("plan-7", 1), rnd.Float64)
+	assert.Equal(t, second.ID, first.ID)
 
 	for i := range 40 {
-		pk.Sent(start.Add(3*time.Second), first, draft("other", i))
+		pk.Sent(start.Add(3*time.Second), first, draftRequest("other", i))
 	}
-	other, _ := pk.Pick(start.Add(3*time.Second), hosts, draft("plan-7", 2), rnd.Float64)
+	other, _ := pk.Pick(start.Add(3*time.Second), hosts, draftRequest("plan-7", 2), rnd.Float64)
 	assert.Assert(t, other.ID != first.ID, "the engine with the cached prefix is full")
 }
 
@@ -66,7 +66,7 @@
 		for entry := range 3 {
 			pk := balance.New("muc-a", "muc")
 			rnd := rand.New(rand.NewPCG(uint64(entry), 1))
-			ho, _ := pk.Pick(start, hosts, draft(shared, entry), rnd.Float64)
+			ho, _ := pk.Pick(start, hosts, draftRequest(shared, entry), rnd.Float64)
 			homes = append(homes, ho.ID)
 		}
 		count[homes[0]]++
@@ -137,7 +137,7 @@
 }
 
 // A host loses power. Each call that is sent there waits for the whole connect timeout; after the
-// first one, calls must go elsewhere, and one must find out later whether the host is back.
+// first one, calls must go elsewhere, and a later one must try whether the host is reachable again.
 func TestUnreachableUpstreamIsAvoided(t *testing.T) {
 	attempts := attemptsAtFirst(200, balance.Unreachable)
 	assert.Assert(t, attempts >= 2 && attempts <= 8, "%d of 200 attempts in ten seconds", attempts)
@@ -151,8 +151,8 @@
 	assert.Equal(t, attemptsAtFirst(100, balance.Replaced), 1)
 }
 
-// A pool of three with six slots each gets calls of several entries. The upstream that others use
-// must be left to them, by the load that it reports.
+// A pool of three with six slots each gets calls of several entries. An upstream whose slots the
+// other entries use, by the load that it reports, must not be selected.
 func TestReportedLoadCounts(t *testing.T) {
 	pk := balance.New("muc-a", "muc")
 	hosts := pool(3, 6)
@@ -199,21 +199,21 @@
 	other := core.Host{ID: "up-1", Service: "s", Zone: "muc-a", Region: "muc", Slots: 64, StartedAt: 1}
 	rnd := rand.New(rand.NewPCG(7, 1))
 	for i := range 20 {
-		fl := pk.Sent(start, ho, draft("plan", i))
+		fl := pk.Sent(start, ho, draftRequest("plan", i))
 		pk.Ended(start, fl, balance.Failed)
 	}
-	got, _ := pk.Pick(start, []core.Host{ho, other}, draft("plan", 99), rnd.Float64)
+	got, _ := pk.Pick(start, []core.Host{ho, other}, draftRequest("plan", 99), rnd.Float64)
 	assert.Equal(t, got.ID, other.ID)
 	ho.StartedAt = 2
 	counts := map[core.UpstreamID]int{}
 	for i := range 20 {
-		got, _ := pk.Pick(start, []core.Host{ho, other}, draft(fmt.Sprint("p", i), i), rnd.Float64)
+		got, _ := pk.Pick(start, []core.Host{ho, other}, draftRequest(fmt.Sprint("p", i), i), rnd.Float64)
 		counts[got.ID]++
 	}
 	assert.Assert(t, counts[ho.ID] > 5, "%v", counts)
 }
 
-// Eight entries send to twelve engines, and learn of each other's work only by announcements.
+// Eight entries send to twelve engines, and receive each other's load only by announcements.
 // Without these they all select the engines that look idle to them; the longest queue is several
 // times the mean, and its callers wait.
 func TestAnnouncedLoadsSpreadWork(t *testing.T) {
@@ -222,7 +222,7 @@
 }
 
 // queued is a prompt that waits at an engine.
-type queued struct {
+type queuedPrompt struct {
 	entry  *balance.Picker
 	flight *balance.Flight
 	rq     balance.Request
@@ -237,15 +237,15 @@
 	for i := range entries {
 		entries[i] = balance.New("muc-a", "muc")
 	}
-	queues := map[core.UpstreamID][]queued{}
+	queues := map[core.UpstreamID][]queuedPrompt{}
 	worst := 0.0
 	for n := range 400 {
 		now := start.Add(time.Duration(n) * 20 * time.Millisecond)
 		pk := entries[rnd.IntN(len(entries))]
-		rq := draft(fmt.Sprint("plan-", rnd.IntN(300)), n)
+		rq := draftRequest(fmt.Sprint("plan-", rnd.IntN(300)), n)
 		rq.Slack = 4 * time.Second
 		ho, _ := pk.Pick(now, hosts, rq, rnd.Float64)
-		queues[ho.ID] = append(queues[ho.ID], queued{pk, pk.Sent(now, ho, rq), rq})
+		queues[ho.ID] = append(queues[ho.ID], queuedPrompt{pk, pk.Sent(now, ho, rq), rq})
 		if n%10 == 0 {
 			finishPrefills(now, hosts, queues)
 		}
@@ -260,7 +260,7 @@
 }
 
 // finishPrefills has each engine finish the first prompt of its queue.
-func finishPrefills(now time.Time, hosts []core.Host, queues map[core.UpstreamID][]queued) {
+func finishPrefills(now time.Time, hosts []core.Host, queues map[core.UpstreamID][]queuedPrompt) {
 	for _, ho := range hosts {
 		if qu := queues[ho.ID]; len(qu) > 0 {
 			qu[0].entry.Begun(now, qu[0].flight, qu[0].rq, nil)
@@ -282,7 +282,7 @@
 }
 
 // excessQueue is by how much the longest queue is above the mean.
-func excessQueue(queues map[core.UpstreamID][]queued) float64 {
+func excessQueue(queues map[core.UpstreamID][]queuedPrompt) float64 {
 	sum, most := 0, 0
 	for _, qu := range queues {
 		sum += len(qu)
@@ -298,12 +298,12 @@
 	rnd := rand.New(rand.NewPCG(9, 1))
 	one, two := balance.New("muc-a", "muc"), balance.New("muc-a", "muc")
 	for _, ho := range hosts {
-		two.Pick(start, []core.Host{ho}, draft("x", 0), rnd.Float64)
+		two.Pick(start, []core.Host{ho}, draftRequest("x", 0), rnd.Float64)
 	}
 	engine := hosts[5]
-	one.Sent(start, engine, draft("plan-7", 0))
+	one.Sent(start, engine, draftRequest("plan-7", 0))
 	two.ReceiveLoad(start, 1, one.TakeLoad())
-	ho, _ := two.Pick(start.Add(3*time.Second), hosts, draft("plan-7", 1), rnd.Float64)
+	ho, _ := two.Pick(start.Add(3*time.Second), hosts, draftRequest("plan-7", 1), rnd.Float64)
 	assert.Equal(t, ho.ID, engine.ID, "the prompt is cached there, and the announced load there has expired")
 }
 
@@ -313,7 +313,7 @@
 func TestPromptsReportedByEngine(t *testing.T) {
 	hosts := pool(12, 64)
 	rnd := rand.New(rand.NewPCG(9, 1))
-	rq := draft("plan-7", 0)
+	rq := draftRequest("plan-7", 0)
 	held := func(mo core.ModelID, parts []core.Part) []core.CachedPart {
 		var out []core.CachedPart
 		for _, pa := range parts {
--- a/core/balance/bench_test.go
+++ b/core/balance/bench_test.go
@@ -29,7 +29,7 @@
 	for b.Loop() {
 		n++
 		announce(uint64(n % entries))
-		rq := draft(fmt.Sprint("plan-", n%200), n)
+		rq := draftRequest(fmt.Sprint("plan-", n%200), n)
 		ho, _ := pk.Pick(start, hosts, rq, rnd.Float64)
 		pk.Ended(start, pk.Sent(start, ho, rq), balance.Good)
 	}
--- a/core/balance/cache.go
+++ b/core/balance/cache.go
@@ -69,8 +69,8 @@
 // RecordCached records the parts that an engine reports as cached.
 func (pk *Picker) RecordCached(now time.Time, ho core.Host, held []core.CachedPart) {
 	pe := pk.peer(&ho)
-	for _, he := range held {
-		pe.recordPart(now, partHash(he.Model, he.Part.ID))
+	for _, pa := range held {
+		pe.recordPart(now, partHash(pa.Model, pa.Part.ID))
 	}
 }
 
--- a/core/balance/cost.go
+++ b/core/balance/cost.go
@@ -32,8 +32,8 @@
 	// has cached: they are billed once more, and their prefill delays the other streams of this
 	// engine.
 	sharedCost = 300 * time.Millisecond
-	// slackShare is the share of the slack from which lateFactor weighs the expected time to the
-	// first event: a shorter wait costs the caller nothing, a longer one a part of the response's
+	// lateFactor weighs the part of the expected time to the first event that is above slackShare of
+	// the slack: a shorter wait costs the caller nothing, a longer one a part of the response's
 	// value.
 	slackShare = 0.25
 	lateFactor = 2.0
@@ -74,7 +74,7 @@
 // expressed as time.
 func (pk *Picker) cost(now time.Time, ho *core.Host, rq Request, fi decision) time.Duration {
 	pe := pk.peer(ho)
-	cost := pk.distance(ho) + pe.unavailableCost(now)
+	cost := pk.distanceCost(ho) + pe.unavailableCost(now)
 	if !pk.off.Has(mechanism.Avoidance) {
 		cost += pe.failurePenalty(now, fi, rq)
 	}
@@ -84,7 +84,7 @@
 		if ho.ID == fi.home {
 			uncached = min(uncached, rq.Prompt-core.Tokens(homeCachedShare*float64(sharedTokens(rq.Parts))))
 		}
-		first := pending + scale(fi.prefill, uncached)
+		first := pending + prefillTime(fi.prefill, uncached)
 		cost += first + pk.latenessCost(rq, first) + time.Duration(load*float64(batchCost)) + pk.repeatedPrefillCost(rq, uncached)
 	} else {
 		cost += time.Duration(load * float64(fi.latency.meanOr(slotTime)) / float64(max(ho.Slots, 1)))
@@ -112,12 +112,12 @@
 	return pk.sharedPrefillCost(min(all-(rq.Prompt-uncached), all))
 }
 
-// sharedPrefillCost is the penalty, as time, for repeating the prefill of so many shared tokens.
+// sharedPrefillCost is the penalty, as time, for repeating the prefill of a number of shared tokens.
 func (pk *Picker) sharedPrefillCost(tok core.Tokens) time.Duration {
 	if pk.off.Has(mechanism.SharedPrefillPenalty) {
 		return 0
 	}
-	return scale(sharedCost, tok)
+	return prefillTime(sharedCost, tok)
 }
 
 // workAt returns the calls at an upstream, and the prefill time of the prompts that are queued
@@ -152,12 +152,12 @@
 	pk.localWait = sum / time.Duration(max(n, 1))
 }
 
-// scale returns the prefill time of so many tokens, from the time for a thousand.
-func scale(thousand time.Duration, tok core.Tokens) time.Duration {
-	return time.Duration(float64(thousand) * float64(max(tok, 0)) / 1000)
+// prefillTime returns the prefill time of a number of tokens, from the time for a thousand.
+func prefillTime(perThousand time.Duration, tok core.Tokens) time.Duration {
+	return time.Duration(float64(perThousand) * float64(max(tok, 0)) / 1000)
 }
 
-func (pk *Picker) distance(ho *core.Host) time.Duration {
+func (pk *Picker) distanceCost(ho *core.Host) time.Duration {
 	switch {
 	case ho.Zone == pk.zone:
 		return 0
--- a/core/balance/doc.go
+++ b/core/balance/doc.go
@@ -6,12 +6,13 @@
 // earliest expected first byte, from the uncached part of the prompt, the prefill work that is
 // queued there, the size of the batch, the network distance and the recent failures. The prefill
 // rate is learned for each model, so that a short queue of long prompts is distinguished from a
-// long queue of short ones. Waiting is free until the response would be late; up to that point, a
-// prompt goes where its prefix is cached.
+// long queue of short ones. A long wait is penalized only when it would make the response late;
+// up to that point, a prompt goes where its prefix is cached.
 //
-// It prevents: all entries selecting the upstream with the best outdated report; prefill of a
-// prompt that another engine has cached; a slow or failing upstream that looks idle because it was
-// avoided; bytes over the paid link between regions for a gain of a few milliseconds.
+// It prevents: all entries selecting the same upstream, which looked idle in an outdated report;
+// prefill of a prompt that another engine has cached; a slow or failing upstream that looks idle
+// because it was avoided; traffic over the link between regions, which is paid by volume, for a gain
+// of a few milliseconds.
 //
 // The package has no clock and no random source of its own: both come in as arguments.
 //
--- a/core/balance/fact.go
+++ b/core/balance/fact.go
@@ -7,9 +7,9 @@
 	"skylarkstand/core/mechanism"
 )
 
-// Fact is a certain observation of an upstream: nothing listens at its address, another upstream
-// has the address, or it answers again. Slowness and failures are no facts: the entry itself may be
-// cut off.
+// Fact is an observation of an upstream that leaves no doubt: nothing listens at its address,
+// another upstream has the address, or it answers again. Slowness and failures are no facts: they
+// may be caused by this entry's own network.
 //
 // It is made for many entries of which each sees few responses: a crashed upstream looks idle, and
 // without facts every entry would send requests there to find out.
@@ -31,12 +31,12 @@
 func (pk *Picker) TakeFacts(now time.Time) []Fact {
 	var out []Fact
 	for pe := range pk.newFacts {
-		rest := max(pe.downUntil.Sub(now), 0)
-		if rest == 0 && !pe.downUntil.IsZero() {
+		left := max(pe.downUntil.Sub(now), 0)
+		if left == 0 && !pe.downUntil.IsZero() {
 			continue // It may be used again, and nothing new was observed.
 		}
 		out = append(out, Fact{
-			Upstream: pe.hash, Start: uint16(pe.born), DownFor: rest, FailedConnects: pe.failedConnects, //nolint:gosec // The low bits do.
+			Upstream: pe.hash, Start: uint16(pe.startedAt), DownFor: left, FailedConnects: pe.failedConnects, //nolint:gosec // The low bits do.
 		})
 	}
 	clear(pk.newFacts)
@@ -50,7 +50,7 @@
 	}
 	for _, fa := range facts {
 		pe := pk.byHash[fa.Upstream]
-		if pe == nil || uint16(pe.born) != fa.Start { //nolint:gosec // As above.
+		if pe == nil || uint16(pe.startedAt) != fa.Start { //nolint:gosec // As above.
 			continue
 		}
 		if fa.DownFor <= 0 {
@@ -86,5 +86,5 @@
 // as this entry or another one observed.
 func (pk *Picker) UnreachableWithin(now time.Time, ho *core.Host, span time.Duration) bool {
 	pe := pk.peers[ho.ID]
-	return pe != nil && pe.born == ho.StartedAt && !pe.unreachableUntil.IsZero() && now.Before(pe.unreachableUntil.Add(span))
+	return pe != nil && pe.startedAt == ho.StartedAt && !pe.unreachableUntil.IsZero() && now.Before(pe.unreachableUntil.Add(span))
 }
--- a/core/balance/fact_test.go
+++ b/core/balance/fact_test.go
@@ -26,7 +26,7 @@
 	for n := range 1600 { // Ten seconds.
 		now := start.Add(time.Duration(n) * 6250 * time.Microsecond)
 		pk := pickers[rnd.IntN(entries)]
-		rq := draft(fmt.Sprint("p", rnd.IntN(900)), n)
+		rq := draftRequest(fmt.Sprint("p", rnd.IntN(900)), n)
 		ho, _ := pk.Pick(now, hosts, rq, rnd.Float64)
 		fl := pk.Sent(now, ho, rq)
 		switch {
@@ -63,12 +63,12 @@
 	ho := core.Host{ID: "up-0", Service: "s", Zone: "muc-a", Region: "muc", Slots: 64, StartedAt: 1}
 	rnd := rand.New(rand.NewPCG(4, 1))
 	one, two := balance.New("muc-a", "muc"), balance.New("muc-a", "muc")
-	one.Ended(start, one.Sent(start, ho, draft("p", 0)), balance.Replaced)
+	one.Ended(start, one.Sent(start, ho, draftRequest("p", 0)), balance.Replaced)
 	facts := one.TakeFacts(start)
 	assert.Equal(t, len(facts), 1)
-	avoided := func(born int64, at time.Time) bool {
-		ho.StartedAt = born
-		two.Pick(at, []core.Host{ho}, draft("p", 1), rnd.Float64)
+	avoided := func(startedAt int64, at time.Time) bool {
+		ho.StartedAt = startedAt
+		two.Pick(at, []core.Host{ho}, draftRequest("p", 1), rnd.Float64)
 		two.ReceiveFacts(at, facts)
 		return two.CountAvoided(at, []core.Host{ho}) > 0
 	}
@@ -85,7 +85,7 @@
 	ho := core.Host{ID: "up-0", Service: "s", Zone: "muc-a", Region: "muc", Slots: 64}
 	for _, out := range []balance.Outcome{balance.NotListening, balance.Replaced} {
 		pk := balance.New("muc-a", "muc")
-		pk.Ended(start, pk.Sent(start, ho, draft("p", 0)), out)
+		pk.Ended(start, pk.Sent(start, ho, draftRequest("p", 0)), out)
 		assert.Equal(t, len(pk.TakeFacts(start.Add(20*time.Second))), 0)
 	}
 }
@@ -95,7 +95,7 @@
 func TestRecoveredUpstreamIsAnnounced(t *testing.T) {
 	ho := core.Host{ID: "up-0", Service: "s", Zone: "muc-a", Region: "muc", Slots: 64}
 	one, two := balance.New("muc-a", "muc"), balance.New("muc-a", "muc")
-	rq := draft("p", 0)
+	rq := draftRequest("p", 0)
 	for range 4 {
 		one.Ended(start, one.Sent(start, ho, rq), balance.NotListening)
 		two.Ended(start, two.Sent(start, ho, rq), balance.NotListening)
--- a/core/balance/flight.go
+++ b/core/balance/flight.go
@@ -37,8 +37,9 @@
 	latency *latency
 	sent    time.Time
 	cost    time.Duration
-	// uncached is the tokens that need prefill. measuresPrefill is set when the time to the header
-	// is that of this prompt's prefill alone, as far as is known.
+	// uncached is the number of tokens that need prefill. measuresPrefill is set when, as far as is
+	// known, no other prompt is queued there, so that the time to the header is a sample of the
+	// prefill rate.
 	uncached        core.Tokens
 	measuresPrefill bool
 	begun           bool
@@ -77,7 +78,7 @@
 	if rq.Engine {
 		fl.basis.CachedTokens = pe.cachedTokens(now, rq)
 		fl.uncached = rq.Prompt - fl.basis.CachedTokens
-		fl.cost = scale(pk.prefill.perThousand(rq.Model), fl.uncached)
+		fl.cost = prefillTime(pk.prefill.perThousand(rq.Model), fl.uncached)
 		fl.measuresPrefill = fl.basis.QueueTime == 0 && ho.Region == pk.region && !pk.off.Has(mechanism.PrefillRate)
 		pk.recordPrompt(now, pe, rq)
 		pe.pending += fl.cost
@@ -91,8 +92,8 @@
 
 func (pk *Picker) basis(now time.Time, pe *peer) Basis {
 	ba := Basis{Own: pe.own, LoadAge: NoLoad, FailureRate: pe.failureRate(now)}
-	load, waits := pk.workAt(now, pe)
-	ba.Others, ba.QueueTime = max(load-float64(pe.own), 0), waits
+	load, wait := pk.workAt(now, pe)
+	ba.Others, ba.QueueTime = max(load-float64(pe.own), 0), wait
 	for _, to := range pk.siblings {
 		if age := now.Sub(to.at); ba.LoadAge == NoLoad || age < ba.LoadAge {
 			ba.LoadAge = age
--- a/core/balance/herd_test.go
+++ b/core/balance/herd_test.go
@@ -88,7 +88,7 @@
 func (he herd) send(rnd *rand.Rand, now time.Time, n int, entries []*balance.Picker, hosts []core.Host, engines map[core.UpstreamID]*engine) {
 	from := rnd.IntN(len(entries))
 	pk := entries[from]
-	rq := draft(fmt.Sprint("plan-", rnd.IntN(200)), n)
+	rq := draftRequest(fmt.Sprint("plan-", rnd.IntN(200)), n)
 	if rnd.Float64() < 0.5 {
 		rq = balance.Request{Service: "s", Model: rq.Model, Pool: "ask", Engine: true, Prompt: shortPrompt}
 		rq.Parts = []core.Part{{ID: fmt.Sprint("ask-", n), Tokens: shortPrompt}}
@@ -160,12 +160,12 @@
 	now := start
 	announce := func() { two.ReceiveCalls(now, 1, one.TakeCalls()) }
 	waits := func(ho core.Host) time.Duration { return two.MinWait(now, []core.Host{ho}) }
-	first := one.Sent(now, hosts[0], draft("plan-1", 1))
+	first := one.Sent(now, hosts[0], draftRequest("plan-1", 1))
 	announce()
 	assert.Assert(t, waits(hosts[0]) > 500*time.Millisecond)
 	now = now.Add(time.Second)
-	one.Begun(now, first, draft("plan-1", 1), nil)
-	one.Sent(now, hosts[1], draft("plan-2", 2))
+	one.Begun(now, first, draftRequest("plan-1", 1), nil)
+	one.Sent(now, hosts[1], draftRequest("plan-2", 2))
 	announce()
 	assert.Assert(t, waits(hosts[0]) <= 10*time.Millisecond, "%s", waits(hosts[0]))
 	assert.Assert(t, waits(hosts[1]) > 500*time.Millisecond)
--- a/core/balance/peer.go
+++ b/core/balance/peer.go
@@ -9,8 +9,8 @@
 
 // peer is the state of one upstream.
 type peer struct {
-	born int64
-	hash uint64
+	startedAt int64
+	hash      uint64
 	// remote is set for an upstream of another region; region is the hash of its region.
 	remote bool
 	region uint64
@@ -32,11 +32,14 @@
 	// failedConnects counts the consecutive attempts that could not reach it.
 	downUntil      time.Time
 	failedConnects int
-	// unreachableUntil is the end of the time for which it was last known not to answer.
+	// unreachableUntil is the end of its last known unavailability. Unlike downUntil, it stays set
+	// when the upstream answers again.
 	unreachableUntil time.Time
-	fullUntil        time.Time
-	slowRatio        float64
-	cache            prefixCache
+	// fullUntil is until when a refusal for lack of capacity counts.
+	fullUntil time.Time
+	// slowRatio is a moving average of response times, as multiples of the expected ones.
+	slowRatio float64
+	cache     prefixCache
 	// avoided is whether the upstream counts as avoided, for logs that explain why work goes
 	// elsewhere.
 	avoided bool
@@ -55,9 +58,9 @@
 	Restored
 )
 
-// avoidedFailureRate is the failure rate from which an upstream counts as avoided: that after one
-// failure of a healthy one. The upstream then seems slower by 0.2 s, which is more than what the
-// load of a lightly loaded pool adds to any.
+// avoidedFailureRate is the failure rate from which an upstream counts as avoided: the rate of a
+// healthy upstream after one failure. The penalty for it is then 0.2 s, which is more than the load
+// of a lightly loaded pool adds to the cost of any upstream.
 const avoidedFailureRate = failureWeight
 
 // isAvoided reports whether work is kept from the upstream.
@@ -91,19 +94,20 @@
 	// failureHalfLife is the time in which the failure rate halves without new outcomes, so that an
 	// upstream that recovers is tried again within seconds.
 	failureHalfLife = 4 * time.Second
-	// failureCost is the cost of a certain failure as time, for work that can run again, and
-	// failureCostOnce for work that cannot.
+	// failureCost is the cost, as time, of an attempt that is sure to fail, for work that can be
+	// retried, and failureCostOnce for work that cannot.
 	failureCost     = 1500 * time.Millisecond
 	failureCostOnce = 6 * time.Second
 	// failureMargin is the failure rate above the best candidate's that is ignored as chance.
 	failureMargin = 0.12
 	// minDown and maxDown bound how long nothing is sent to an upstream that could not be reached,
-	// and maxAbsent bounds it for one where nothing listens: a crashed upstream is back after some
-	// seconds, and a refused connection costs little.
-	minDown   = 400 * time.Millisecond
-	maxDown   = 3 * time.Second
-	maxAbsent = 1500 * time.Millisecond
-	downCost  = 20 * time.Second
+	// and maxDownNotListening bounds it for one where nothing listens: a crashed upstream restarts
+	// within some seconds, and a refused connection costs little. downCost is the penalty, as time,
+	// for an upstream to which nothing should be sent.
+	minDown             = 400 * time.Millisecond
+	maxDown             = 3 * time.Second
+	maxDownNotListening = 1500 * time.Millisecond
+	downCost            = 20 * time.Second
 	// replacedFor is how long nothing is sent to an upstream whose address belongs to another one.
 	// It is gone for good; only the host list is outdated, for as long as a network partition
 	// between it and the store lasts.
@@ -118,12 +122,12 @@
 	ratioMargin = 1.5
 )
 
-// peer returns the state of an upstream. One that comes back under the same id with another start
-// gets a new state.
+// peer returns the state of an upstream. An upstream that restarts under the same id gets a new
+// state.
 func (pk *Picker) peer(ho *core.Host) *peer {
 	pe := pk.peers[ho.ID]
-	if pe == nil || pe.born != ho.StartedAt {
-		pe = &peer{born: ho.StartedAt, hash: Hash(ho.ID), remote: ho.Region != pk.region, region: Hash(ho.Region), slowRatio: 1, cache: newPrefixCache()}
+	if pe == nil || pe.startedAt != ho.StartedAt {
+		pe = &peer{startedAt: ho.StartedAt, hash: Hash(ho.ID), remote: ho.Region != pk.region, region: Hash(ho.Region), slowRatio: 1, cache: newPrefixCache()}
 		pk.peers[ho.ID], pk.byHash[pe.hash] = pe, pe
 	}
 	return pe
@@ -179,7 +183,7 @@
 func (pe *peer) failurePenalty(now time.Time, fi decision, rq Request) time.Duration {
 	excess := max(pe.failureRate(now)-fi.minFailureRate-failureMargin, 0)
 	// A failed request needs prefill again elsewhere, whatever was cached here.
-	cost := failureCost + scale(fi.prefill, rq.Prompt) + fi.repeatedPrefill
+	cost := failureCost + prefillTime(fi.prefill, rq.Prompt) + fi.repeatedPrefill
 	if rq.AtMostOnce {
 		cost = failureCostOnce
 	}
@@ -198,7 +202,7 @@
 		pe.failedConnects++
 		most := maxDown
 		if out == NotListening {
-			most = maxAbsent
+			most = maxDownNotListening
 		}
 		pe.downUntil = now.Add(min(minDown<<min(pe.failedConnects-1, 4), most))
 		pe.unreachableUntil = pe.downUntil
@@ -216,8 +220,8 @@
 	pe.lastOutcome = now
 }
 
-// recordLatency updates the slow ratio: the time that a response took to begin, against the mean of
-// its kind and the prefill time of its own prompt.
+// recordLatency updates the slow ratio with the time that a response took to begin, as a multiple of
+// the mean of its route and model or of the prefill time of its own prompt, whichever is longer.
 func (pe *peer) recordLatency(pl *latency, took, prefill time.Duration) {
 	if pl.count < minSamples {
 		return
--- a/core/balance/prefill.go
+++ b/core/balance/prefill.go
@@ -28,7 +28,8 @@
 	// queueing only adds to them, but above the responses to prompts that were cached without this
 	// entry's knowledge.
 	prefillQuantile = 0.4
-	// overheadQuantile is that for the overhead: the time of prompts that were fully cached.
+	// overheadQuantile is the quantile that is followed for the overhead: the time of prompts that
+	// were fully cached.
 	overheadQuantile = 0.1
 	// fullWeightTokens is the length from which a prompt counts with full weight: the overhead
 	// distorts the time of a shorter one more.
@@ -40,15 +41,15 @@
 }
 
 // perThousand returns a model's prefill time for a thousand tokens. A model without samples is
-// assumed to be as slow as the slowest: too low an estimate piles long prompts on one engine, too
-// high a one only spreads them.
+// assumed to be as slow as the slowest: too low an estimate sends many long prompts to one engine,
+// too high a one only distributes them.
 func (re *prefillEstimator) perThousand(mo core.ModelID) time.Duration {
 	if qu := re.models[mo]; qu != nil {
-		return qu.get()
+		return qu.estimate()
 	}
 	slowest := time.Duration(0)
 	for _, qu := range re.models {
-		slowest = max(slowest, qu.get())
+		slowest = max(slowest, qu.estimate())
 	}
 	if slowest == 0 {
 		return defaultPrefill
@@ -69,7 +70,7 @@
 		qu = new(quantile)
 		re.models[mo] = qu
 	}
-	prefill := max(took-re.overhead.get(), took/2)
+	prefill := max(took-re.overhead.estimate(), took/2)
 	qu.learn(time.Duration(1000*float64(prefill)/float64(uncached)), prefillQuantile, min(float64(uncached)/fullWeightTokens, 1))
 }
 
@@ -81,14 +82,14 @@
 }
 
 const (
-	// quantileStep is the share by which a sample moves the estimate after many samples: it doubles
-	// over some twenty samples above it.
+	// quantileStep is the share by which a sample moves the estimate after many samples: the estimate
+	// doubles over some twenty samples that are above it.
 	quantileStep = 0.08
 	// quantileMin is the least estimate; a relative step can't move an estimate of zero.
 	quantileMin = float64(10 * time.Microsecond)
 )
 
-func (qu *quantile) get() time.Duration { return time.Duration(qu.value) }
+func (qu *quantile) estimate() time.Duration { return time.Duration(qu.value) }
 
 // learn moves the estimate towards the target quantile, from 0 to 1, of the samples. The first sample
 // sets it, and the next few move it far.
--- a/core/balance/prefill_test.go
+++ b/core/balance/prefill_test.go
@@ -79,7 +79,7 @@
 	for n := range count {
 		now := start.Add(time.Duration(n) * interval)
 		inFlight = finish(pk, inFlight, now)
-		rq := prompt(rnd.IntN(subjects), n, 500+core.Tokens(rnd.IntN(12_000)))
+		rq := promptRequest(rnd.IntN(subjects), n, 500+core.Tokens(rnd.IntN(12_000)))
 		if n%3 == 0 {
 			rq.Model = "large"
 		}
@@ -105,7 +105,7 @@
 	return left
 }
 
-func prompt(subject, own int, tokens core.Tokens) balance.Request {
+func promptRequest(subject, own int, tokens core.Tokens) balance.Request {
 	shared := core.Part{ID: fmt.Sprint("subject-", subject), Tokens: tokens / 2}
 	ownPart := core.Part{ID: fmt.Sprint("own-", own), Tokens: tokens - tokens/2}
 	return balance.Request{
@@ -114,9 +114,9 @@
 	}
 }
 
-// Engines of another make have a prefill rate five times as high, or as low, as the default that
+// Engines of another type have a prefill rate five times as high, or as low, as the default that
 // the picker starts with, and their models differ by a factor of nine. An entry that keeps the
-// default takes an engine with a short queue for a full one or the other way round, and its callers
+// default mistakes a short queue for a long one or a long queue for a short one, and its callers
 // wait behind long prompts while another engine is idle.
 func TestPrefillRateIsLearned(t *testing.T) {
 	for _, slowdown := range []float64{0.2, 1, 5} {
@@ -126,7 +126,7 @@
 			pk := en.run(interval, 300, 1000)
 			now := start.Add(time.Hour)
 			for mo, thousand := range en.thousand {
-				rq := prompt(5000, 5000, 10_000)
+				rq := promptRequest(5000, 5000, 10_000)
 				rq.Model = mo
 				// Half of a shared part may be assumed to be cached at its home.
 				got, want := float64(pk.ExpectedFirstByte(now, en.hosts, rq)), 8*float64(thousand)
@@ -142,7 +142,7 @@
 func TestQueueingIsNotCountedAsPrefill(t *testing.T) {
 	en := newEngines(6, 1)
 	pk := en.run(12*time.Millisecond, 600, 1000)
-	rq := prompt(5000, 5000, 10_000)
+	rq := promptRequest(5000, 5000, 10_000)
 	rq.Model = "large"
 	got := pk.ExpectedFirstByte(start.Add(time.Hour), en.hosts, rq)
 	want := 8 * en.thousand["large"]
@@ -168,13 +168,13 @@
 	hosts := pool(2, 64)
 	choose := func(slack time.Duration) core.UpstreamID {
 		pk := balance.New("muc-a", "muc")
-		fl := pk.Sent(start, hosts[0], draft("plan", 0))
-		pk.Begun(start.Add(560*time.Millisecond), fl, draft("plan", 0), nil)
+		fl := pk.Sent(start, hosts[0], draftRequest("plan", 0))
+		pk.Begun(start.Add(560*time.Millisecond), fl, draftRequest("plan", 0), nil)
 		pk.Ended(start.Add(time.Second), fl, balance.Good)
 		for i := range 8 {
-			pk.Sent(start.Add(time.Second), hosts[0], draft(fmt.Sprint("other-", i), 1+i))
+			pk.Sent(start.Add(time.Second), hosts[0], draftRequest(fmt.Sprint("other-", i), 1+i))
 		}
-		rq := draft("plan", 99)
+		rq := draftRequest("plan", 99)
 		rq.Slack = slack
 		ho, _ := pk.Pick(start.Add(time.Second), hosts, rq, rnd.Float64)
 		return ho.ID
--- a/core/balance/rank.go
+++ b/core/balance/rank.go
@@ -2,13 +2,14 @@
 
 import "time"
 
-// longPrefills are the prefill times above which a call moves one rank further back each.
+// rankThresholds are prefill times: a call moves one rank further back for each one that its prompt
+// exceeds.
 //
 // Engines process one prompt at a time, in the order of rank and arrival, and the longest take a
 // hundred times as long as the shortest. When more prompts come than an engine can process, a short
-// prompt behind a long one is late without need; the long one behind ten short ones is as late as
-// it was.
-var longPrefills = []time.Duration{150 * time.Millisecond, 500 * time.Millisecond, 1500 * time.Millisecond}
+// prompt behind a long one is late without need; a long one behind ten short ones is about as late
+// as it would be without them.
+var rankThresholds = []time.Duration{150 * time.Millisecond, 500 * time.Millisecond, 1500 * time.Millisecond}
 
 const (
 	// maxPriority is the last of the routes' priorities that ranks distinguish: it leaves room for
@@ -26,7 +27,7 @@
 	if draw < exemptShare {
 		return rank
 	}
-	for _, limit := range longPrefills {
+	for _, limit := range rankThresholds {
 		if prefill > limit {
 			rank++
 		}
--- a/core/balance/remote.go
+++ b/core/balance/remote.go
@@ -9,7 +9,8 @@
 	"skylarkstand/core/mechanism"
 )
 
-// RegionLoad is the work that all entries of one region have at upstreams, as one of them knows it.
+// RegionLoad is the work that all entries of one region have at upstreams, as recorded by one of
+// them.
 //
 // It is made for a region that has lost a part of its engines: work may go to another region, whose
 // entries report their queues to the entries here. If that load were derived from the local waits,
@@ -34,11 +35,11 @@
 type remoteLoad struct {
 	at     time.Time
 	shares map[uint64]Share
-	rest   Share
+	others Share
 }
 
-// RegionLoad returns the known load of the local region, with at most so many upstreams listed
-// individually.
+// RegionLoad returns the known load of the local region, with at most the given number of upstreams
+// listed individually.
 func (pk *Picker) RegionLoad(now time.Time, most int) RegionLoad {
 	sum := maps.Clone(pk.siblingTotals(now).shares)
 	for _, pe := range pk.peers {
@@ -71,7 +72,7 @@
 	if pk.off.Has(mechanism.RegionLoads) || lo.Region == Hash(pk.region) {
 		return
 	}
-	rl := remoteLoad{at: now, shares: make(map[uint64]Share, len(lo.Shares)), rest: lo.Others}
+	rl := remoteLoad{at: now, shares: make(map[uint64]Share, len(lo.Shares)), others: lo.Others}
 	for _, sh := range lo.Shares {
 		rl.shares[sh.Upstream] = sh
 	}
@@ -125,7 +126,7 @@
 		}
 		sh, listed := rl.shares[pe.hash]
 		if !listed && region == pe.region {
-			sh = rl.rest
+			sh = rl.others
 		}
 		own += float64(sh.Own)
 		pending += sh.Pending
--- a/core/balance/remote_test.go
+++ b/core/balance/remote_test.go
@@ -47,7 +47,7 @@
 
 // Guards against an admission control that admits everything while engines of another region look
 // idle.
-func TestWaitIsThatOfLocalRegion(t *testing.T) {
+func TestMinWaitUsesLocalRegion(t *testing.T) {
 	pk := balance.New("muc-a", "muc")
 	announceLocalWait(pk, 900*time.Millisecond)
 	hosts := twoRegions()
@@ -127,8 +127,8 @@
 	here, there := balance.New("muc-a", "muc"), balance.New("nue-a", "nue")
 	hosts := twoRegions()
 	far := hosts[len(hosts)-1]
-	_ = here.Sent(start, far, draft("plan-1", 1))
-	_ = here.Sent(start, hosts[0], draft("plan-2", 2))
+	_ = here.Sent(start, far, draftRequest("plan-1", 1))
+	_ = here.Sent(start, hosts[0], draftRequest("plan-2", 2))
 	sent := here.TakeRemoteCalls()
 	assert.Equal(t, len(sent), 1)
 	assert.Equal(t, sent[0].To, balance.Hash(core.Region("nue")))
@@ -146,11 +146,11 @@
 	assert.Equal(t, wait(), sent[0].Shares[0].Pending, "the call counts once")
 }
 
-// TestRemoteOnlyPromptsAreNotAnnounced guards against hashes of a prompt that become known in a
-// region in which its request must not be served.
+// TestRemoteOnlyPromptsAreNotAnnounced guards against hashes of a prompt that are sent to entries of
+// a region in which its request must not be served.
 func TestRemoteOnlyPromptsAreNotAnnounced(t *testing.T) {
 	pk := balance.New("muc-a", "muc")
-	rq := draft("plan-1", 1)
+	rq := draftRequest("plan-1", 1)
 	rq.RemoteOnly = true
 	_ = pk.Sent(start, twoRegions()[5], rq)
 	assert.Equal(t, len(pk.TakeLoad().CachedParts), 0)
--- a/core/balance/shares.go
+++ b/core/balance/shares.go
@@ -21,7 +21,7 @@
 
 // CachedPart is a part of a prompt that an engine has processed since the last announcement.
 type CachedPart struct {
-	// Upstream is the hash of the upstream's id, Part that of the part with its model.
+	// Upstream is the hash of the upstream's id, Part the hash of the part's id with the model.
 	Upstream, Part uint64
 }
 
@@ -51,7 +51,7 @@
 const shareTTL = 2500 * time.Millisecond
 
 // ShareInterval is how often entries announce their work at upstreams. An engine begins a prompt
-// every 50 ms; information older than a few of them misleads.
+// every 50 ms; information older than a few such periods is misleading.
 const ShareInterval = 250 * time.Millisecond
 
 // siblingLoad is the work that one other entry announced, by the hash of the upstream's id.
@@ -70,7 +70,7 @@
 		}
 	}
 	parts := pk.newParts
-	// The shares reflect the prompts whose prefill ended.
+	// The shares no longer contain the prompts whose prefill ended, so these need no announcement.
 	pk.newParts, pk.newPrefills = nil, nil
 	return Load{Shares: out, CachedParts: parts}
 }
@@ -101,8 +101,8 @@
 // TakeCalls returns the calls to upstreams since its last invocation. Shares with Own 0 are prompts
 // whose prefill ended meanwhile.
 //
-// It is made for many entries before one pool. What [Picker.TakeLoad] announces is some hundred
-// milliseconds old; by that alone, all entries would select the same idle engine.
+// It is made for many entries in front of one pool. The load from [Picker.TakeLoad] is some hundred
+// milliseconds old when it is used; with that alone, all entries would select the same idle engine.
 func (pk *Picker) TakeCalls() []Share {
 	if len(pk.newCalls) == 0 {
 		return nil
@@ -136,18 +136,18 @@
 
 // ReceiveLoad applies the load that another entry announced.
 //
-// With many entries before a pool, each of them gets an upstream's load only from its own few
-// responses, seconds apart, and all of them would select the upstream that looked idle then. Each
-// entry itself has the most accurate count of its work there.
+// With many entries in front of a pool, the responses that each of them gets from one upstream are
+// few and seconds apart. By the load that these report, all entries would select the upstream that
+// looked idle last. Each entry itself has the most accurate count of its work there.
 func (pk *Picker) ReceiveLoad(now time.Time, from uint64, lo Load) {
 	if pk.off.Has(mechanism.SiblingPrompts) {
 		lo.CachedParts = nil
 	}
 	pk.totals.until = time.Time{}
 	to := siblingLoad{at: now, shares: make(map[uint64]Share, len(lo.Shares))}
-	for _, ke := range lo.CachedParts {
-		if pe := pk.byHash[ke.Upstream]; pe != nil {
-			pe.recordPart(now, ke.Part)
+	for _, pa := range lo.CachedParts {
+		if pe := pk.byHash[pa.Upstream]; pe != nil {
+			pe.recordPart(now, pa.Part)
 		}
 	}
 	for _, sh := range lo.Shares {
@@ -168,8 +168,8 @@
 type loadTotals struct {
 	shares  map[uint64]Share
 	entries int
-	// until is when the load of the first entry expires; zero means that an announcement came
-	// since.
+	// until is when the first of the summed loads expires; zero marks the sums as outdated by a new
+	// announcement.
 	until time.Time
 }
 
@@ -192,7 +192,7 @@
 	return &pk.totals
 }
 
-// addShare adds a share to that of its upstream.
+// addShare adds a share to the sum for its upstream.
 func addShare(shares map[uint64]Share, sh Share) {
 	old := shares[sh.Upstream]
 	shares[sh.Upstream] = Share{sh.Upstream, old.Own + sh.Own, old.Pending + sh.Pending}
