--- a/core/escalation/escalation.go
+++ b/core/escalation/escalation.go
@@ -13,12 +13,12 @@
 // A model between the smallest and the largest is chosen where its answers have proved to
 // suffice: its successes are counted by the confidence of the smaller model's answer.
 //
-// The package is pure.
+// The package does no I/O and has no clock or random source of its own.
 //
 // # Usage
 //
 //	la := escalation.New()
-//	la.ObserveWait(wait, aim)                            // at each first event
+//	la.ObserveWait(wait, target)                         // at each first event
 //	next, escalate := la.Next(stages, stage, confidence, fits)
 //	la.ObserveEscalation(stage, confidence, next, answered)  // the larger model's confidence
 package escalation
@@ -34,7 +34,8 @@
 	// engines have free slots, and loadedThreshold that under full pressure.
 	idleThreshold   = 55.0
 	loadedThreshold = 12.0
-	// lowPressure and highPressure are the pressures between which the threshold moves.
+	// lowPressure and highPressure are the pressures between which the threshold falls from
+	// idleThreshold to loadedThreshold.
 	lowPressure  = 0.2
 	highPressure = 0.5
 	// newestWeight is the weight of the newest answer in the pressure.
@@ -68,7 +69,8 @@
 // Policy is the escalation policy for all cascades of one service. It is not safe for concurrent
 // use.
 type Policy struct {
-	off      mechanism.Disabled
+	off mechanism.Disabled
+	// pressure is a moving average of the waits of answers, as fractions of the target latency.
 	pressure float64
 	outcomes map[step]*[buckets]successes
 }
@@ -96,11 +98,11 @@
 
 // ObserveWait records how long a caller waited for its first event, without the prefill of its own
 // prompt, and the target latency.
-func (la *Policy) ObserveWait(wait, aim time.Duration) {
-	if aim <= 0 {
+func (la *Policy) ObserveWait(wait, target time.Duration) {
+	if target <= 0 {
 		return
 	}
-	la.pressure += newestWeight * (min(float64(wait)/float64(aim), maxWaitTargets) - la.pressure)
+	la.pressure += newestWeight * (min(float64(wait)/float64(target), maxWaitTargets) - la.pressure)
 }
 
 // Threshold returns the minimum confidence to return an answer now.
--- a/core/escalation/escalation_test.go
+++ b/core/escalation/escalation_test.go
@@ -12,21 +12,21 @@
 
 func always(int) bool { return true }
 
-func observeWaits(la *escalation.Policy, part float64) {
+func observeWaits(la *escalation.Policy, fraction float64) {
 	for range 100 {
-		la.ObserveWait(time.Duration(part*float64(4*time.Second)), 4*time.Second)
+		la.ObserveWait(time.Duration(fraction*float64(4*time.Second)), 4*time.Second)
 	}
 }
 
 // Engines fill up, and first events are late. Guards against low-confidence answers that all
 // still escalate to the largest model: all callers would wait, also those whose small answer was
-// good. Once the engines have room, such answers must escalate again.
+// good. Once the engines have free slots, such answers must escalate again.
 func TestThresholdFollowsPressure(t *testing.T) {
 	la := escalation.New()
 	observeWaits(la, 0.1)
 	idle := la.Threshold()
 	_, escalate := la.Next(2, 0, 45, always)
-	assert.Assert(t, escalate, "a low-confidence answer escalates while the engines have room")
+	assert.Assert(t, escalate, "a low-confidence answer escalates while the engines have free slots")
 	observeWaits(la, 1.5)
 	_, escalate = la.Next(2, 0, 45, always)
 	assert.Assert(t, !escalate, "it is returned under pressure")
@@ -38,7 +38,7 @@
 }
 
 // One answer waits for a minute because its engine was lost. Guards against other callers that
-// get answers of smaller models for it.
+// get answers of smaller models because of this one wait.
 func TestOneLateAnswerIsNoPressure(t *testing.T) {
 	la := escalation.New()
 	observeWaits(la, 0.1)
--- a/core/retry/retry.go
+++ b/core/retry/retry.go
@@ -1,8 +1,8 @@
 // Package retry decides whether a failed attempt may be retried at another upstream, and bounds
 // the retries at a service by its requests.
 //
-// Retries serve occasional failures. When a whole pool fails or is full, they multiply its work
-// at the worst moment: three attempts for each request turn an overload of 1.2 into one of 3.6,
+// Retries are meant for occasional failures. When a whole pool fails or is full, they multiply its
+// work at the worst moment: three attempts for each request turn an overload of 1.2 into one of 3.6,
 // which then does not end by itself. It shows as a pool that stays full although callers send no
 // more than usual. So retries draw on a budget that only successes fill.
 //
--- a/core/retry/retry_test.go
+++ b/core/retry/retry_test.go
@@ -11,7 +11,7 @@
 
 func refusal(code core.Code) *core.Failure { return core.Refuse(code, 0, "refused") }
 
-func TestTriesAgain(t *testing.T) {
+func TestMayRetry(t *testing.T) {
 	lost := core.OutcomeUnknown("the link broke")
 	scenarios := []struct {
 		testName   string
--- a/core/retry/window.go
+++ b/core/retry/window.go
@@ -15,22 +15,23 @@
 // So entries report their remaining budget to their siblings, and one may exceed its own part by
 // [borrowPart] while all together have some left.
 type Window struct {
-	ratio  float64
-	slack  func() float64
-	bucket time.Duration
+	ratio        float64
+	slack        func() float64
+	bucketLength time.Duration
 
 	mu sync.Mutex
 	// epoch is the first time seen. Times are counted from it by the monotonic clock, since the
 	// wall clock may jump.
 	epoch   time.Time
-	buckets [buckets]bucket
-	head    int64
-	// reports holds the siblings' remaining budgets, by their process ids.
+	buckets [bucketCount]bucket
+	// head is the index of the newest bucket, counted from epoch; its place is head % bucketCount.
+	head int64
+	// reports holds the siblings' remaining budgets, by the hashes of their process ids.
 	reports map[uint64]siblingReport
 }
 
-// buckets is the number of buckets in a window.
-const buckets = 20
+// bucketCount is the number of buckets in a window.
+const bucketCount = 20
 
 type bucket struct{ requests, retries float64 }
 
@@ -73,7 +74,7 @@
 // NewWindow returns a window of the given length, with a ratio of retries to requests. slack
 // returns this entry's current part of the slack.
 func NewWindow(length time.Duration, ratio float64, slack func() float64) *Window {
-	return &Window{ratio: ratio, slack: slack, bucket: length / buckets, reports: map[uint64]siblingReport{}}
+	return &Window{ratio: ratio, slack: slack, bucketLength: length / bucketCount, reports: map[uint64]siblingReport{}}
 }
 
 // Arrived counts a request.
@@ -132,10 +133,10 @@
 	if wi.epoch.IsZero() {
 		wi.epoch = now
 	}
-	index := max(int64(now.Sub(wi.epoch)/wi.bucket), wi.head)
-	for i := max(wi.head, index-buckets) + 1; i <= index; i++ {
-		wi.buckets[i%buckets] = bucket{}
+	index := max(int64(now.Sub(wi.epoch)/wi.bucketLength), wi.head)
+	for i := max(wi.head, index-bucketCount) + 1; i <= index; i++ {
+		wi.buckets[i%bucketCount] = bucket{}
 	}
 	wi.head = index
-	return &wi.buckets[wi.head%buckets]
+	return &wi.buckets[wi.head%bucketCount]
 }
--- a/core/retry/window_test.go
+++ b/core/retry/window_test.go
@@ -83,8 +83,8 @@
 }
 
 // A pool has nearly used up its retry budget. Guards against escalations that leave no budget
-// for retries: the caller of an escalation has an answer to get, that of a failed request has
-// none.
+// for retries: after a refused escalation the caller gets the present answer, after a refused
+// retry it gets none.
 func TestRetryPrecedesEscalation(t *testing.T) {
 	wi := retry.NewWindow(10*time.Second, 0.5, fixed(0))
 	now := time.Unix(1_000_000, 0)
--- a/core/route/route.go
+++ b/core/route/route.go
@@ -52,7 +52,7 @@
 	Timeout, TargetLatency time.Duration
 	// MaxEventGap is the target for the longest pause between two events of a stream.
 	MaxEventGap time.Duration
-	// Priority orders routes; 0 goes first.
+	// Priority ranks the route's requests; 0 is the most urgent.
 	Priority int
 	// Splits are the services among which the requests are divided, by weight.
 	Splits []Split
@@ -76,10 +76,10 @@
 type Service struct {
 	ID core.ServiceID
 	// targetLatency is the least TargetLatency of the routes that lead here, 0 without any, and
-	// minPriority the priority of those that go first.
+	// minPriority their least Priority, which is the most urgent one.
 	targetLatency time.Duration
 	minPriority   int
-	// hasCascade is set when a route that leads here has models to choose from.
+	// hasCascade is set when a route that leads here has a Cascade.
 	hasCascade bool
 	// MaxConnections bounds the connections to one upstream, of all entries together.
 	MaxConnections int
@@ -90,7 +90,7 @@
 // TargetLatency returns the least target latency of the routes that lead to the service; 0 is none.
 func (sv *Service) TargetLatency() time.Duration { return sv.targetLatency }
 
-// MinPriority returns the priority of the routes to the service that go first.
+// MinPriority returns the least Priority of the routes to the service, which is the most urgent one.
 func (sv *Service) MinPriority() int { return sv.minPriority }
 
 // addRoute updates the service's values with a route that leads to it.
@@ -106,7 +106,7 @@
 type Workspace struct {
 	ID   core.WorkspaceID
 	Keys []core.APIKey
-	// Priority overrides that of the route if HasPriority is set.
+	// Priority overrides the route's Priority if HasPriority is set.
 	Priority    int
 	HasPriority bool
 	// Regions are those in which the workspace's requests may be served.
@@ -147,7 +147,7 @@
 	}
 	for i := range doc.Routes {
 		rt := &doc.Routes[i]
-		if err := tb.check(rt); err != nil {
+		if err := tb.validateRoute(rt); err != nil {
 			return nil, err
 		}
 		tb.hosts[rt.Host] = append(tb.hosts[rt.Host], rt)
@@ -161,7 +161,7 @@
 	return tb, nil
 }
 
-func (tb *Table) check(rt *Route) error {
+func (tb *Table) validateRoute(rt *Route) error {
 	if !strings.HasPrefix(rt.Prefix, "/") || !strings.HasSuffix(rt.Prefix, "/") {
 		return eris.Errorf("route %q: prefix %q must begin and end with a slash", rt.ID, rt.Prefix)
 	}
@@ -179,7 +179,7 @@
 	return nil
 }
 
-// Find returns the route of a request, the one with the longest prefix, or nil.
+// Find returns the matching route with the longest prefix, or nil.
 func (tb *Table) Find(host, path string) *Route {
 	for _, rt := range tb.hosts[host] {
 		if strings.HasPrefix(path, rt.Prefix) {
@@ -189,7 +189,7 @@
 	return nil
 }
 
-// EngineServices lists the services of the routes that have a choice of models.
+// EngineServices lists the services of the routes that have a Cascade.
 func (tb *Table) EngineServices() []core.ServiceID {
 	var out []core.ServiceID
 	for id, sv := range tb.services {
--- a/core/route/route_test.go
+++ b/core/route/route_test.go
@@ -40,7 +40,7 @@
 }
 
 // Operators may give a service of a split the weight 0: it must get no requests.
-func TestChoose(t *testing.T) {
+func TestChooseService(t *testing.T) {
 	tb := table(t, 1, route.Route{Host: "a", Prefix: "/", Splits: []route.Split{{"desk", 90}, {"drafter", 10}}})
 	rnd := rand.New(rand.NewPCG(1, 1))
 	count := map[string]int{}
--- a/core/shed/shed.go
+++ b/core/shed/shed.go
@@ -6,11 +6,11 @@
 // answered in time, although the engines are busy all the while. A bound on the wait at which
 // answers still meet their target costs no throughput, since there is always some queue.
 //
-// The bound is the same for all routes of a service. If each request were held to the target
-// latency of its own route, the routes with long targets would fill the queue, and those with
+// The bound is the same for all routes of a service. If it followed from the target latency of
+// each request's own route, the routes with long targets would fill the queue, and those with
 // short ones would never be admitted.
 //
-// The package is pure.
+// The package does no I/O and has no clock or random source of its own.
 //
 // # Usage
 //
@@ -37,8 +37,8 @@
 	// around the bound under load, so a slightly lower bound admits far fewer requests.
 	lessUrgentPart = 0.85
 	noisyPart      = 0.6
-	// exemptShare is the share of those requests that are held to the full bound, so that no
-	// route and no workspace is shut out.
+	// exemptShare is the share of those requests to which the full bound applies, so that no route
+	// and no workspace is starved.
 	exemptShare = 0.3
 	// noisyFactor is how many times the mean rate of the other workspaces a workspace may send
 	// before it counts as noisy.
--- a/core/shed/shed_test.go
+++ b/core/shed/shed_test.go
@@ -27,8 +27,8 @@
 
 func (po *pool) wait() time.Duration { return max(po.readyAt.Sub(po.now), 0) }
 
-// take prefills a prompt and returns the time from its arrival to its first token.
-func (po *pool) take() time.Duration {
+// process prefills a prompt and returns the time from its arrival to its first token.
+func (po *pool) process() time.Duration {
 	wait := po.wait()
 	po.readyAt = po.now.Add(wait + po.prefill)
 	return wait + po.prefill
@@ -46,9 +46,9 @@
 func overload(times float64, noisyShare float64, shedding bool) map[core.WorkspaceID]*counts {
 	po, ga, rn := newPool(), shed.New(), rand.New(rand.NewPCG(1, 2))
 	out := map[core.WorkspaceID]*counts{"a": {}, "b": {}, "c": {}}
-	every := time.Duration(float64(po.prefill) / times)
-	for range int(20 * time.Second / every) {
-		po.now = po.now.Add(time.Duration(2 * rn.Float64() * float64(every)))
+	interval := time.Duration(float64(po.prefill) / times)
+	for range int(20 * time.Second / interval) {
+		po.now = po.now.Add(time.Duration(2 * rn.Float64() * float64(interval)))
 		ws := core.WorkspaceID([]string{"a", "b", "c"}[rn.IntN(3)])
 		if rn.Float64() < noisyShare {
 			ws = "a"
@@ -60,7 +60,7 @@
 			co.refused++
 			continue
 		}
-		if po.take() <= 3*target+po.prefill {
+		if po.process() <= 3*target+po.prefill {
 			co.inTime++
 		}
 	}
@@ -110,9 +110,9 @@
 	}
 }
 
-// One workspace sends most of the requests that overload the pool. Guards against other
-// workspaces that are crowded out, and against shutting the noisy one out.
-func TestNoisyWorkspaceLeavesRoomToTheOthers(t *testing.T) {
+// One workspace sends most of the requests that overload the pool. Guards against starving the
+// other workspaces, and against refusing the noisy one altogether.
+func TestNoisyWorkspaceDoesNotStarveOthers(t *testing.T) {
 	all := overload(3, 0.9, true)
 	served := func(co *counts) float64 { return float64(co.inTime) / float64(co.arrived) }
 	assert.Assert(t, served(all["b"]) > 1.3*served(all["a"]), "answered in time: %.2f of another workspace's requests, %.2f of the noisy one's", served(all["b"]), served(all["a"]))
--- a/core/warmup/doc.go
+++ b/core/warmup/doc.go
@@ -7,7 +7,7 @@
 // The limit holds by construction. An upstream that becomes cold has a fixed number of permits, and
 // each permit belongs to one entry. The owner follows from the list of entries at the revision of
 // the store at which the upstream became cold, so that entries agree without communication: an
-// entry that is behind has not learned of the upstream yet, one that starts later owns nothing, and
+// entry that is behind has no notice of the upstream yet, one that starts later owns nothing, and
 // the permits of one that is gone stay unused until the upstream is warm. An entry that cannot
 // determine the list at that revision, since its replica skipped changes, owns nothing either. A
 // permit is taken for a request and becomes free one second after the upstream began to answer it,
@@ -18,13 +18,13 @@
 // The limit does not cover what the store does not report. Until it reports that an upstream is
 // cold, an upstream that could not be reached a moment ago is treated as suspect: an entry uses no
 // more than its permits there. An entry also limits all upstreams that it finds in the list when it
-// starts, since each of them may be back from an evacuation; it uses one permit at each.
+// starts, since each of them may be cold again after an evacuation; it uses one permit at each.
 //
 // # Usage
 //
 //	tr := warmup.New(self, warmup.Overshoot(1.5, 5))
 //	tr.Started(now, warmup.Notice{Upstream: id, ColdFor: left, Entries: entries})
-//	open := tr.Available(now, hosts, bound, suspect)
-//	pe, ok := tr.Acquire(now, ho, bound, suspect)
+//	available := tr.Available(now, hosts, limit, suspect)
+//	pe, ok := tr.Acquire(now, ho, limit, suspect)
 //	defer pe.Release(now) // when the response begins
 package warmup
--- a/core/warmup/tracker.go
+++ b/core/warmup/tracker.go
@@ -52,7 +52,7 @@
 	// rank is this entry's place among them, noRank if it is not listed, and unranked until it is
 	// needed: few upstreams are ever cold.
 	rank int
-	// taken are the permits in use.
+	// taken are the permits in use, and those that were released but are not free yet.
 	taken []*Permit
 }
 
@@ -168,7 +168,7 @@
 	}
 	sp.taken = slices.DeleteFunc(sp.taken, func(pe *Permit) bool { return pe.released && !now.Before(pe.freeAt) })
 	if !cold && !suspect {
-		return len(sp.taken) == 0 // It was warm in this entry's first copy of the list.
+		return len(sp.taken) == 0 // It was warm in this entry's first copy of the list; see limited.
 	}
 	return len(sp.taken) < tr.ownPermits(ho.ID, sp, bo)
 }
@@ -186,14 +186,15 @@
 	return now.Before(sp.coldUntil)
 }
 
-// limited reports whether requests need permits: for a cold upstream, and for one that was warm in
-// a copy of the list that does not show what came before.
+// limited reports whether requests need permits: for a cold upstream, and, for as long as it could
+// be cold, for one that was warm in a copy of the list without its earlier changes.
 func (sp *span) limited(now time.Time, bo ColdLimit) bool {
 	return sp.cold(now, bo) || !sp.exact && now.Before(sp.noticedAt.Add(bo.Duration))
 }
 
 // ownPermits returns how many of all permits belong to this entry. They are assigned round-robin.
-// An entry that was not registered may use one where it has no notice that the upstream is cold.
+// An entry that is missing from a list that may be outdated may use one; a cold upstream with such a
+// list gets no request at all.
 func (tr *Tracker) ownPermits(id core.UpstreamID, sp *span, bo ColdLimit) int {
 	if sp.rank == unranked {
 		sp.rank = rendezvous.Rank(string(id), sp.entries, tr.self)
--- a/core/warmup/tracker_test.go
+++ b/core/warmup/tracker_test.go
@@ -12,7 +12,7 @@
 
 var (
 	start = time.Unix(1_000_000, 0)
-	bound = warmup.ColdLimit{Rate: 5.2, Duration: 3 * time.Second}
+	limit = warmup.ColdLimit{Rate: 5.2, Duration: 3 * time.Second}
 	host  = core.Host{ID: "up"}
 )
 
@@ -28,10 +28,10 @@
 }
 
 // takeAll counts the permits that a tracker grants at once.
-func takeAll(tr *warmup.Tracker, now time.Time) int {
+func acquireAll(tr *warmup.Tracker, now time.Time) int {
 	n := 0
 	for {
-		pe, ok := tr.Acquire(now, &host, bound, false)
+		pe, ok := tr.Acquire(now, &host, limit, false)
 		if !ok || pe == nil {
 			return n
 		}
@@ -51,7 +51,7 @@
 		for _, self := range all {
 			tr := newTracker(self)
 			tr.Started(start, notice(3*time.Second, true, all...))
-			sum += takeAll(tr, start)
+			sum += acquireAll(tr, start)
 		}
 		assert.Equal(t, sum, 12, "%d entries", count)
 	}
@@ -63,21 +63,21 @@
 	tr := newTracker("a")
 	tr.Started(start, notice(0, true, "b"))
 	for range 50 { // The upstream is warm.
-		_, ok := tr.Acquire(start, &host, bound, false)
+		_, ok := tr.Acquire(start, &host, limit, false)
 		assert.Assert(t, ok)
 	}
 	tr.Started(start, notice(time.Hour, true, "b"))
-	_, ok := tr.Acquire(start, &host, bound, false)
+	_, ok := tr.Acquire(start, &host, limit, false)
 	assert.Assert(t, !ok)
-	assert.Equal(t, len(tr.Available(start, []core.Host{host}, bound, notSuspect)), 0)
+	assert.Equal(t, len(tr.Available(start, []core.Host{host}, limit, notSuspect)), 0)
 	_, ok = tr.Acquire(start, &host, warmup.ColdLimit{}, false)
 	assert.Assert(t, ok, "the service declares no rate")
 	assert.Equal(t, len(tr.Available(start, []core.Host{host}, warmup.ColdLimit{}, suspect)), 1)
 }
 
-// TestColdEnds guards against an upstream that stays limited once it is warm, and one that counts
-// as warm too early.
-func TestColdEnds(t *testing.T) {
+// TestColdPeriodEnds guards against an upstream that stays limited once it is warm, and one that
+// counts as warm too early.
+func TestColdPeriodEnds(t *testing.T) {
 	scenarios := []struct {
 		testName string
 		coldFor  time.Duration
@@ -94,7 +94,7 @@
 		t.Run(sc.testName, func(t *testing.T) {
 			tr := newTracker("a")
 			tr.Started(start, notice(sc.coldFor, true, "b"))
-			cold := func(at time.Duration) bool { return tr.IsCold(start.Add(at), host.ID, bound) }
+			cold := func(at time.Duration) bool { return tr.IsCold(start.Add(at), host.ID, limit) }
 			assert.Assert(t, cold(0))
 			if sc.later >= 0 {
 				tr.SetRemaining(start.Add(time.Second), host.ID, sc.later)
@@ -114,14 +114,14 @@
 	tr.Started(start, notice(time.Hour, true, "a"))
 	var last *warmup.Permit
 	for range 12 {
-		last, _ = tr.Acquire(start, &host, bound, false)
+		last, _ = tr.Acquire(start, &host, limit, false)
 	}
 	at := start.Add(10 * time.Second)
-	assert.Equal(t, takeAll(tr, at), 0, "no response has begun")
+	assert.Equal(t, acquireAll(tr, at), 0, "no response has begun")
 	last.Release(at)
 	last.Release(at.Add(-time.Minute))
-	assert.Equal(t, takeAll(tr, at.Add(time.Second)), 0)
-	assert.Equal(t, takeAll(tr, at.Add(1100*time.Millisecond)), 1)
+	assert.Equal(t, acquireAll(tr, at.Add(time.Second)), 0)
+	assert.Equal(t, acquireAll(tr, at.Add(1100*time.Millisecond)), 1)
 }
 
 // TestEntryThatSkippedChangesOwnsNothing guards against an entry that computes its permits from
@@ -129,18 +129,18 @@
 func TestEntryThatSkippedChangesOwnsNothing(t *testing.T) {
 	tr := newTracker("a")
 	tr.Started(start, notice(3*time.Second, false, "a"))
-	assert.Equal(t, takeAll(tr, start), 0)
+	assert.Equal(t, acquireAll(tr, start), 0)
 	tr.Started(start, notice(3*time.Second, true, "b"))
-	assert.Equal(t, takeAll(tr, start), 0, "the entry was not registered at the notice")
+	assert.Equal(t, acquireAll(tr, start), 0, "the entry was not registered at the notice")
 }
 
 // TestNewEntryIsLimited guards against an entry that treats all upstreams in its first copy of the
-// list as warm, although some are back from an evacuation.
+// list as warm, although some are cold again after an evacuation.
 func TestNewEntryIsLimited(t *testing.T) {
 	tr := newTracker("new")
 	tr.Started(start, notice(0, false, "a", "b"))
-	assert.Equal(t, takeAll(tr, start), 1)
-	_, ok := tr.Acquire(start.Add(bound.Duration), &host, bound, false)
+	assert.Equal(t, acquireAll(tr, start), 1)
+	_, ok := tr.Acquire(start.Add(limit.Duration), &host, limit, false)
 	assert.Assert(t, ok, "a cold upstream would be warm by now")
 }
 
@@ -151,11 +151,11 @@
 	tr.Started(start, notice(0, true, "a", "b", "c", "d"))
 	n := 0
 	for range 20 {
-		if _, ok := tr.Acquire(start, &host, bound, true); ok {
+		if _, ok := tr.Acquire(start, &host, limit, true); ok {
 			n++
 		}
 	}
 	assert.Equal(t, n, 3)
-	assert.Equal(t, len(tr.Available(start, []core.Host{host}, bound, suspect)), 0)
-	assert.Equal(t, len(tr.Available(start, []core.Host{host}, bound, notSuspect)), 1)
+	assert.Equal(t, len(tr.Available(start, []core.Host{host}, limit, suspect)), 0)
+	assert.Equal(t, len(tr.Available(start, []core.Host{host}, limit, notSuspect)), 1)
 }
