--- a/core/forward/answer.go
+++ b/core/forward/answer.go
@@ -88,7 +88,7 @@
 // Header returns the header of the answer.
 func (ans *Answer) Header() http.Header { return ans.header }
 
-// Stream reports whether the answer is a stream of events that the caller waits for.
+// Stream reports whether the answer is an event stream, which is passed on event by event.
 func (ans *Answer) Stream() bool { return ans.ev != nil }
 
 // Length returns the length in bytes of an answer that is whole already, or -1.
@@ -105,7 +105,7 @@
 	if ans.pending != nil {
 		piece := ans.pending
 		ans.pending = nil
-		ans.recordPassed(piece)
+		ans.recordDelivered(piece)
 		return piece, nil
 	}
 	if ans.err != nil {
@@ -121,11 +121,11 @@
 	if err != nil {
 		return nil, ans.finish(err)
 	}
-	ans.recordPassed(piece)
+	ans.recordDelivered(piece)
 	return piece, nil
 }
 
-func (ans *Answer) recordPassed(piece []byte) {
+func (ans *Answer) recordDelivered(piece []byte) {
 	ans.sentBytes += len(piece)
 	if ans.ev != nil {
 		ans.lastEventID = eventID(piece, ans.lastEventID)
--- a/core/forward/attempt.go
+++ b/core/forward/attempt.go
@@ -26,7 +26,8 @@
 	// permit allows an attempt at a cold upstream; nil at a warm one.
 	permit *warmup.Permit
 	sent   time.Time
-	after  string
+	// after is the id of the event after which a stream is to be resumed; empty for the beginning.
+	after string
 	// left is the time limit that is sent to the upstream; bounded is false when there is no
 	// limit.
 	left    time.Duration
@@ -45,8 +46,9 @@
 	pieces int
 	// lastPieceAt is when the last piece of the answer arrived.
 	lastPieceAt time.Time
-	reason      string
-	ended       bool
+	// reason is why the attempt yielded no usable answer, for the log.
+	reason string
+	ended  bool
 	// outcomeReported is set once the outcome was reported to the canary guard.
 	outcomeReported atomic.Bool
 }
@@ -58,7 +60,7 @@
 		defer at.watchHeader()()
 	}
 	defer at.watchOverdue()()
-	re, err := at.jb.fw.access.Call(at.ctx, at.newCall())
+	re, err := at.jb.fw.client.Call(at.ctx, at.newCall())
 	if err != nil {
 		return at.failedVerdict(err)
 	}
@@ -92,7 +94,7 @@
 
 func (at *attempt) observe(ou canary.Outcome) {
 	ou.Service, ou.Version, ou.Pool = at.to.Service, at.to.Version, at.pool()
-	at.jb.fw.parts.Canary.Observe(ou)
+	at.jb.fw.components.Canary.Observe(ou)
 }
 
 // minRatePieces is the number of pieces over which the rate of an answer is measured, so that a
@@ -156,8 +158,8 @@
 	return unreached
 }
 
-// recordFailure records why the attempt returned no whole answer. If its context ended, the
-// cause of that says more than the resulting connection error.
+// recordFailure records why the attempt returned no whole answer. If its context was canceled,
+// the cause is more specific than the resulting connection error.
 func (at *attempt) recordFailure(err error) {
 	at.reason = err.Error()
 	if fl := (*core.Failure)(nil); errors.As(err, &fl) {
@@ -214,27 +216,27 @@
 	at.ended = true
 	jb, now := at.jb, time.Now()
 	at.permit.Release(now)
-	notItsFault := ve == lost && notUpstreamFault(context.Cause(at.ctx))
+	neutral := ve == lost && notUpstreamFault(context.Cause(at.ctx))
 	fw := jb.fw
 	fw.mu.Lock()
 	out := at.resolveSuspect(now, ve)
 	switch {
-	case notItsFault || jb.suspect == at:
+	case neutral || jb.suspect == at:
 		out = balance.Abandoned
 	case errors.Is(context.Cause(at.ctx), errHeaderTimeout):
 		out = balance.Overdue
 	}
-	turn, failing := fw.picker.Ended(now, at.flight, out)
+	change, failureRate := fw.picker.Ended(now, at.flight, out)
 	fw.mu.Unlock()
-	at.reportOutcome(at.canaryOutcome(ve, notItsFault))
-	fw.parts.Canary.AttemptEnded(now, jb.ex.Session, at.to)
+	at.reportOutcome(at.canaryOutcome(ve, neutral))
+	fw.components.Canary.AttemptEnded(now, jb.ex.Session, at.to)
 	fw.meters.attempt(ve)
 	if ve != taken {
 		event.Log(fw.deps.Log, event.AttemptEnded, "request", jb.ex.ID, "attempt", at.number, "upstream", at.to.ID,
 			"address", at.to.Addr, "version", at.to.Version, "model", at.rq.Model, "verdict", ve.String(), "why", at.reason,
 			"took", now.Sub(at.sent), "pieces", at.pieces)
 	}
-	at.logTurn(turn, ve, failing)
+	at.logAvoidanceChange(change, ve, failureRate)
 }
 
 // notUpstreamFault reports whether an attempt was canceled for a reason that says nothing about
@@ -243,13 +245,13 @@
 	return errors.Is(cause, context.Canceled) || errors.Is(cause, ErrStopping)
 }
 
-// canaryOutcome is what the attempt's end says about its upstream's version.
-func (at *attempt) canaryOutcome(ve verdict, notItsFault bool) canary.Outcome {
+// canaryOutcome returns the attempt's outcome for the canary guard.
+func (at *attempt) canaryOutcome(ve verdict, neutral bool) canary.Outcome {
 	ou := canary.Outcome{SingleChunk: !at.jb.rt.Stream}
 	if ou.SingleChunk {
 		ou = at.timing()
 	}
-	ou.Neutral = notItsFault || ve.notRun()
+	ou.Neutral = neutral || ve.notRun()
 	ou.Failed = ve == failed || ve == lost
 	return ou
 }
--- a/core/forward/candidates.go
+++ b/core/forward/candidates.go
@@ -10,10 +10,10 @@
 	"skylarkstand/core/warmup"
 )
 
-// regions returns the regions that both the route and the workspace allow, by the newest
-// configuration that has them.
+// regions returns the regions that both the route and the workspace allow, each by the newest
+// configuration that contains it.
 func (jb *job) regions() core.Regions {
-	tb := jb.fw.parts.InForce.Current()
+	tb := jb.fw.components.InForce.Current()
 	if tb == nil || tb == jb.tb {
 		return allowedRegions(jb.rt, jb.ws)
 	}
@@ -35,7 +35,7 @@
 }
 
 // trafficClass separates the requests of a service that wait for different upstreams: requests
-// that may not be served in the entry's local region meet a different load.
+// that may not be served in the entry's local region wait in queues of other regions.
 type trafficClass struct {
 	service core.ServiceID
 	remote  bool
@@ -49,8 +49,8 @@
 // upstream and every estimate of its load starts here: no other part of this package queries the
 // fleet. The forwarder's lock is held.
 func (jb *job) upstreams(now time.Time) []core.Host {
-	hosts := jb.fw.parts.Fleet.Serving(jb.service, now, jb.regions())
-	return jb.fw.parts.Warmup.Available(now, hosts, jb.warmup(), func(ho *core.Host) bool { return jb.suspectCold(now, ho) })
+	hosts := jb.fw.components.Fleet.Serving(jb.service, now, jb.regions())
+	return jb.fw.components.Warmup.Available(now, hosts, jb.warmup(), func(ho *core.Host) bool { return jb.suspectCold(now, ho) })
 }
 
 // warmup returns the limits for cold upstreams of the service.
@@ -70,14 +70,14 @@
 // takePermit takes a permit for an attempt at a cold upstream, or returns false when another
 // request took the last one. The forwarder's lock is held.
 func (jb *job) takePermit(now time.Time, ho *core.Host) (*warmup.Permit, bool) {
-	return jb.fw.parts.Warmup.Acquire(now, ho, jb.warmup(), jb.suspectCold(now, ho))
+	return jb.fw.components.Warmup.Acquire(now, ho, jb.warmup(), jb.suspectCold(now, ho))
 }
 
 // candidates returns the upstreams from which the version of an attempt is chosen.
 func (jb *job) candidates(now time.Time) canary.Candidates {
 	jb.fw.mu.Lock()
 	defer jb.fw.mu.Unlock()
-	return canary.Candidates{Ready: jb.fw.parts.Fleet.Ready(jb.service, now), Eligible: jb.upstreams(now)}
+	return canary.Candidates{Ready: jb.fw.components.Fleet.Ready(jb.service, now), Eligible: jb.upstreams(now)}
 }
 
 // hasUntried reports whether there is an upstream that was not called yet.
@@ -93,10 +93,10 @@
 
 // checkServable refuses a request that no upstream may serve, before it waits for one.
 func (jb *job) checkServable(now time.Time) *core.Failure {
-	fl, re := jb.fw.parts.Fleet, jb.regions()
+	fl, re := jb.fw.components.Fleet, jb.regions()
 	ready := fl.Ready(jb.service, now)
 	if len(ready) == 0 || len(fl.Serving(jb.service, now, re)) > 0 {
-		return nil // An empty service may get upstreams soon; attempts find out.
+		return nil // A service without ready upstreams may get some soon; otherwise the attempts fail.
 	}
 	if !slices.ContainsFunc(ready, func(ho core.Host) bool { return re.Allows(ho.Region) }) {
 		return core.Refuse(core.CodeNoRegion, 0, "service %s has no upstream in the regions that route and workspace allow: %s", jb.service, re)
--- a/core/forward/doc.go
+++ b/core/forward/doc.go
@@ -14,7 +14,7 @@
 //
 // # Usage
 //
-//	fw := forward.New(deps, access, forward.Components{…})
+//	fw := forward.New(deps, client, forward.Components{…})
 //	ans, err := fw.Forward(ctx, ex)      // err is a *core.Failure
 //	defer ans.Close()
 //	for piece, err := ans.Next(); err == nil; piece, err = ans.Next() { … }
--- a/core/forward/fault.go
+++ b/core/forward/fault.go
@@ -12,8 +12,8 @@
 // small pool look as if a quarter of it were failing while nothing is wrong: calls that may run
 // only once then go to another region, and the remaining upstream becomes the busiest.
 
-// enoughTimeFactor is how many times the usual time of its route a call must have had for its
-// timeout to count against the upstream. The usual time is a mean, which healthy upstreams
+// enoughTimeFactor is the least time limit of a call, as a multiple of the usual time of its route,
+// for its timeout to count against the upstream. The usual time is a mean, which healthy upstreams
 // exceed too.
 const enoughTimeFactor = 2
 
@@ -22,7 +22,7 @@
 // does not count against the upstream.
 func (at *attempt) deferVerdict() { at.jb.suspect = at }
 
-// resolveSuspect returns what the end of an attempt says about its upstream, and decides about the
+// resolveSuspect returns the outcome of an attempt for the load balancer, and decides about the
 // failed attempt before it: when both failed with the same status, the request is the cause,
 // otherwise the first upstream. The forwarder's lock is held.
 func (at *attempt) resolveSuspect(now time.Time, ve verdict) balance.Outcome {
@@ -42,8 +42,8 @@
 
 // countFailure counts a failed attempt against its upstream.
 func (at *attempt) countFailure(now time.Time) {
-	turn, failing := at.jb.fw.picker.RecordFailure(now, at.flight)
-	at.logTurn(turn, failed, failing)
+	change, failureRate := at.jb.fw.picker.RecordFailure(now, at.flight)
+	at.logAvoidanceChange(change, failed, failureRate)
 }
 
 // timeTooShort reports whether the upstream reported a timeout after a time limit that is short
--- a/core/forward/fixture_test.go
+++ b/core/forward/fixture_test.go
@@ -239,17 +239,17 @@
 
 // logLine holds the attributes of a log line that the tests check.
 type logLine struct {
-	Msg       string `json:"msg"`
-	Request   string `json:"request"`
-	Attempt   int    `json:"attempt"`
-	Upstream  string `json:"upstream"`
-	Verdict   string `json:"verdict"`
-	Code      string `json:"code"`
-	Ran       string `json:"ran"`
-	Message   string `json:"message"`
-	NoRepeat  string `json:"no-repeat"`
-	Kept      string `json:"kept-answer"`
-	Candidate int    `json:"candidates"`
+	Msg           string `json:"msg"`
+	Request       string `json:"request"`
+	Attempt       int    `json:"attempt"`
+	Upstream      string `json:"upstream"`
+	Verdict       string `json:"verdict"`
+	Code          string `json:"code"`
+	Ran           string `json:"ran"`
+	Message       string `json:"message"`
+	NoRetryReason string `json:"no-repeat"`
+	AnswerReason  string `json:"kept-answer"`
+	Candidates    int    `json:"candidates"`
 }
 
 // logLines returns the logged lines of the given events.
--- a/core/forward/forward.go
+++ b/core/forward/forward.go
@@ -18,7 +18,7 @@
 	"skylarkstand/core/warmup"
 )
 
-// Components are the components that a Forwarder decides by.
+// Components are the parts of the entry by which a Forwarder makes its decisions.
 type Components struct {
 	InForce *route.InForce
 	Fleet   *fleet.Fleet
@@ -39,10 +39,10 @@
 
 // Forwarder routes exchanges to upstreams. It is safe for concurrent use.
 type Forwarder struct {
-	deps   core.Deps
-	access core.UpstreamClient
-	parts  Components
-	draw   func() float64
+	deps       core.Deps
+	client     core.UpstreamClient
+	components Components
+	draw       func() float64
 	// started is when the process began to run.
 	started time.Time
 
@@ -64,10 +64,10 @@
 func RandomSource(fn func() float64) Option { return func(fw *Forwarder) { fw.draw = fn } }
 
 // New returns a Forwarder.
-func New(deps core.Deps, access core.UpstreamClient, pa Components, opts ...Option) *Forwarder {
+func New(deps core.Deps, client core.UpstreamClient, co Components, opts ...Option) *Forwarder {
 	fw := &Forwarder{
-		deps: deps, access: access, parts: pa, draw: rand.Float64, started: time.Now(),
-		picker: balance.New(deps.Zone, deps.Region, balance.Without(pa.Off)), retryWindows: map[core.ServiceID]*retry.Window{},
+		deps: deps, client: client, components: co, draw: rand.Float64, started: time.Now(),
+		picker: balance.New(deps.Zone, deps.Region, balance.Without(co.Off)), retryWindows: map[core.ServiceID]*retry.Window{},
 		escalationPolicies: map[trafficClass]*escalation.Policy{}, admissionGates: map[trafficClass]*shed.Gate{}, sentSignal: make(chan struct{}, 1),
 		meters: newMeters(deps.Metrics),
 	}
@@ -116,13 +116,13 @@
 	}
 	rt := tb.Find(ex.Host, ex.Path)
 	if rt == nil {
-		return nil, fw.unknownFailure(core.CodeUnknownRoute, "no route leads there")
+		return nil, fw.notConfiguredFailure(core.CodeUnknownRoute, "no route leads there")
 	}
 	jb := &job{fw: fw, ex: ex, tb: tb, rt: rt, priority: rt.Priority}
 	if !rt.Public && tb.RequiresKey() {
 		ws := tb.Workspace(ex.Key)
 		if ws == nil {
-			return nil, fw.unknownFailure(core.CodeUnauthorized, "the key belongs to no workspace")
+			return nil, fw.notConfiguredFailure(core.CodeUnauthorized, "the key belongs to no workspace")
 		}
 		jb.ws, jb.workspace = ws, ws.ID
 		if ws.HasPriority {
@@ -154,10 +154,10 @@
 // one after the other. Requests that certainly finish in time are served; the others get a
 // Retry-After, which a closed listener could not send.
 func (fw *Forwarder) checkStopping(rt *route.Route) *core.Failure {
-	if fw.parts.Stopping == nil {
+	if fw.components.Stopping == nil {
 		return nil
 	}
-	left, stopping := fw.parts.Stopping()
+	left, stopping := fw.components.Stopping()
 	if !stopping || !rt.Stream && rt.Timeout > 0 && rt.Timeout < left {
 		return nil
 	}
@@ -187,14 +187,14 @@
 
 // admissionGate returns the admission control of a traffic class. The caller holds the lock.
 func (fw *Forwarder) admissionGate(tc trafficClass) *shed.Gate {
-	return getOrCreate(fw.admissionGates, tc, func() *shed.Gate { return shed.New(shed.Without(fw.parts.Off)) })
+	return getOrCreate(fw.admissionGates, tc, func() *shed.Gate { return shed.New(shed.Without(fw.components.Off)) })
 }
 
-// unknownFailure refuses what the configuration in force does not contain. While newer
-// configurations may still be on their way here, the refusal is not final: a caller with a new
-// key would otherwise give up for good.
-func (fw *Forwarder) unknownFailure(code core.Code, text string) *core.Failure {
-	if age := fw.parts.ConfigAge(); age > staleConfigAge {
+// notConfiguredFailure is the failure for a route or key that the configuration in force does not
+// contain. While a newer configuration may still be on its way here, the refusal is not final: a
+// caller with a new key would otherwise give up for good.
+func (fw *Forwarder) notConfiguredFailure(code core.Code, text string) *core.Failure {
+	if age := fw.components.ConfigAge(); age > staleConfigAge {
 		return core.Refuse(core.CodeStaleConfig, shortRetryAfter, "%s, by a configuration that was confirmed %s ago", text, age.Round(time.Millisecond))
 	}
 	return core.Refuse(code, 0, "%s", text)
@@ -210,7 +210,7 @@
 }
 
 func (fw *Forwarder) configVersion() route.Version {
-	if tb := fw.parts.InForce.Current(); tb != nil {
+	if tb := fw.components.InForce.Current(); tb != nil {
 		return tb.Version
 	}
 	return 0
@@ -218,12 +218,12 @@
 
 // retryWindow returns the retry budget of a service. The caller holds the lock.
 func (fw *Forwarder) retryWindow(sv core.ServiceID) *retry.Window {
-	return getOrCreate(fw.retryWindows, sv, fw.parts.NewRetryWindow)
+	return getOrCreate(fw.retryWindows, sv, fw.components.NewRetryWindow)
 }
 
 // escalationPolicy returns the choice of models for a traffic class. The caller holds the lock.
 func (fw *Forwarder) escalationPolicy(tc trafficClass) *escalation.Policy {
-	return getOrCreate(fw.escalationPolicies, tc, func() *escalation.Policy { return escalation.New(escalation.Without(fw.parts.Off)) })
+	return getOrCreate(fw.escalationPolicies, tc, func() *escalation.Policy { return escalation.New(escalation.Without(fw.components.Off)) })
 }
 
 // getOrCreate returns the value under a key, and creates it at its first use.
@@ -234,7 +234,7 @@
 	return values[key]
 }
 
-// Forget drops the state of an upstream that left.
+// Forget deletes the state of an upstream that is gone.
 func (fw *Forwarder) Forget(id core.UpstreamID) {
 	fw.mu.Lock()
 	defer fw.mu.Unlock()
@@ -262,7 +262,7 @@
 // Avoided counts the upstreams of a service that this entry avoids.
 func (fw *Forwarder) Avoided(sv core.ServiceID) int {
 	now := time.Now()
-	hosts := fw.parts.Fleet.Serving(sv, now, core.Regions{})
+	hosts := fw.components.Fleet.Serving(sv, now, core.Regions{})
 	fw.mu.Lock()
 	defer fw.mu.Unlock()
 	return fw.picker.CountAvoided(now, hosts)
--- a/core/forward/forward_test.go
+++ b/core/forward/forward_test.go
@@ -180,10 +180,10 @@
 // once and keeps working, and against a retry elsewhere.
 func TestCallerDisconnects(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
-		var gone time.Time
+		var canceledAt time.Time
 		wo := newFixture(t, func(ctx context.Context, ca *core.Call) (*core.Reply, error) {
 			<-ctx.Done()
-			gone = time.Now()
+			canceledAt = time.Now()
 			return hangs(ctx, ca)
 		})
 		ctx, cancel := context.WithCancel(t.Context())
@@ -191,7 +191,7 @@
 		began := time.Now()
 		_, _, err := wo.send(ctx, "/lookup/1")
 		assert.ErrorContains(t, err, string(core.CodeCallerGone))
-		assert.Equal(t, gone.Sub(began), 100*time.Millisecond)
+		assert.Equal(t, canceledAt.Sub(began), 100*time.Millisecond)
 		assert.Equal(t, len(wo.calls), 1)
 	})
 }
--- a/core/forward/gossip.go
+++ b/core/forward/gossip.go
@@ -7,14 +7,14 @@
 	"skylarkstand/core/mechanism"
 )
 
-// TakeFacts returns what this entry has found out about upstreams since the last call.
+// TakeFacts returns the facts about upstreams that this entry has observed since the last call.
 func (fw *Forwarder) TakeFacts() []balance.Fact {
 	fw.mu.Lock()
 	defer fw.mu.Unlock()
 	return fw.picker.TakeFacts(time.Now())
 }
 
-// ReceiveFacts processes what a sibling entry has found out about upstreams.
+// ReceiveFacts processes the facts about upstreams that a sibling entry has observed.
 func (fw *Forwarder) ReceiveFacts(facts []balance.Fact) {
 	fw.mu.Lock()
 	defer fw.mu.Unlock()
@@ -38,8 +38,8 @@
 	fw.picker.ReceiveCalls(time.Now(), from, sent)
 }
 
-// RegionLoad returns the load report for entries of other regions, which lists at most so many
-// upstreams one by one.
+// RegionLoad returns the load report for entries of other regions, which lists at most the given
+// number of upstreams individually.
 func (fw *Forwarder) RegionLoad(most int) balance.RegionLoad {
 	fw.mu.Lock()
 	defer fw.mu.Unlock()
@@ -89,7 +89,7 @@
 	fw.picker.ReceiveLoad(now, from, lo)
 	for sv, wi := range fw.retryWindows {
 		for _, bu := range lo.Budgets {
-			if bu.Service == balance.Hash(sv) && !fw.parts.Off.Has(mechanism.BorrowedRetries) {
+			if bu.Service == balance.Hash(sv) && !fw.components.Off.Has(mechanism.BorrowedRetries) {
 				wi.ReceiveReport(now, from, bu.Left)
 			}
 		}
--- a/core/forward/job.go
+++ b/core/forward/job.go
@@ -111,7 +111,7 @@
 }
 
 // failureAfter returns the failure of the exchange when no attempt may follow a failed one, or
-// nil when another one follows.
+// nil when another one follows. Retries that need budget are taken from it here.
 func (jb *job) failureAfter(ctx context.Context, at *attempt, ve verdict) *core.Failure {
 	if ve.ran() {
 		jb.mayHaveRun = true
@@ -205,7 +205,7 @@
 		return nil, jb.failure(core.CodeDeadline, shortRetryAfter, "the time was up before an upstream was asked")
 	}
 	fw, rq := jb.fw, jb.request()
-	hosts := fw.parts.Canary.Choose(now, jb.service, jb.ex.Session, fw.draw(), jb.candidates(now), fw.parts.ConfigAge() < staleConfigAge)
+	hosts := fw.components.Canary.Choose(now, jb.service, jb.ex.Session, fw.draw(), jb.candidates(now), fw.components.ConfigAge() < staleConfigAge)
 	fw.mu.Lock()
 	ho, pe, ok := jb.pickUpstream(now, hosts, rq)
 	if !ok {
@@ -224,7 +224,7 @@
 	case fw.sentSignal <- struct{}{}:
 	default:
 	}
-	fw.parts.Canary.AttemptSent(now, jb.ex.Session, ho)
+	fw.components.Canary.AttemptSent(now, jb.ex.Session, ho)
 	jb.tried = append(jb.tried, ho.ID)
 	jb.sends++
 	jb.runs++
@@ -252,7 +252,7 @@
 	}
 }
 
-func (jb *job) disabled(na mechanism.Name) bool { return jb.fw.parts.Off.Has(na) }
+func (jb *job) disabled(na mechanism.Name) bool { return jb.fw.components.Off.Has(na) }
 
 // rankingCost is the prefill time that sets an attempt's rank in the upstream's queue.
 func (jb *job) rankingCost(at *attempt) time.Duration {
@@ -265,8 +265,8 @@
 // backoff is the Retry-After of refused requests: short, but with jitter, so that callers that
 // were refused together do not retry together.
 func (jb *job) backoff() time.Duration {
-	const least, spread = 300 * time.Millisecond, 500 * time.Millisecond
-	return least + time.Duration(jb.fw.jitterFraction()*float64(spread))
+	const least, jitter = 300 * time.Millisecond, 500 * time.Millisecond
+	return least + time.Duration(jb.fw.jitterFraction()*float64(jitter))
 }
 
 // failure returns the failure of a job that ends without an answer.
--- a/core/forward/log.go
+++ b/core/forward/log.go
@@ -13,20 +13,20 @@
 func (at *attempt) logBegin(candidates int, retriesLeft float64) {
 	jb, ba := at.jb, at.flight.Basis()
 	event.Log(jb.fw.deps.Log, event.AttemptBegun, "request", jb.ex.ID, "route", jb.rt.ID, "attempt", at.number, "upstream", at.to.ID,
-		"version", at.to.Version, "model", at.rq.Model, "prompt", jb.ex.Prompt, "output", jb.ex.Output, "configuration", jb.tb.Version, "news-age", jb.fw.parts.ConfigAge(),
+		"version", at.to.Version, "model", at.rq.Model, "prompt", jb.ex.Prompt, "output", jb.ex.Output, "configuration", jb.tb.Version, "news-age", jb.fw.components.ConfigAge(),
 		"candidates", candidates, "own", ba.Own, "others", round(ba.Others), "load-age", ba.LoadAge, "failing", round(ba.FailureRate),
 		"kept", ba.CachedTokens, "waits", ba.QueueTime, "read", at.prefillWait, "rank", at.queueRank, "patience", at.headerTimeout, "left", at.left, "repeats-left", round(retriesLeft), "after", at.after)
 }
 
-// logTurn logs how the attempt's end changed the standing of its upstream.
-func (at *attempt) logTurn(turn balance.AvoidanceChange, ve verdict, failing float64) {
+// logAvoidanceChange logs that the entry avoids the attempt's upstream from now on, or no longer.
+func (at *attempt) logAvoidanceChange(change balance.AvoidanceChange, ve verdict, failureRate float64) {
 	lg := at.jb.fw.deps.Log
-	switch turn {
+	switch change {
 	case balance.Avoided:
 		event.Log(lg, event.UpstreamAvoided, "upstream", at.to.ID, "address", at.to.Addr, "verdict", ve.String(),
-			"why", at.reason, "failing", round(failing), "request", at.jb.ex.ID)
+			"why", at.reason, "failing", round(failureRate), "request", at.jb.ex.ID)
 	case balance.Restored:
-		event.Log(lg, event.UpstreamTrusted, "upstream", at.to.ID, "failing", round(failing))
+		event.Log(lg, event.UpstreamTrusted, "upstream", at.to.ID, "failing", round(failureRate))
 	case balance.Unchanged:
 	}
 }
@@ -57,14 +57,14 @@
 	event.Log(jb.fw.deps.Log, event.ExchangeFailed, "request", jb.ex.ID, "route", jb.rt.ID, "workspace", jb.workspace,
 		"service", jb.service, "model", jb.model(), "code", fl.Code, "ran", fl.Ran, "message", fl.Message, "last", jb.lastFailure,
 		"no-repeat", jb.noRetryReason, "attempts", jb.sends, "took", took, "retry-after", fl.RetryAfter, "configuration", jb.tb.Version,
-		"news-age", jb.fw.parts.ConfigAge())
+		"news-age", jb.fw.components.ConfigAge())
 }
 
 // logRefused writes the single line about a refused exchange.
 func (fw *Forwarder) logRefused(ex *core.Exchange, fl *core.Failure) {
 	fw.meters.ended(fl.Code, 0)
 	event.Log(fw.deps.Log, event.ExchangeRefused, "request", ex.ID, "host", ex.Host, "path", ex.Path,
-		"code", fl.Code, "ran", fl.Ran, "message", fl.Message, "retry-after", fl.RetryAfter, "configuration", fw.configVersion(), "news-age", fw.parts.ConfigAge())
+		"code", fl.Code, "ran", fl.Ran, "message", fl.Message, "retry-after", fl.RetryAfter, "configuration", fw.configVersion(), "news-age", fw.components.ConfigAge())
 }
 
 // round rounds an estimate to two decimal places for the log.
--- a/core/forward/log_test.go
+++ b/core/forward/log_test.go
@@ -27,25 +27,25 @@
 		{"lookup answered at once", "/lookup/1", []behavior{answers(200, "done")}, 1, nil, logLine{Msg: "exchange-ended"}},
 		{"lookup answered by the second upstream", "/lookup/1", []behavior{failing, answers(200, "done")}, 2, []string{"failed"}, logLine{Msg: "exchange-ended"}},
 		{"lookup lost twice", "/lookup/1", []behavior{losesConnection}, 2, []string{"lost", "lost"},
-			logLine{Msg: "exchange-failed", Code: "outcome-unknown", Ran: "unknown", NoRepeat: "the route's attempts are used up"}},
+			logLine{Msg: "exchange-failed", Code: "outcome-unknown", Ran: "unknown", NoRetryReason: "the route's attempts are used up"}},
 		{"claim lost", "/claim/1", []behavior{losesConnection}, 1, []string{"lost"},
-			logLine{Msg: "exchange-failed", Code: "outcome-unknown", Ran: "unknown", NoRepeat: "the work may run once only"}},
+			logLine{Msg: "exchange-failed", Code: "outcome-unknown", Ran: "unknown", NoRetryReason: "the work may run once only"}},
 		{"claim refused by all upstreams", "/claim/1", []behavior{refuses}, 4, []string{"refused", "refused", "refused", "refused"},
 			logLine{Msg: "exchange-failed", Code: "no-upstream", Ran: "not-run"}},
 		{"chat that breaks off", "/chat/1", []behavior{breaksOff("id: 1\ndata: a\n\n")}, 1, []string{"lost"},
-			logLine{Msg: "exchange-cut", Code: "outcome-unknown", Message: "connection reset", NoRepeat: "the route's streams are not resumed"}},
+			logLine{Msg: "exchange-cut", Code: "outcome-unknown", Message: "connection reset", NoRetryReason: "the route's streams are not resumed"}},
 		{"unknown route", "/nowhere", nil, 0, nil, logLine{Msg: "exchange-refused", Code: "unknown-route", Ran: "not-run"}},
 	}
 	for _, sc := range scenarios {
 		t.Run(sc.testName, func(t *testing.T) {
 			runInBubble(t, func(t *testing.T) {
 				wo := newFixture(t, sc.behaviors...)
-				_, _, _ = wo.send(t.Context(), sc.path) // The log is what is checked.
+				_, _, _ = wo.send(t.Context(), sc.path) // The test checks only the log.
 				begun := wo.logLines("attempt-begun")
 				assert.Equal(t, len(begun), sc.begun)
 				for i, li := range begun {
 					assert.Equal(t, li.Attempt, i+1)
-					assert.Equal(t, li.Candidate, 4)
+					assert.Equal(t, li.Candidates, 4)
 				}
 				var verdicts []string
 				for _, li := range wo.logLines("attempt-ended") {
@@ -59,7 +59,7 @@
 				assert.Equal(t, end.Msg, sc.end.Msg)
 				assert.Equal(t, end.Code, sc.end.Code)
 				assert.Equal(t, end.Ran, sc.end.Ran)
-				assert.Equal(t, end.NoRepeat, sc.end.NoRepeat)
+				assert.Equal(t, end.NoRetryReason, sc.end.NoRetryReason)
 				if sc.end.Message != "" {
 					assert.Equal(t, end.Message, sc.end.Message)
 				}
@@ -140,7 +140,7 @@
 }
 
 // Some lookups fail at every upstream that runs them, and their callers get the error. Guards
-// against avoiding healthy upstreams for it: claims would be sent over the link to another
+// against avoiding healthy upstreams because of it: claims would be sent over the link to another
 // region.
 func TestErrorAtEveryUpstreamIsNoUpstreamFailure(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
--- a/core/forward/model.go
+++ b/core/forward/model.go
@@ -28,7 +28,7 @@
 // selectResumeStage resumes a partly delivered stream with the model that generated it: the
 // largest one for which an engine has the whole prompt in its prefix cache.
 //
-// Some entry has already chosen the model of the first answer. Started with the smallest model,
+// The entry that began the stream has already chosen its model. Started with the smallest model,
 // the resumed stream would escalate once more before the caller receives anything, and the pause
 // between two events would be too long.
 func (jb *job) selectResumeStage() {
@@ -63,7 +63,8 @@
 // rejectedAnswer is an answer whose confidence was too low.
 type rejectedAnswer struct{ stage, confidence int }
 
-// shouldEscalate reports whether a larger model should answer instead.
+// shouldEscalate reports whether a larger model should answer instead. It records the stage to
+// escalate to, or the reason to return this answer, in the job.
 func (jb *job) shouldEscalate(re *core.Reply) bool {
 	if !jb.ex.AnyModel || re.Confidence == core.NoConfidence || len(jb.rt.Cascade) < 2 || !jb.rt.Retry.Retryable() {
 		return false
--- a/core/forward/pressure_test.go
+++ b/core/forward/pressure_test.go
@@ -17,11 +17,11 @@
 // with the confidence that the pointer holds at that time.
 func respondsAfter(perThousand, wait time.Duration, confidence *int) behavior {
 	return func(ctx context.Context, ca *core.Call) (*core.Reply, error) {
-		read := time.Duration(float64(perThousand) * float64(ca.Prompt) / 1000)
+		prefill := time.Duration(float64(perThousand) * float64(ca.Prompt) / 1000)
 		select {
 		case <-ctx.Done():
 			return nil, core.OutcomeUnknown("%v", ctx.Err())
-		case <-time.After(read + wait):
+		case <-time.After(prefill + wait):
 		}
 		re := reply(http.StatusOK, "id: 1\ndata: a\n\n")
 		re.Confidence = *confidence
@@ -36,7 +36,7 @@
 	confidence := 90
 	wo := newFixture(t, respondsAfter(perThousand, wait, &confidence))
 	for i := range 60 {
-		wo.sendPrompt(t, fmt.Sprint("short", i), 100) // These teach the entry the round-trip time.
+		wo.sendPrompt(t, fmt.Sprint("short", i), 100) // The entry estimates the round-trip time from these.
 		wo.sendPrompt(t, fmt.Sprint("long", i), prompt)
 	}
 	before := len(wo.calls)
@@ -86,7 +86,7 @@
 				confidence = sc.confidence
 				wo.sendPrompt(t, "last", 100)
 				ended := wo.logLines("exchange-ended")
-				assert.Equal(t, ended[len(ended)-1].Kept, sc.want)
+				assert.Equal(t, ended[len(ended)-1].AnswerReason, sc.want)
 			})
 		})
 	}
--- a/core/forward/region_test.go
+++ b/core/forward/region_test.go
@@ -90,8 +90,8 @@
 	})
 }
 
-// TestEvacuationDuringARequest guards against a retry that goes by the availability zones that
-// were open when its request arrived.
+// TestEvacuationDuringARequest guards against a retry in an availability zone that was evacuated
+// after its request arrived.
 func TestEvacuationDuringARequest(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
 		var wo *fixture
@@ -109,7 +109,7 @@
 	})
 }
 
-// TestRegionChangeDuringARequest guards against a retry by the regions of an older
+// TestRegionChangeDuringARequest guards against a retry that uses the regions of an older
 // configuration.
 func TestRegionChangeDuringARequest(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
@@ -133,12 +133,12 @@
 // when no upstream may serve it.
 func TestNoServableRegion(t *testing.T) {
 	scenarios := []struct {
-		testName string
-		path     string
-		evacuate []core.Zone
-		code     core.Code
-		back     bool
-		message  string
+		testName   string
+		path       string
+		evacuate   []core.Zone
+		code       core.Code
+		retryAfter bool
+		message    string
 	}{
 		{"route and workspace have no region in common", "/south/x", nil, core.CodeNoRegion, false, "none"},
 		{"all zones of the region are evacuated", "/lookup/x", []core.Zone{"north-a", "north-b"}, core.CodeEvacuated, true, "north-a"},
@@ -158,7 +158,7 @@
 				assert.Assert(t, errors.As(err, &fl))
 				assert.Equal(t, fl.Code, sc.code)
 				assert.Equal(t, fl.Ran, core.NotRun)
-				assert.Equal(t, fl.RetryAfter > 0, sc.back)
+				assert.Equal(t, fl.RetryAfter > 0, sc.retryAfter)
 				assert.Assert(t, strings.Contains(fl.Message, sc.message), fl.Message)
 				assert.Equal(t, len(wo.calls), 0)
 				assert.Equal(t, time.Since(began), time.Duration(0), "it is refused at once")
--- a/core/forward/startup.go
+++ b/core/forward/startup.go
@@ -21,9 +21,9 @@
 // awaitTable returns the configuration in force, or nil when there is none and none can be
 // expected soon.
 func (fw *Forwarder) awaitTable(ctx context.Context) *route.Table {
-	inf := fw.parts.InForce
+	inf := fw.components.InForce
 	left := startupWaitLimit - time.Since(fw.started)
-	if tb := inf.Current(); tb != nil || left <= 0 || fw.parts.Off.Has(mechanism.StartupWait) {
+	if tb := inf.Current(); tb != nil || left <= 0 || fw.components.Off.Has(mechanism.StartupWait) {
 		return tb
 	}
 	ti := time.NewTimer(left)
--- a/core/forward/startup_test.go
+++ b/core/forward/startup_test.go
@@ -29,8 +29,8 @@
 }
 
 // The store and the sibling entries are down when an entry starts. Its callers must get a
-// refusal with a Retry-After within a second, which says that their requests did not run, and
-// later callers at once, since waiting wouldn't help.
+// refusal with a Retry-After and "not run" within a second, and later callers at once, since
+// waiting wouldn't help.
 func TestStartupWithoutConfiguration(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
 		wo := newUnconfiguredFixture(t, answers(http.StatusOK, "done"))
--- a/core/forward/timeouts.go
+++ b/core/forward/timeouts.go
@@ -23,13 +23,13 @@
 	// to prefill this prompt and those before it. The longest prompts take six times the usual
 	// time, at any upstream.
 	prefillFactor = 5
-	// busyFactor is how many times the timeout an upstream gets that answers other requests
-	// meanwhile.
+	// busyFactor multiplies the timeout for an upstream that answers other requests meanwhile.
 	busyFactor = 4
-	// remainingShare is the share of the time left above which it is of no use to cancel an attempt.
+	// remainingShare is the largest share of the time left that a header timeout may take: later it
+	// is of no use to cancel an attempt.
 	remainingShare = 0.7
-	// stallGapFactor is how many of a route's longest acceptable gaps a stream may be silent for
-	// before it is resumed elsewhere, and minStallTimeout the lower bound.
+	// stallGapFactor is how long a stream may be silent before it is resumed elsewhere, as a
+	// multiple of the route's MaxEventGap, and minStallTimeout the lower bound.
 	stallGapFactor  = 2.5
 	minStallTimeout = 2 * time.Second
 	// minTimeLeft is the time left below which no attempt is started: a round trip and the
--- a/core/forward/verdict.go
+++ b/core/forward/verdict.go
@@ -37,7 +37,7 @@
 	return ve == refused || ve == stranger || ve == unreached || ve == absent
 }
 
-// outcome returns what a verdict says about the upstream.
+// outcome returns the load balancer's outcome for a verdict.
 func (ve verdict) outcome() balance.Outcome {
 	switch ve {
 	case taken, unsure:
--- a/core/forward/watchdog.go
+++ b/core/forward/watchdog.go
@@ -48,7 +48,7 @@
 // outstanding, and returns the clean-up. Otherwise a version that hangs or is many times slower
 // would be detected only after its callers have given up.
 func (at *attempt) watchOverdue() func() {
-	limit := at.jb.fw.parts.Canary.HeaderTimeout(at.to.Service, at.to.Version, at.pool())
+	limit := at.jb.fw.components.Canary.HeaderTimeout(at.to.Service, at.to.Version, at.pool())
 	if limit <= 0 {
 		return func() {}
 	}
