--- a/core/balance/balance_test.go
+++ b/core/balance/balance_test.go
@@ -15,7 +15,7 @@
 
 var start = time.Unix(1_000_000, 0)
 
-func pool(n, slots int) []core.Host {
+func poolHosts(n, slots int) []core.Host {
 	var out []core.Host
 	for i := range n {
 		zone := core.Zone([]string{"muc-a", "muc-b"}[i%2])
@@ -38,7 +38,7 @@
 // than repeating the prefill.
 func TestPromptsGoWhereTheyAreCached(t *testing.T) {
 	pk := balance.New("muc-a", "muc")
-	hosts := pool(12, 64)
+	hosts := poolHosts(12, 64)
 	rnd := rand.New(rand.NewPCG(1, 1))
 	first, ok := pk.Pick(start, hosts, draftRequest("plan-7", 0), rnd.Float64)
 	assert.Assert(t, ok)
@@ -58,7 +58,7 @@
 // Several entries see the same prompts and receive no announcements from one another. They should
 // still send each to one engine of their region.
 func TestEntriesAgreeOnPrefixHome(t *testing.T) {
-	hosts := pool(12, 64)
+	hosts := poolHosts(12, 64)
 	count := map[core.UpstreamID]int{}
 	for i := range 60 {
 		shared := fmt.Sprint("plan-", i)
@@ -78,12 +78,12 @@
 }
 
 // An upstream fails every other call, although its health check is fine. Callers get errors for as
-// long as calls go there; so calls must go elsewhere within a few seconds, and come back when the
+// long as calls go there; so calls must go elsewhere within a few seconds, and return when the
 // upstream recovers.
 func TestFailingUpstreamIsAvoidedAndRetried(t *testing.T) {
 	for _, once := range []bool{false, true} {
 		pk := balance.New("muc-a", "muc")
-		hosts := pool(3, 6)
+		hosts := poolHosts(3, 6)
 		rnd := rand.New(rand.NewPCG(3, 1))
 		rq := balance.Request{Service: "s", Pool: "claim", AtMostOnce: once}
 		count := func(from, to int, fails bool) (failing int) {
@@ -117,7 +117,7 @@
 // upstream ends with the same bad outcome. It returns the number of attempts there.
 func attemptsAtFirst(calls int, bad balance.Outcome) int {
 	pk := balance.New("muc-a", "muc")
-	hosts := pool(3, 6)
+	hosts := poolHosts(3, 6)
 	rnd := rand.New(rand.NewPCG(4, 1))
 	rq := balance.Request{Service: "s", Pool: "claim"}
 	attempts := 0
@@ -155,7 +155,7 @@
 // other entries use, by the load that it reports, must not be selected.
 func TestReportedLoadCounts(t *testing.T) {
 	pk := balance.New("muc-a", "muc")
-	hosts := pool(3, 6)
+	hosts := poolHosts(3, 6)
 	rnd := rand.New(rand.NewPCG(5, 1))
 	rq := balance.Request{Service: "s", Pool: "claim"}
 	for i := range hosts {
@@ -177,7 +177,7 @@
 // trip, so calls stay while the local region has capacity, and go there when it has none.
 func TestCrossRegionOnlyWhenFull(t *testing.T) {
 	pk := balance.New("muc-a", "muc")
-	hosts := append(pool(2, 6), core.Host{ID: "far", Service: "s", Zone: "nue-a", Region: "nue", Slots: 6})
+	hosts := append(poolHosts(2, 6), core.Host{ID: "far", Service: "s", Zone: "nue-a", Region: "nue", Slots: 6})
 	rnd := rand.New(rand.NewPCG(6, 1))
 	rq := balance.Request{Service: "s", Pool: "claim"}
 	calls := map[core.UpstreamID]int{}
@@ -191,7 +191,7 @@
 	assert.Assert(t, !ok)
 }
 
-// An upstream comes back under the same id after a crash. Its recorded failures and its assumed
+// An upstream restarts under the same id after a crash. Its recorded failures and its assumed
 // prefix cache belong to the old start and must be dropped.
 func TestRestartResetsUpstreamState(t *testing.T) {
 	pk := balance.New("muc-a", "muc")
@@ -232,7 +232,7 @@
 // prefill time of 200 ms each, and returns by how much the longest queue was above the mean.
 func longestQueue(announce bool) float64 {
 	rnd := rand.New(rand.NewPCG(8, 1))
-	hosts := pool(12, 64)
+	hosts := poolHosts(12, 64)
 	entries := make([]*balance.Picker, 8)
 	for i := range entries {
 		entries[i] = balance.New("muc-a", "muc")
@@ -294,7 +294,7 @@
 // An entry has announced the prompt that it sent to an engine. Another entry must send the next
 // request with that prompt there, and drop the announced load of an entry that is gone.
 func TestAnnouncedPromptsAndExpiredLoads(t *testing.T) {
-	hosts := pool(12, 64)
+	hosts := poolHosts(12, 64)
 	rnd := rand.New(rand.NewPCG(9, 1))
 	one, two := balance.New("muc-a", "muc"), balance.New("muc-a", "muc")
 	for _, ho := range hosts {
@@ -311,7 +311,7 @@
 // there and not need prefill elsewhere; a part counts only while all parts before it are cached,
 // for the same model.
 func TestPromptsReportedByEngine(t *testing.T) {
-	hosts := pool(12, 64)
+	hosts := poolHosts(12, 64)
 	rnd := rand.New(rand.NewPCG(9, 1))
 	rq := draftRequest("plan-7", 0)
 	held := func(mo core.ModelID, parts []core.Part) []core.CachedPart {
@@ -335,7 +335,7 @@
 // entries prefer for it, though nobody has sent its prefix there.
 func TestNoPrefixHomeWithSiblingLoads(t *testing.T) {
 	rnd := rand.New(rand.NewPCG(5, 1))
-	hosts := pool(8, 64)
+	hosts := poolHosts(8, 64)
 	rq := balance.Request{Service: "s", Model: "large", Engine: true, Prompt: 16_000, Parts: parts("plan", 1), Pool: "draft"}
 	alone, informed := balance.New("muc-a", "muc"), balance.New("muc-a", "muc")
 	home, _ := alone.Pick(start, hosts, rq, rnd.Float64)
--- a/core/balance/bench_test.go
+++ b/core/balance/bench_test.go
@@ -13,7 +13,7 @@
 func BenchmarkPick(b *testing.B) {
 	const entries, engines, each = 150, 1500, 12
 	rnd := rand.New(rand.NewPCG(1, 1))
-	hosts := pool(engines, 64)
+	hosts := poolHosts(engines, 64)
 	pk := balance.New("muc-a", "muc")
 	announce := func(from uint64) {
 		var lo balance.Load
--- a/core/balance/fact_test.go
+++ b/core/balance/fact_test.go
@@ -17,7 +17,7 @@
 func TestEntriesAnnounceCrashedUpstream(t *testing.T) {
 	const entries, downtime = 33, 4 * time.Second
 	rnd := rand.New(rand.NewPCG(3, 1))
-	hosts := pool(20, 64)
+	hosts := poolHosts(20, 64)
 	pickers := make([]*balance.Picker, entries)
 	for i := range pickers {
 		pickers[i] = balance.New("muc-a", "muc")
--- a/core/balance/herd_test.go
+++ b/core/balance/herd_test.go
@@ -53,7 +53,7 @@
 // run returns the waits of the short prompts, sorted.
 func (he herd) run() []time.Duration {
 	rnd := rand.New(rand.NewPCG(he.seed, 31))
-	hosts := pool(he.engines, 64)
+	hosts := poolHosts(he.engines, 64)
 	engines := map[core.UpstreamID]*engine{}
 	for _, ho := range hosts {
 		engines[ho.ID] = &engine{}
@@ -155,7 +155,7 @@
 // Guards against engines that count as busy with prompts whose prefill has ended, until the next
 // periodic announcement.
 func TestEndedPrefillsAreAnnouncedWithNextCall(t *testing.T) {
-	hosts := pool(2, 64)
+	hosts := poolHosts(2, 64)
 	one, two := balance.New("muc-a", "muc"), balance.New("muc-a", "muc")
 	now := start
 	announce := func() { two.ReceiveCalls(now, 1, one.TakeCalls()) }
--- a/core/balance/prefill.go
+++ b/core/balance/prefill.go
@@ -57,7 +57,7 @@
 	return slowest
 }
 
-// learn records the time to the header of a response whose prompt had so many uncached tokens, at
+// learn records the time to the header of a response whose prompt had the given uncached tokens, at
 // an engine without known queued work. At least half of the time counts as prefill: the overhead is
 // unknown at first.
 func (re *prefillEstimator) learn(mo core.ModelID, uncached core.Tokens, took time.Duration) {
--- a/core/balance/prefill_test.go
+++ b/core/balance/prefill_test.go
@@ -32,7 +32,7 @@
 
 func newEngines(count int, slowdown float64) *fakeEngines {
 	return &fakeEngines{
-		hosts: pool(count, 64), freeAt: map[core.UpstreamID]time.Time{}, cached: map[string]bool{},
+		hosts: poolHosts(count, 64), freeAt: map[core.UpstreamID]time.Time{}, cached: map[string]bool{},
 		thousand: map[core.ModelID]time.Duration{
 			"small": time.Duration(slowdown * float64(4*time.Millisecond)),
 			"large": time.Duration(slowdown * float64(35*time.Millisecond)),
@@ -48,18 +48,18 @@
 	}
 	uncached := rq.Prompt
 	for _, pa := range rq.Parts {
-		if en.cached[key(ho.ID, rq.Model, pa)] {
+		if en.cached[partKey(ho.ID, rq.Model, pa)] {
 			uncached -= pa.Tokens
-		} else if en.cached[key("", rq.Model, pa)] {
+		} else if en.cached[partKey("", rq.Model, pa)] {
 			en.repeated += pa.Tokens
 		}
-		en.cached[key(ho.ID, rq.Model, pa)], en.cached[key("", rq.Model, pa)] = true, true
+		en.cached[partKey(ho.ID, rq.Model, pa)], en.cached[partKey("", rq.Model, pa)] = true, true
 	}
 	en.freeAt[ho.ID] = begin.Add(time.Duration(float64(en.thousand[rq.Model]) * float64(uncached) / 1000))
 	return en.freeAt[ho.ID].Add(roundTrip)
 }
 
-func key(id core.UpstreamID, mo core.ModelID, pa core.Part) string {
+func partKey(id core.UpstreamID, mo core.ModelID, pa core.Part) string {
 	return fmt.Sprint(id, "/", mo, "/", pa.ID)
 }
 
@@ -78,7 +78,7 @@
 	var inFlight []response
 	for n := range count {
 		now := start.Add(time.Duration(n) * interval)
-		inFlight = finish(pk, inFlight, now)
+		inFlight = finishResponses(pk, inFlight, now)
 		rq := promptRequest(rnd.IntN(subjects), n, 500+core.Tokens(rnd.IntN(12_000)))
 		if n%3 == 0 {
 			rq.Model = "large"
@@ -87,12 +87,12 @@
 		fl := pk.Sent(now, ho, rq)
 		inFlight = append(inFlight, response{fl, rq, en.send(now, ho, rq)})
 	}
-	finish(pk, inFlight, start.Add(time.Hour))
+	finishResponses(pk, inFlight, start.Add(time.Hour))
 	return pk
 }
 
-// finish ends the responses whose header has arrived.
-func finish(pk *balance.Picker, inFlight []response, now time.Time) []response {
+// finishResponses ends the responses whose header has arrived.
+func finishResponses(pk *balance.Picker, inFlight []response, now time.Time) []response {
 	var left []response
 	for _, an := range inFlight {
 		if an.headerAt.After(now) {
@@ -130,7 +130,7 @@
 				rq.Model = mo
 				// Half of a shared part may be assumed to be cached at its home.
 				got, want := float64(pk.ExpectedFirstByte(now, en.hosts, rq)), 8*float64(thousand)
-				assert.Assert(t, got > 0.6*want && got < 1.6*want, "%s: expected %v for %v", mo, time.Duration(got), time.Duration(want))
+				assert.Assert(t, got > 0.6*want && got < 1.6*want, "%s: expected first byte after %v, want about %v", mo, time.Duration(got), time.Duration(want))
 			}
 		})
 	}
@@ -146,7 +146,7 @@
 	rq.Model = "large"
 	got := pk.ExpectedFirstByte(start.Add(time.Hour), en.hosts, rq)
 	want := 8 * en.thousand["large"]
-	assert.Assert(t, got < 2*want, "expected %v for %v", got, want)
+	assert.Assert(t, got < 2*want, "expected first byte after %v, want less than twice %v", got, want)
 }
 
 // Forty subjects share half of their prompts, and the small model has a prefill time of 4 ms for a
@@ -165,7 +165,7 @@
 // is in time.
 func TestCachedPrefixDoesNotDelayUrgentRequests(t *testing.T) {
 	rnd := rand.New(rand.NewPCG(3, 1))
-	hosts := pool(2, 64)
+	hosts := poolHosts(2, 64)
 	choose := func(slack time.Duration) core.UpstreamID {
 		pk := balance.New("muc-a", "muc")
 		fl := pk.Sent(start, hosts[0], draftRequest("plan", 0))
--- a/core/balance/remote.go
+++ b/core/balance/remote.go
@@ -106,7 +106,7 @@
 }
 
 // ReceiveRemoteCalls adds the calls that an entry of another region has just sent here to the load
-// that that region announced before. They are ignored if it announced none lately.
+// that the sender's region announced before. They are ignored if it announced none lately.
 func (pk *Picker) ReceiveRemoteCalls(now time.Time, sent RemoteCalls) {
 	rl, known := pk.remote[sent.From]
 	if !known || now.Sub(rl.at) > remoteLoadTTL {
--- a/core/balance/remote_test.go
+++ b/core/balance/remote_test.go
@@ -15,7 +15,7 @@
 // twoRegions returns engines of the local and of another region. Entries here get the load of the
 // others only from responses.
 func twoRegions() []core.Host {
-	hosts := pool(4, 64)
+	hosts := poolHosts(4, 64)
 	for i := range 4 {
 		hosts = append(hosts, core.Host{ID: core.UpstreamID(fmt.Sprint("far-", i)), Service: "s", Zone: "nue-a", Region: "nue", Slots: 64})
 	}
@@ -25,7 +25,7 @@
 // announceLocalWait announces that prompts wait at the engines of the local region.
 func announceLocalWait(pk *balance.Picker, wait time.Duration) {
 	var lo balance.Load
-	for _, ho := range pool(4, 64) {
+	for _, ho := range poolHosts(4, 64) {
 		lo.Shares = append(lo.Shares, balance.Share{Upstream: balance.Hash(ho.ID), Own: 2, Pending: wait})
 	}
 	pk.ReceiveLoad(start, 7, lo)
@@ -103,7 +103,7 @@
 // own, and against datagrams that grow with the number of its upstreams.
 func TestRegionLoadSumsAllEntries(t *testing.T) {
 	pk := balance.New("muc-a", "muc")
-	hosts := pool(4, 64)
+	hosts := poolHosts(4, 64)
 	for i := range hosts {
 		_ = pk.Sent(start, hosts[i], unsharedRequest)
 	}
--- a/core/escalation/escalation.go
+++ b/core/escalation/escalation.go
@@ -114,9 +114,9 @@
 	return idleThreshold - fraction*(idleThreshold-loadedThreshold)
 }
 
-// Next returns the stage that should answer instead of the given one, in a cascade of so many
-// stages, or false when the present answer is returned. fits reports whether a stage's answer
-// would begin within the target latency.
+// Next returns the stage that should answer instead of the given one, in a cascade of the given
+// number of stages, or false when the present answer is returned. fits reports whether a stage's
+// answer would begin within the target latency.
 //
 // The largest model needs several times the target latency for a very long prompt, and keeps the
 // engine from other requests for as long. Such a request escalates to the largest model that
--- a/core/fleet/fleet.go
+++ b/core/fleet/fleet.go
@@ -2,7 +2,7 @@
 //
 // The list reflects leases: when a host vanishes from it, its upstream may be gone, or the store
 // was unavailable and the lease ran out meanwhile. Applying every removal at once would leave a
-// service without upstreams at the moment when the store comes back, although all of them run;
+// service without upstreams when the store becomes available again, although all of them run;
 // delaying every removal would send work to hosts that are gone. So a removal takes effect at once
 // while the store has been available, and only after a grace period when it has not.
 //
--- a/core/fleet/fleet_test.go
+++ b/core/fleet/fleet_test.go
@@ -13,7 +13,7 @@
 
 var start = time.Unix(1_000_000, 0)
 
-func ids(hosts []core.Host) string {
+func joinIDs(hosts []core.Host) string {
 	out := ""
 	for _, ho := range hosts {
 		out += string(ho.ID)
@@ -37,11 +37,11 @@
 	for _, id := range []core.UpstreamID{"a", "b", "c"} {
 		fl.Remove(id, start, true)
 	}
-	assert.Equal(t, ids(fl.Serving("desk", start.Add(time.Second), core.Regions{})), "abc")
+	assert.Equal(t, joinIDs(fl.Serving("desk", start.Add(time.Second), core.Regions{})), "abc")
 	putAll(fl, "ab")
-	assert.Equal(t, ids(fl.Serving("desk", start.Add(2400*time.Millisecond), core.Regions{})), "abc")
-	assert.Equal(t, ids(fl.Serving("desk", start.Add(2600*time.Millisecond), core.Regions{})), "ab")
-	assert.Equal(t, ids(fl.Serving("desk", start.Add(time.Hour), core.Regions{})), "ab")
+	assert.Equal(t, joinIDs(fl.Serving("desk", start.Add(2400*time.Millisecond), core.Regions{})), "abc")
+	assert.Equal(t, joinIDs(fl.Serving("desk", start.Add(2600*time.Millisecond), core.Regions{})), "ab")
+	assert.Equal(t, joinIDs(fl.Serving("desk", start.Add(time.Hour), core.Regions{})), "ab")
 }
 
 // An upstream that leaves announces it first, or is just removed from the list. It must get no new
@@ -62,9 +62,9 @@
 		t.Run(sc.testName, func(t *testing.T) {
 			fl := fleet.New()
 			putAll(fl, "abc")
-			assert.Equal(t, ids(fl.Serving("desk", start, core.Regions{})), "abc")
+			assert.Equal(t, joinIDs(fl.Serving("desk", start, core.Regions{})), "abc")
 			sc.leave(fl)
-			assert.Equal(t, ids(fl.Serving("desk", start, core.Regions{})), "ac")
+			assert.Equal(t, joinIDs(fl.Serving("desk", start, core.Regions{})), "ac")
 		})
 	}
 }
@@ -76,8 +76,8 @@
 	putAll(fl, "ab")
 	fl.Remove("b", start, false)
 	fl.Put(core.Host{ID: "c", Service: "drafter", Addr: "b"})
-	assert.Equal(t, ids(fl.Serving("desk", start, core.Regions{})), "a")
-	assert.Equal(t, ids(fl.Serving("drafter", start, core.Regions{})), "c")
+	assert.Equal(t, joinIDs(fl.Serving("desk", start, core.Regions{})), "a")
+	assert.Equal(t, joinIDs(fl.Serving("drafter", start, core.Regions{})), "c")
 	assert.Equal(t, fmt.Sprint(fl.Len()), "2")
 }
 
@@ -91,14 +91,14 @@
 	put("a", "muc-a", "muc")
 	put("b", "muc-b", "muc")
 	put("c", "nue-a", "nue")
-	serving := func(within core.Regions) string { return ids(fl.Serving("desk", start, within)) }
+	serving := func(within core.Regions) string { return joinIDs(fl.Serving("desk", start, within)) }
 	assert.Equal(t, serving(core.Regions{}), "abc")
 	assert.Equal(t, serving(core.OnlyRegions("muc")), "ab")
 	fl.Evacuate("muc-b")
 	put("d", "muc-b", "muc")
 	assert.Equal(t, serving(core.Regions{}), "ac")
 	assert.Equal(t, serving(core.OnlyRegions("muc")), "a")
-	assert.Equal(t, ids(fl.Ready("desk", start)), "abcd")
+	assert.Equal(t, joinIDs(fl.Ready("desk", start)), "abcd")
 	assert.Equal(t, fl.Counts(start)["desk"], fleet.Count{Serving: 2, Evacuated: 2})
 	fl.Evacuate("muc-a")
 	assert.Equal(t, serving(core.OnlyRegions("muc")), "")
--- a/core/forward/candidates.go
+++ b/core/forward/candidates.go
@@ -50,11 +50,11 @@
 // fleet. The forwarder's lock is held.
 func (jb *job) upstreams(now time.Time) []core.Host {
 	hosts := jb.fw.components.Fleet.Serving(jb.service, now, jb.regions())
-	return jb.fw.components.Warmup.Available(now, hosts, jb.warmup(), func(ho *core.Host) bool { return jb.suspectCold(now, ho) })
+	return jb.fw.components.Warmup.Available(now, hosts, jb.coldLimit(), func(ho *core.Host) bool { return jb.suspectCold(now, ho) })
 }
 
-// warmup returns the limits for cold upstreams of the service.
-func (jb *job) warmup() warmup.ColdLimit {
+// coldLimit returns the limits for cold upstreams of the service.
+func (jb *job) coldLimit() warmup.ColdLimit {
 	if sv := jb.tb.Service(jb.service); sv != nil {
 		return sv.Warmup
 	}
@@ -64,13 +64,13 @@
 // suspectCold reports whether an upstream may have restarted before the store reported it. The
 // forwarder's lock is held.
 func (jb *job) suspectCold(now time.Time, ho *core.Host) bool {
-	return jb.fw.picker.UnreachableWithin(now, ho, jb.warmup().Duration)
+	return jb.fw.picker.UnreachableWithin(now, ho, jb.coldLimit().Duration)
 }
 
 // takePermit takes a permit for an attempt at a cold upstream, or returns false when another
 // request took the last one. The forwarder's lock is held.
 func (jb *job) takePermit(now time.Time, ho *core.Host) (*warmup.Permit, bool) {
-	return jb.fw.components.Warmup.Acquire(now, ho, jb.warmup(), jb.suspectCold(now, ho))
+	return jb.fw.components.Warmup.Acquire(now, ho, jb.coldLimit(), jb.suspectCold(now, ho))
 }
 
 // candidates returns the upstreams from which the version of an attempt is chosen.
--- a/core/forward/doc.go
+++ b/core/forward/doc.go
@@ -8,7 +8,7 @@
 // has received nothing of it; a partly delivered answer may only be resumed after its last whole
 // event.
 //
-// The decisions are pure: they are made in [route], [balance], [canary] and [retry], and by this
+// The decisions do no I/O: they are made in [route], [balance], [canary] and [retry], and by this
 // package's classification of replies and its timeouts. Network access goes through
 // [core.UpstreamClient].
 //
--- a/core/forward/fault.go
+++ b/core/forward/fault.go
@@ -27,7 +27,7 @@
 // otherwise the first upstream. The forwarder's lock is held.
 func (at *attempt) resolveSuspect(now time.Time, ve verdict) balance.Outcome {
 	out := ve.outcome()
-	if ve == failed && at.timeTooShort() {
+	if ve == failed && at.timeLimitTooShort() {
 		out = balance.Abandoned
 	}
 	if prev := at.jb.suspect; prev != nil && prev != at {
@@ -46,10 +46,10 @@
 	at.logAvoidanceChange(change, failed, failureRate)
 }
 
-// timeTooShort reports whether the upstream reported a timeout after a time limit that is short
+// timeLimitTooShort reports whether the upstream reported a timeout after a time limit that is short
 // for this route. While the usual time of the route is unknown, the time limit is taken to be
 // the cause.
-func (at *attempt) timeTooShort() bool {
+func (at *attempt) timeLimitTooShort() bool {
 	if at.reply == nil || at.reply.Status != http.StatusGatewayTimeout || !at.bounded {
 		return false
 	}
--- a/core/forward/forward_test.go
+++ b/core/forward/forward_test.go
@@ -242,7 +242,7 @@
 				var fl *core.Failure
 				if errors.As(err, &fl) {
 					assert.Equal(t, fl.Ran, core.NotRun)
-					assert.Assert(t, fl.RetryAfter > sc.left, "the Retry-After reaches the new process")
+					assert.Assert(t, fl.RetryAfter > sc.left, "the Retry-After ends after the process has stopped")
 					assert.Equal(t, len(wo.calls), 0)
 				}
 			})
--- a/core/forward/job.go
+++ b/core/forward/job.go
@@ -113,7 +113,7 @@
 // failureAfter returns the failure of the exchange when no attempt may follow a failed one, or
 // nil when another one follows. Retries that need budget are taken from it here.
 func (jb *job) failureAfter(ctx context.Context, at *attempt, ve verdict) *core.Failure {
-	if ve.ran() {
+	if ve.mayHaveRun() {
 		jb.mayHaveRun = true
 	}
 	jb.lastFailure = at.reason
--- a/core/forward/verdict.go
+++ b/core/forward/verdict.go
@@ -29,8 +29,8 @@
 	unsure
 )
 
-// ran reports whether the work may have run.
-func (ve verdict) ran() bool { return ve == taken || ve == failed || ve == lost || ve == unsure }
+// mayHaveRun reports whether the work may have run.
+func (ve verdict) mayHaveRun() bool { return ve == taken || ve == failed || ve == lost || ve == unsure }
 
 // notRun reports whether the work certainly did not run.
 func (ve verdict) notRun() bool {
--- a/core/retry/borrow.go
+++ b/core/retry/borrow.go
@@ -44,7 +44,7 @@
 
 // mayBorrow reports whether a retry beyond this entry's part may be made.
 func (wi *Window) mayBorrow(now time.Time, pu Purpose) bool {
-	allowed, retries := wi.sum()
+	allowed, retries := wi.allowedAndUsed()
 	if (pu.part()+borrowPart)*allowed-retries < 1 {
 		return false
 	}
--- a/core/retry/borrow_test.go
+++ b/core/retry/borrow_test.go
@@ -118,7 +118,7 @@
 	}
 	for _, sc := range scenarios {
 		t.Run(sc.testName, func(t *testing.T) {
-			wi := retry.NewWindow(simWindow, 0.5, fixed(0))
+			wi := retry.NewWindow(simWindow, 0.5, fixedSlack(0))
 			for range 40 {
 				wi.Arrived(now)
 			}
--- a/core/retry/window.go
+++ b/core/retry/window.go
@@ -105,12 +105,12 @@
 }
 
 func (wi *Window) left(pu Purpose) float64 {
-	allowed, retries := wi.sum()
+	allowed, retries := wi.allowedAndUsed()
 	return pu.part()*allowed - retries
 }
 
-// sum returns the entry's part of the bound, and its retries in the window.
-func (wi *Window) sum() (allowed, retries float64) {
+// allowedAndUsed returns the entry's part of the bound, and its retries in the window.
+func (wi *Window) allowedAndUsed() (allowed, retries float64) {
 	requests := 0.0
 	for _, bu := range wi.buckets {
 		requests += bu.requests
--- a/core/retry/window_test.go
+++ b/core/retry/window_test.go
@@ -18,7 +18,7 @@
 	const length, ratio, slack = 10 * time.Second, 0.9, 13.0
 	for seed := range uint64(20) {
 		rnd := rand.New(rand.NewPCG(seed, 1))
-		wi := retry.NewWindow(length, ratio, fixed(slack))
+		wi := retry.NewWindow(length, ratio, fixedSlack(slack))
 		now := time.Unix(1_000_000, 0)
 		var requests, retries []time.Time
 		for range 4000 {
@@ -42,7 +42,7 @@
 	}
 }
 
-func fixed(slack float64) func() float64 { return func() float64 { return slack } }
+func fixedSlack(slack float64) func() float64 { return func() float64 { return slack } }
 
 // Many entries serve a few requests each, and all of these fail; some entries have discovered
 // all siblings, others have just started and none. Guards against more retries by all together
@@ -86,7 +86,7 @@
 // for retries: after a refused escalation the caller gets the present answer, after a refused
 // retry it gets none.
 func TestRetryPrecedesEscalation(t *testing.T) {
-	wi := retry.NewWindow(10*time.Second, 0.5, fixed(0))
+	wi := retry.NewWindow(10*time.Second, 0.5, fixedSlack(0))
 	now := time.Unix(1_000_000, 0)
 	for range 100 {
 		wi.Arrived(now)
--- a/core/route/route.go
+++ b/core/route/route.go
@@ -3,7 +3,7 @@
 //
 // A [Table] is immutable. [InForce] holds the table in force and adopts only newer ones, in
 // whatever order they arrive: a process that receives a configuration late, twice or from a sibling
-// that is behind never goes back to an older one.
+// with an outdated one never returns to an older one.
 //
 // # Usage
 //
--- a/core/route/route_test.go
+++ b/core/route/route_test.go
@@ -69,7 +69,7 @@
 					inf.Adopt(&route.Table{Version: route.Version(ve + 1)})
 					got := inf.Current().Version
 					if got < last {
-						t.Errorf("went from %d back to %d", last, got)
+						t.Errorf("the configuration in force went back from version %d to %d", last, got)
 					}
 					last = got
 				}
--- a/core/shed/shed.go
+++ b/core/shed/shed.go
@@ -123,15 +123,15 @@
 		if !rq.Urgent {
 			part *= lessUrgentPart
 		}
-		if ga.noisy(rq.Workspace) && !ga.off.Has(mechanism.NoisyWorkspaceLimit) {
+		if ga.isNoisy(rq.Workspace) && !ga.off.Has(mechanism.NoisyWorkspaceLimit) {
 			part *= noisyPart
 		}
 	}
 	return time.Duration(part * float64(rq.Target))
 }
 
-// noisy reports whether a workspace sends many times as much as the others.
-func (ga *Gate) noisy(ws core.WorkspaceID) bool {
+// isNoisy reports whether a workspace sends many times as much as the others.
+func (ga *Gate) isNoisy(ws core.WorkspaceID) bool {
 	others := 0.0
 	for name, rate := range ga.arrivalRates {
 		if name != ws {
--- a/core/warmup/tracker.go
+++ b/core/warmup/tracker.go
@@ -49,8 +49,8 @@
 	// entries share the permits; exact is set when the list is certain.
 	entries []core.ProcessID
 	exact   bool
-	// rank is this entry's place among them, noRank if it is not listed, and unranked until it is
-	// needed: few upstreams are ever cold.
+	// rank is this entry's rendezvous rank among them, noRank if it is not listed, and unranked
+	// until it is needed: few upstreams are ever cold.
 	rank int
 	// taken are the permits in use, and those that were released but are not free yet.
 	taken []*Permit
@@ -112,7 +112,7 @@
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
 	sp := tr.spans[id]
-	return sp != nil && bo.Rate > 0 && sp.cold(now, bo)
+	return sp != nil && bo.Rate > 0 && sp.isCold(now, bo)
 }
 
 // Available returns the upstreams to which this entry may send a request now. Suspect reports
@@ -145,7 +145,7 @@
 	if !tr.available(now, ho, bo, suspect) {
 		return nil, false
 	}
-	if sp == nil || bo.Rate <= 0 || !suspect && !sp.limited(now, bo) {
+	if sp == nil || bo.Rate <= 0 || !suspect && !sp.needsPermit(now, bo) {
 		return nil, true
 	}
 	pe := &Permit{tr: tr}
@@ -159,16 +159,16 @@
 	if sp == nil || bo.Rate <= 0 {
 		return true
 	}
-	if !suspect && !sp.limited(now, bo) {
+	if !suspect && !sp.needsPermit(now, bo) {
 		return true
 	}
-	cold := sp.cold(now, bo)
+	cold := sp.isCold(now, bo)
 	if cold && !sp.exact {
 		return false
 	}
 	sp.taken = slices.DeleteFunc(sp.taken, func(pe *Permit) bool { return pe.released && !now.Before(pe.freeAt) })
 	if !cold && !suspect {
-		return len(sp.taken) == 0 // It was warm in this entry's first copy of the list; see limited.
+		return len(sp.taken) == 0 // It was warm in this entry's first copy of the list; see needsPermit.
 	}
 	return len(sp.taken) < tr.ownPermits(ho.ID, sp, bo)
 }
@@ -179,17 +179,17 @@
 	sp.coldUntil = now.Add(max(left, 0))
 }
 
-func (sp *span) cold(now time.Time, bo ColdLimit) bool {
+func (sp *span) isCold(now time.Time, bo ColdLimit) bool {
 	if sp.unknown {
 		return now.Before(sp.noticedAt.Add(bo.Duration))
 	}
 	return now.Before(sp.coldUntil)
 }
 
-// limited reports whether requests need permits: for a cold upstream, and, for as long as it could
-// be cold, for one that was warm in a copy of the list without its earlier changes.
-func (sp *span) limited(now time.Time, bo ColdLimit) bool {
-	return sp.cold(now, bo) || !sp.exact && now.Before(sp.noticedAt.Add(bo.Duration))
+// needsPermit reports whether requests need permits: for a cold upstream, and, for as long as it
+// could be cold, for one that was warm in a copy of the list without its earlier changes.
+func (sp *span) needsPermit(now time.Time, bo ColdLimit) bool {
+	return sp.isCold(now, bo) || !sp.exact && now.Before(sp.noticedAt.Add(bo.Duration))
 }
 
 // ownPermits returns how many of all permits belong to this entry. They are assigned round-robin.
