--- a/core/balance/bench_test.go
+++ b/core/balance/bench_test.go
@@ -13,7 +13,7 @@
 func BenchmarkPick(b *testing.B) {
 	const entries, engines, each = 150, 1500, 12
 	rnd := rand.New(rand.NewPCG(1, 1))
-	hosts := pool(engines, 64)
+	hosts := poolHosts(engines, 64)
 	pk := balance.New("muc-a", "muc")
 	announce := func(from uint64) {
 		var lo balance.Load
@@ -29,7 +29,7 @@
 	for b.Loop() {
 		n++
 		announce(uint64(n % entries))
-		rq := draft(fmt.Sprint("plan-", n%200), n)
+		rq := draftRequest(fmt.Sprint("plan-", n%200), n)
 		ho, _ := pk.Pick(start, hosts, rq, rnd.Float64)
 		pk.Ended(start, pk.Sent(start, ho, rq), balance.Good)
 	}
--- a/core/balance/prefill_test.go
+++ b/core/balance/prefill_test.go
@@ -32,7 +32,7 @@
 
 func newEngines(count int, slowdown float64) *fakeEngines {
 	return &fakeEngines{
-		hosts: pool(count, 64), freeAt: map[core.UpstreamID]time.Time{}, cached: map[string]bool{},
+		hosts: poolHosts(count, 64), freeAt: map[core.UpstreamID]time.Time{}, cached: map[string]bool{},
 		thousand: map[core.ModelID]time.Duration{
 			"small": time.Duration(slowdown * float64(4*time.Millisecond)),
 			"large": time.Duration(slowdown * float64(35*time.Millisecond)),
@@ -48,18 +48,18 @@
 	}
 	uncached := rq.Prompt
 	for _, pa := range rq.Parts {
-		if en.cached[key(ho.ID, rq.Model, pa)] {
+		if en.cached[partKey(ho.ID, rq.Model, pa)] {
 			uncached -= pa.Tokens
-		} else if en.cached[key("", rq.Model, pa)] {
+		} else if en.cached[partKey("", rq.Model, pa)] {
 			en.repeated += pa.Tokens
 		}
-		en.cached[key(ho.ID, rq.Model, pa)], en.cached[key("", rq.Model, pa)] = true, true
+		en.cached[partKey(ho.ID, rq.Model, pa)], en.cached[partKey("", rq.Model, pa)] = true, true
 	}
 	en.freeAt[ho.ID] = begin.Add(time.Duration(float64(en.thousand[rq.Model]) * float64(uncached) / 1000))
 	return en.freeAt[ho.ID].Add(roundTrip)
 }
 
-func key(id core.UpstreamID, mo core.ModelID, pa core.Part) string {
+func partKey(id core.UpstreamID, mo core.ModelID, pa core.Part) string {
 	return fmt.Sprint(id, "/", mo, "/", pa.ID)
 }
 
@@ -78,8 +78,8 @@
 	var inFlight []response
 	for n := range count {
 		now := start.Add(time.Duration(n) * interval)
-		inFlight = finish(pk, inFlight, now)
-		rq := prompt(rnd.IntN(subjects), n, 500+core.Tokens(rnd.IntN(12_000)))
+		inFlight = finishResponses(pk, inFlight, now)
+		rq := promptRequest(rnd.IntN(subjects), n, 500+core.Tokens(rnd.IntN(12_000)))
 		if n%3 == 0 {
 			rq.Model = "large"
 		}
@@ -87,12 +87,12 @@
 		fl := pk.Sent(now, ho, rq)
 		inFlight = append(inFlight, response{fl, rq, en.send(now, ho, rq)})
 	}
-	finish(pk, inFlight, start.Add(time.Hour))
+	finishResponses(pk, inFlight, start.Add(time.Hour))
 	return pk
 }
 
-// finish ends the responses whose header has arrived.
-func finish(pk *balance.Picker, inFlight []response, now time.Time) []response {
+// finishResponses ends the responses whose header has arrived.
+func finishResponses(pk *balance.Picker, inFlight []response, now time.Time) []response {
 	var left []response
 	for _, an := range inFlight {
 		if an.headerAt.After(now) {
@@ -105,7 +105,7 @@
 	return left
 }
 
-func prompt(subject, own int, tokens core.Tokens) balance.Request {
+func promptRequest(subject, own int, tokens core.Tokens) balance.Request {
 	shared := core.Part{ID: fmt.Sprint("subject-", subject), Tokens: tokens / 2}
 	ownPart := core.Part{ID: fmt.Sprint("own-", own), Tokens: tokens - tokens/2}
 	return balance.Request{
@@ -114,9 +114,9 @@
 	}
 }
 
-// Engines of another make have a prefill rate five times as high, or as low, as the default that
+// Engines of another type have a prefill rate five times as high, or as low, as the default that
 // the picker starts with, and their models differ by a factor of nine. An entry that keeps the
-// default takes an engine with a short queue for a full one or the other way round, and its callers
+// default mistakes a short queue for a long one or a long queue for a short one, and its callers
 // wait behind long prompts while another engine is idle.
 func TestPrefillRateIsLearned(t *testing.T) {
 	for _, slowdown := range []float64{0.2, 1, 5} {
@@ -126,11 +126,11 @@
 			pk := en.run(interval, 300, 1000)
 			now := start.Add(time.Hour)
 			for mo, thousand := range en.thousand {
-				rq := prompt(5000, 5000, 10_000)
+				rq := promptRequest(5000, 5000, 10_000)
 				rq.Model = mo
 				// Half of a shared part may be assumed to be cached at its home.
 				got, want := float64(pk.ExpectedFirstByte(now, en.hosts, rq)), 8*float64(thousand)
-				assert.Assert(t, got > 0.6*want && got < 1.6*want, "%s: expected %v for %v", mo, time.Duration(got), time.Duration(want))
+				assert.Assert(t, got > 0.6*want && got < 1.6*want, "%s: expected first byte after %v, want about %v", mo, time.Duration(got), time.Duration(want))
 			}
 		})
 	}
@@ -142,11 +142,11 @@
 func TestQueueingIsNotCountedAsPrefill(t *testing.T) {
 	en := newEngines(6, 1)
 	pk := en.run(12*time.Millisecond, 600, 1000)
-	rq := prompt(5000, 5000, 10_000)
+	rq := promptRequest(5000, 5000, 10_000)
 	rq.Model = "large"
 	got := pk.ExpectedFirstByte(start.Add(time.Hour), en.hosts, rq)
 	want := 8 * en.thousand["large"]
-	assert.Assert(t, got < 2*want, "expected %v for %v", got, want)
+	assert.Assert(t, got < 2*want, "expected first byte after %v, want less than twice %v", got, want)
 }
 
 // Forty subjects share half of their prompts, and the small model has a prefill time of 4 ms for a
@@ -165,16 +165,16 @@
 // is in time.
 func TestCachedPrefixDoesNotDelayUrgentRequests(t *testing.T) {
 	rnd := rand.New(rand.NewPCG(3, 1))
-	hosts := pool(2, 64)
+	hosts := poolHosts(2, 64)
 	choose := func(slack time.Duration) core.UpstreamID {
 		pk := balance.New("muc-a", "muc")
-		fl := pk.Sent(start, hosts[0], draft("plan", 0))
-		pk.Begun(start.Add(560*time.Millisecond), fl, draft("plan", 0), nil)
+		fl := pk.Sent(start, hosts[0], draftRequest("plan", 0))
+		pk.Begun(start.Add(560*time.Millisecond), fl, draftRequest("plan", 0), nil)
 		pk.Ended(start.Add(time.Second), fl, balance.Good)
 		for i := range 8 {
-			pk.Sent(start.Add(time.Second), hosts[0], draft(fmt.Sprint("other-", i), 1+i))
+			pk.Sent(start.Add(time.Second), hosts[0], draftRequest(fmt.Sprint("other-", i), 1+i))
 		}
-		rq := draft("plan", 99)
+		rq := draftRequest("plan", 99)
 		rq.Slack = slack
 		ho, _ := pk.Pick(start.Add(time.Second), hosts, rq, rnd.Float64)
 		return ho.ID
--- a/core/forward/doc.go
+++ b/core/forward/doc.go
@@ -8,13 +8,13 @@
 // has received nothing of it; a partly delivered answer may only be resumed after its last whole
 // event.
 //
-// The decisions are pure: they are made in [route], [balance], [canary] and [retry], and by this
+// The decisions do no I/O: they are made in [route], [balance], [canary] and [retry], and by this
 // package's classification of replies and its timeouts. Network access goes through
 // [core.UpstreamClient].
 //
 // # Usage
 //
-//	fw := forward.New(deps, access, forward.Components{…})
+//	fw := forward.New(deps, client, forward.Components{…})
 //	ans, err := fw.Forward(ctx, ex)      // err is a *core.Failure
 //	defer ans.Close()
 //	for piece, err := ans.Next(); err == nil; piece, err = ans.Next() { … }
--- a/core/forward/verdict.go
+++ b/core/forward/verdict.go
@@ -29,15 +29,15 @@
 	unsure
 )
 
-// ran reports whether the work may have run.
-func (ve verdict) ran() bool { return ve == taken || ve == failed || ve == lost || ve == unsure }
+// mayHaveRun reports whether the work may have run.
+func (ve verdict) mayHaveRun() bool { return ve == taken || ve == failed || ve == lost || ve == unsure }
 
 // notRun reports whether the work certainly did not run.
 func (ve verdict) notRun() bool {
 	return ve == refused || ve == stranger || ve == unreached || ve == absent
 }
 
-// outcome returns what a verdict says about the upstream.
+// outcome returns the load balancer's outcome for a verdict.
 func (ve verdict) outcome() balance.Outcome {
 	switch ve {
 	case taken, unsure:
