--- a/app/gateway.go
+++ b/app/gateway.go
@@ -72,22 +72,22 @@
 
 // gatewayProcess holds the components of a gateway that are started and stopped.
 type gatewayProcess struct {
-	set      settings.Gateway
-	deps     core.Deps
-	inf      *route.InForce
-	fleet    *fleet.Fleet
-	replica  *replica.Replica
-	handler  *watch.Handler
-	follower *replica.Follower
-	reg      *registration.Registrar
-	guard    *canary.Guard
-	recorder *canary.Recorder
-	pooler   *canary.Pooler
-	gossiper *sibling.Gossiper
-	syncer   *prefixsync.Syncer
-	gauges   *gauges
-	srv      *front.Server
-	admin    metricsPage
+	set       settings.Gateway
+	deps      core.Deps
+	inf       *route.InForce
+	fleet     *fleet.Fleet
+	replica   *replica.Replica
+	handler   *watch.Handler
+	follower  *replica.Follower
+	reg       *registration.Registrar
+	guard     *canary.Guard
+	recorder  *canary.Recorder
+	collector *canary.Collector
+	gossiper  *sibling.Gossiper
+	syncer    *prefixsync.Syncer
+	gauges    *gauges
+	srv       *front.Server
+	admin     metricsPage
 
 	stop *shutdownState
 }
@@ -124,7 +124,7 @@
 	sup.Add(gw.follower)
 	sup.Add(gw.reg)
 	sup.Add(gw.recorder)
-	sup.Add(gw.pooler)
+	sup.Add(gw.collector)
 	sup.Add(gw.gossiper)
 	sup.Add(gw.syncer)
 	sup.Add(gw.gauges)
--- a/app/gateway_providers.go
+++ b/app/gateway_providers.go
@@ -218,8 +218,8 @@
 	return canary.NewRecorder(deps, gu, st, la, watch.PrefixSteps, func(sv core.ServiceID) int { return me.rank(deps.Self, sv) })
 }
 
-func newPooler(gu *canary.Guard, si *sibling.Siblings) *canary.Pooler {
-	return canary.NewPooler(gu, si)
+func newCollector(gu *canary.Guard, si *sibling.Siblings) *canary.Collector {
+	return canary.NewCollector(gu, si)
 }
 
 func newGossiper(set settings.Gateway, deps core.Deps, fw *forward.Forwarder, fo *replica.Follower, me *members) *sibling.Gossiper {
--- a/app/wire_gen.go
+++ b/app/wire_gen.go
@@ -119,7 +119,7 @@
 		return nil, nil, err
 	}
 	recorder := newRecorder(deps, guard, store, layout, appMembers)
-	pooler := newPooler(guard, siblings)
+	collector := newCollector(guard, siblings)
 	gossiper := newGossiper(set, deps, forwarder, follower, appMembers)
 	syncer := newSyncer(deps, inForce, fleet, upstreams, forwarder, disabled)
 	codec := newCodec()
@@ -127,23 +127,23 @@
 	appGauges := newGauges(deps, inForce, fleet, guard, replicaReplica, forwarder, server)
 	appMetricsPage := appProcess.Page
 	appGatewayProcess := &gatewayProcess{
-		set:      set,
-		deps:     deps,
-		inf:      inForce,
-		fleet:    fleet,
-		replica:  replicaReplica,
-		handler:  handler,
-		follower: follower,
-		reg:      registrar,
-		guard:    guard,
-		recorder: recorder,
-		pooler:   pooler,
-		gossiper: gossiper,
-		syncer:   syncer,
-		gauges:   appGauges,
-		srv:      server,
-		admin:    appMetricsPage,
-		stop:     appShutdownState,
+		set:       set,
+		deps:      deps,
+		inf:       inForce,
+		fleet:     fleet,
+		replica:   replicaReplica,
+		handler:   handler,
+		follower:  follower,
+		reg:       registrar,
+		guard:     guard,
+		recorder:  recorder,
+		collector: collector,
+		gossiper:  gossiper,
+		syncer:    syncer,
+		gauges:    appGauges,
+		srv:       server,
+		admin:     appMetricsPage,
+		stop:      appShutdownState,
 	}
 	return appGatewayProcess, func() {
 		cleanup2()
--- a/core/admission/simulation_job_test.go
+++ b/core/admission/simulation_job_test.go
@@ -114,10 +114,10 @@
 		rq.first, jo.gotFirstToken = si.now-rq.arrived, true
 		jo.en.pk.RecordFirstPiece(si.clock(), pool, up.host.ID, time.Unix(0, 0).Add(sent))
 	})
-	if pieces := seconds(placement.PacePieces * secondsPerToken * factor); rq.output > placement.PacePieces {
+	if pieces := seconds(placement.MeasuredPieces * secondsPerToken * factor); rq.output > placement.MeasuredPieces {
 		si.after(first+jo.delay()+pieces, func() {
 			if valid() {
-				jo.en.pk.RecordPieces(pool, up.host.ID, pieces, placement.PacePieces)
+				jo.en.pk.RecordPieces(pool, up.host.ID, pieces, placement.MeasuredPieces)
 			}
 		})
 	}
--- a/core/balance/balance.go
+++ b/core/balance/balance.go
@@ -18,8 +18,8 @@
 	Prompt core.Tokens
 	// Engine is set for upstreams that batch requests and have a prefix cache.
 	Engine bool
-	// Pool is the route's id: the latencies of each route are learned separately.
-	Pool string
+	// Route is the route's id: the latencies of each route are learned separately.
+	Route string
 	// Tried are the upstreams that are excluded.
 	Tried []core.UpstreamID
 	// Slack is the time left in which a response must begin to meet its target; 0 is no bound.
--- a/core/balance/balance_test.go
+++ b/core/balance/balance_test.go
@@ -29,7 +29,7 @@
 }
 
 func draftRequest(shared string, own int) balance.Request {
-	return balance.Request{Service: "s", Model: "large", Engine: true, Parts: parts(shared, own), Prompt: 16_000, Pool: "draft"}
+	return balance.Request{Service: "s", Model: "large", Engine: true, Parts: parts(shared, own), Prompt: 16_000, Route: "draft"}
 }
 
 // Prompts share long prefixes. An engine that has one cached answers the next in a fifth of the
@@ -85,7 +85,7 @@
 		pk := balance.New("muc-a", "muc")
 		hosts := poolHosts(3, 6)
 		rnd := rand.New(rand.NewPCG(3, 1))
-		rq := balance.Request{Service: "s", Pool: "claim", AtMostOnce: once}
+		rq := balance.Request{Service: "s", Route: "claim", AtMostOnce: once}
 		count := func(from, to int, fails bool) (failing int) {
 			for i := from; i < to; i++ {
 				now := start.Add(time.Duration(i) * 50 * time.Millisecond)
@@ -119,7 +119,7 @@
 	pk := balance.New("muc-a", "muc")
 	hosts := poolHosts(3, 6)
 	rnd := rand.New(rand.NewPCG(4, 1))
-	rq := balance.Request{Service: "s", Pool: "claim"}
+	rq := balance.Request{Service: "s", Route: "claim"}
 	attempts := 0
 	for i := range calls {
 		now := start.Add(time.Duration(i) * 50 * time.Millisecond)
@@ -157,7 +157,7 @@
 	pk := balance.New("muc-a", "muc")
 	hosts := poolHosts(3, 6)
 	rnd := rand.New(rand.NewPCG(5, 1))
-	rq := balance.Request{Service: "s", Pool: "claim"}
+	rq := balance.Request{Service: "s", Route: "claim"}
 	for i := range hosts {
 		fl := pk.Sent(start, hosts[i], rq)
 		load := core.Load{Running: 1, Slots: 6}
@@ -179,7 +179,7 @@
 	pk := balance.New("muc-a", "muc")
 	hosts := append(poolHosts(2, 6), core.Host{ID: "far", Service: "s", Zone: "nue-a", Region: "nue", Slots: 6})
 	rnd := rand.New(rand.NewPCG(6, 1))
-	rq := balance.Request{Service: "s", Pool: "claim"}
+	rq := balance.Request{Service: "s", Route: "claim"}
 	calls := map[core.UpstreamID]int{}
 	for range 18 {
 		ho, _ := pk.Pick(start, hosts, rq, rnd.Float64)
@@ -336,7 +336,7 @@
 func TestNoPrefixHomeWithSiblingLoads(t *testing.T) {
 	rnd := rand.New(rand.NewPCG(5, 1))
 	hosts := poolHosts(8, 64)
-	rq := balance.Request{Service: "s", Model: "large", Engine: true, Prompt: 16_000, Parts: parts("plan", 1), Pool: "draft"}
+	rq := balance.Request{Service: "s", Model: "large", Engine: true, Prompt: 16_000, Parts: parts("plan", 1), Route: "draft"}
 	alone, informed := balance.New("muc-a", "muc"), balance.New("muc-a", "muc")
 	home, _ := alone.Pick(start, hosts, rq, rnd.Float64)
 	busy := balance.Load{Shares: []balance.Share{{Upstream: balance.Hash(home.ID), Own: 1, Pending: 200 * time.Millisecond}}}
--- a/core/balance/herd_test.go
+++ b/core/balance/herd_test.go
@@ -90,7 +90,7 @@
 	pk := entries[from]
 	rq := draftRequest(fmt.Sprint("plan-", rnd.IntN(200)), n)
 	if rnd.Float64() < 0.5 {
-		rq = balance.Request{Service: "s", Model: rq.Model, Pool: "ask", Engine: true, Prompt: shortPrompt}
+		rq = balance.Request{Service: "s", Model: rq.Model, Route: "ask", Engine: true, Prompt: shortPrompt}
 		rq.Parts = []core.Part{{ID: fmt.Sprint("ask-", n), Tokens: shortPrompt}}
 	}
 	rq.Slack = 2 * time.Second
--- a/core/balance/latency.go
+++ b/core/balance/latency.go
@@ -30,7 +30,7 @@
 )
 
 func (pk *Picker) latency(rq Request) *latency {
-	key := latencyKey{rq.Service, rq.Model, rq.Pool}
+	key := latencyKey{rq.Service, rq.Model, rq.Route}
 	pl := pk.latencies[key]
 	if pl == nil {
 		pl = new(latency)
--- a/core/balance/prefill_test.go
+++ b/core/balance/prefill_test.go
@@ -109,7 +109,7 @@
 	shared := core.Part{ID: fmt.Sprint("subject-", subject), Tokens: tokens / 2}
 	ownPart := core.Part{ID: fmt.Sprint("own-", own), Tokens: tokens - tokens/2}
 	return balance.Request{
-		Service: "s", Model: "small", Engine: true, Pool: "draft",
+		Service: "s", Model: "small", Engine: true, Route: "draft",
 		Parts: []core.Part{shared, ownPart}, Prompt: tokens,
 	}
 }
--- a/core/balance/remote_test.go
+++ b/core/balance/remote_test.go
@@ -39,7 +39,7 @@
 	announceLocalWait(pk, 800*time.Millisecond)
 	for range 20 {
 		// The prompt shares nothing, so that no engine is preferred for it.
-		rq := balance.Request{Service: "s", Model: "large", Engine: true, Prompt: 1000, Pool: "ask"}
+		rq := balance.Request{Service: "s", Model: "large", Engine: true, Prompt: 1000, Route: "ask"}
 		ho, _ := pk.Pick(start, twoRegions(), rq, rnd.Float64)
 		assert.Equal(t, ho.Region, core.Region("muc"))
 	}
@@ -58,7 +58,7 @@
 }
 
 // unsharedRequest has a prompt that shares nothing, so that no engine is preferred for it.
-var unsharedRequest = balance.Request{Service: "s", Model: "large", Engine: true, Prompt: 1000, Pool: "ask"}
+var unsharedRequest = balance.Request{Service: "s", Model: "large", Engine: true, Prompt: 1000, Route: "ask"}
 
 // regionLoad returns a region's load, the same at each of its engines.
 func regionLoad(region core.Region, wait time.Duration) balance.RegionLoad {
--- a/core/canary/pool.go
+++ b/core/canary/pool.go
@@ -140,8 +140,8 @@
 	return ""
 }
 
-// Pooler periodically collects the siblings' reports. It implements suture's Service.
-type Pooler struct {
+// Collector periodically collects the siblings' reports. It implements suture's Service.
+type Collector struct {
 	gu  *Guard
 	ens Siblings
 }
@@ -153,11 +153,11 @@
 	collectTimeout  = 700 * time.Millisecond
 )
 
-// NewPooler returns a pooler.
-func NewPooler(gu *Guard, ens Siblings) *Pooler { return &Pooler{gu: gu, ens: ens} }
+// NewCollector returns a collector of the siblings' reports.
+func NewCollector(gu *Guard, ens Siblings) *Collector { return &Collector{gu: gu, ens: ens} }
 
 // Serve implements suture's Service.
-func (po *Pooler) Serve(ctx context.Context) error {
+func (po *Collector) Serve(ctx context.Context) error {
 	ti := time.NewTicker(collectInterval)
 	defer ti.Stop()
 	for {
@@ -172,7 +172,7 @@
 	}
 }
 
-func (po *Pooler) collect(ctx context.Context) {
+func (po *Collector) collect(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, collectTimeout)
 	defer cancel()
 	reports := po.ens.Reports(ctx)
--- a/core/canary/pool_test.go
+++ b/core/canary/pool_test.go
@@ -33,7 +33,7 @@
 			gu.Order(began, canary.Order{Service: service, Target: v2, Duration: time.Minute, Revision: 5})
 		}
 		ctx, cancel := context.WithCancel(t.Context())
-		for _, po := range []*canary.Pooler{canary.NewPooler(one, remoteEntry{two}), canary.NewPooler(two, remoteEntry{one})} {
+		for _, po := range []*canary.Collector{canary.NewCollector(one, remoteEntry{two}), canary.NewCollector(two, remoteEntry{one})} {
 			go func() { _ = po.Serve(ctx) }()
 		}
 		time.Sleep(30 * time.Second)
@@ -44,7 +44,7 @@
 		// A restarted entry takes the elapsed time from the other one.
 		late := canary.New()
 		late.Order(time.Now(), canary.Order{Service: service, Target: v2, Duration: time.Minute, Revision: 5})
-		go func() { _ = canary.NewPooler(late, remoteEntry{one}).Serve(ctx) }()
+		go func() { _ = canary.NewCollector(late, remoteEntry{one}).Serve(ctx) }()
 		time.Sleep(2 * time.Second)
 		elapsed := time.Duration(late.Reports(time.Now())[0].Elapsed) * time.Millisecond
 		assert.Assert(t, elapsed > 31*time.Second && elapsed <= 32*time.Second, "elapsed time is %s after 32 seconds", elapsed)
--- a/core/declaration/check.go
+++ b/core/declaration/check.go
@@ -21,9 +21,9 @@
 	return to.resolveRisks(fi, true).err()
 }
 
-// Accepted returns the entries of accept-risks that the change from one document
+// AcceptedRisks returns the entries of accept-risks that the change from one document
 // to another needs, for the audit record.
-func Accepted(from, to *Document) []AcceptRisk {
+func AcceptedRisks(from, to *Document) []AcceptRisk {
 	fi := to.inspect()
 	inspectChange(fi, from, to)
 	var out []AcceptRisk
--- a/core/declaration/check_test.go
+++ b/core/declaration/check_test.go
@@ -106,7 +106,7 @@
 	risk := declaration.AcceptRisk{Rule: string(declaration.RollOutStep), Place: "roll-outs[desk]", Reason: "v1 leaks addresses"}
 	to.AcceptRisks = []declaration.AcceptRisk{risk}
 	assert.NilError(t, declaration.CheckChange(validDocument(), to))
-	assert.DeepEqual(t, declaration.Accepted(validDocument(), to), []declaration.AcceptRisk{risk})
+	assert.DeepEqual(t, declaration.AcceptedRisks(validDocument(), to), []declaration.AcceptRisk{risk})
 	assert.NilError(t, to.Check(), "Check must not report an unused accept-risks entry about a change, since it sees no change")
 }
 
--- a/core/declaration/publish/publish.go
+++ b/core/declaration/publish/publish.go
@@ -195,7 +195,7 @@
 		Number: newest.Number + 1, Document: doc,
 		Audit: declaration.Audit{
 			Who: pr.Who, When: pub.now().UTC(), Why: pr.Why, Base: newest.Number,
-			Changed: declaration.Diff(old, &doc), Effects: declaration.Effects(old, &doc), Accepted: declaration.Accepted(old, &doc),
+			Changed: declaration.Diff(old, &doc), Effects: declaration.Effects(old, &doc), Accepted: declaration.AcceptedRisks(old, &doc),
 		},
 	}
 	return res, nil
--- a/core/dispatch/chat_test.go
+++ b/core/dispatch/chat_test.go
@@ -115,7 +115,7 @@
 	for {
 		piece, err := out.Next()
 		if errors.Is(err, io.EOF) {
-			out.Settle()
+			out.FileBill()
 			assert.Equal(t, text, out.Target.String())
 			return text, nil
 		}
--- a/core/dispatch/dispatch.go
+++ b/core/dispatch/dispatch.go
@@ -6,7 +6,7 @@
 //	dis := dispatch.New(deps, inForce, upstreams, rater, ledger)
 //	out, err := dis.Chat(ctx, rq)
 //	io.Copy(w, out)        // out.Next until io.EOF
-//	out.Settle()           // files the bill, before the end of the answer is sent to the caller
+//	out.FileBill()         // files the bill, before the end of the answer is sent to the caller
 //
 // Errors are [core.Failure]s. A failure with [core.NotRun] guarantees that no stage of the
 // request reached an upstream.
--- a/core/dispatch/outcome.go
+++ b/core/dispatch/outcome.go
@@ -98,7 +98,7 @@
 	}
 }
 
-// Settle files the request's one bill and sends a copy to the agent. It is called after the whole
+// FileBill files the request's one bill and sends a copy to the agent. It is called after the whole
 // answer has been read and before its end is sent to the caller: if the entry dies in
 // between, the request stays unbilled rather than billed without an answer.
 //
@@ -107,7 +107,7 @@
 // and the request would be billed twice. The bill for a replayed answer of an operation names
 // the attempt that ran it, and the ledger charges only one of the two: the first may never have
 // been billed, because its caller disconnected or its entry died.
-func (out *Outcome) Settle() ledger.Bill {
+func (out *Outcome) FileBill() ledger.Bill {
 	if out.bill.Request != "" {
 		return out.bill
 	}
--- a/core/dispatch/shared_picker.go
+++ b/core/dispatch/shared_picker.go
@@ -122,12 +122,12 @@
 		wa.pl.pk.ChargeCrossRegion(time.Now(), len(data))
 		wa.pl.mu.Unlock()
 	case errors.Is(err, io.EOF) && wa.po.Whole:
-		if out := int(wa.Usage().Generated); out >= placement.PaceTokens {
+		if out := int(wa.Usage().Generated); out >= placement.MinMeasuredTokens {
 			wa.recordPieces(time.Since(wa.sent), out)
 		}
 	}
-	if err == nil && !wa.po.Whole && wa.pieces == placement.PacePieces+1 {
-		wa.recordPieces(time.Since(wa.began), placement.PacePieces)
+	if err == nil && !wa.po.Whole && wa.pieces == placement.MeasuredPieces+1 {
+		wa.recordPieces(time.Since(wa.began), placement.MeasuredPieces)
 	}
 	return data, err
 }
--- a/core/forward/job.go
+++ b/core/forward/job.go
@@ -182,7 +182,7 @@
 func (jb *job) request() balance.Request {
 	return balance.Request{
 		Service: jb.service, Model: jb.model(), Parts: jb.ex.Parts, Prompt: jb.ex.Prompt,
-		Engine: len(jb.ex.Parts) > 0 || jb.ex.Prompt > 0, Pool: jb.rt.ID, Tried: jb.tried,
+		Engine: len(jb.ex.Parts) > 0 || jb.ex.Prompt > 0, Route: jb.rt.ID, Tried: jb.tried,
 		AtMostOnce: !jb.rt.Retry.Retryable(), Slack: jb.slack(),
 		RemoteOnly: jb.trafficClass().remote,
 	}
--- a/core/placement/outlier.go
+++ b/core/placement/outlier.go
@@ -61,14 +61,14 @@
 	// caller, so the probes stay well below one attempt in a hundred.
 	probePicks    = 400
 	probeInterval = 30 * time.Second
-	// PacePieces is the number of pieces after the first over which the time per
+	// MeasuredPieces is the number of pieces after the first over which the time per
 	// piece of a response is measured: few enough to detect a slow upstream before
 	// its responses end, and enough that a single late packet has little effect.
-	PacePieces = 8
-	// PaceTokens is the length, in tokens, of the shortest whole response whose time
+	MeasuredPieces = 8
+	// MinMeasuredTokens is the length, in tokens, of the shortest whole response whose time
 	// per token is measured. It includes the time to first token, so a short response
 	// would make its upstream look slow.
-	PaceTokens = 64
+	MinMeasuredTokens = 64
 )
 
 func (pk *Picker) pool(po Pool) *poolStats {
--- a/io/caller/relay.go
+++ b/io/caller/relay.go
@@ -12,7 +12,7 @@
 )
 
 // relay copies a response to the caller. It holds back the end of the response until the
-// request is settled: the bill must be recorded before the caller has the whole response.
+// request's bill is filed: the bill must be recorded before the caller has the whole response.
 func (srv *Server) relay(w http.ResponseWriter, id core.RequestID, out *dispatch.Outcome, stream bool, ad *admitted) error {
 	if stream {
 		return srv.relayStream(w, id, out, ad)
@@ -58,7 +58,7 @@
 		srv.abortStream(w, id, err)
 		return nil
 	}
-	ad.recordUsage(out.Settle())
+	ad.recordUsage(out.FileBill())
 	_, _ = w.Write(pending)
 	return nil
 }
@@ -72,7 +72,7 @@
 		chunk, err := out.Next()
 		switch {
 		case errors.Is(err, io.EOF):
-			ad.recordUsage(out.Settle())
+			ad.recordUsage(out.FileBill())
 			if !started {
 				writeHeader(w, out)
 			}
--- a/standin/upstream/upstream.go
+++ b/standin/upstream/upstream.go
@@ -41,9 +41,9 @@
 
 // Run records a request that was run.
 type Run struct {
-	ID, Path, Method, Body, Workspace, Model, After string
-	DeadlineMs                                      int
-	Header                                          http.Header
+	ID, Path, Method, Body, Workspace, Model, LastEventID string
+	DeadlineMs                                            int
+	Header                                                http.Header
 }
 
 // Upstream is an upstream. It implements http.Handler and is safe for concurrent use.
@@ -132,7 +132,7 @@
 	ms, _ := strconv.Atoi(hd.Get("X-Skylarkstand-Deadline-Ms"))
 	return Run{
 		ID: hd.Get("X-Skylarkstand-Attempt-Id"), Path: rq.RequestURI, Method: rq.Method, Body: string(body),
-		Workspace: hd.Get("X-Skylarkstand-Tenant"), Model: hd.Get("X-Skylarkstand-Model"), After: hd.Get("Last-Event-Id"),
+		Workspace: hd.Get("X-Skylarkstand-Tenant"), Model: hd.Get("X-Skylarkstand-Model"), LastEventID: hd.Get("Last-Event-Id"),
 		DeadlineMs: ms, Header: hd.Clone(),
 	}
 }
--- a/test/gateway/gateway_test.go
+++ b/test/gateway/gateway_test.go
@@ -101,7 +101,7 @@
 	}
 	resumed := 0
 	for _, run := range wo.lms[1].Runs() {
-		if run.After == "2" {
+		if run.LastEventID == "2" {
 			resumed++
 		}
 		assert.Equal(t, run.Model, "small")
