--- a/app/explain.go
+++ b/app/explain.go
@@ -21,11 +21,11 @@
 	if err != nil {
 		return err
 	}
-	st := lo.Trace(core.RequestID(cmd.Request))
-	if err := st.Write(os.Stdout); err != nil {
+	tr := lo.Trace(core.RequestID(cmd.Request))
+	if err := tr.Write(os.Stdout); err != nil {
 		return err
 	}
-	if len(st.Lines) == 0 {
+	if len(tr.Lines) == 0 {
 		return eris.Errorf("the logs contain no line with the request id %s; check the id and the log files", cmd.Request)
 	}
 	return nil
--- a/app/gateway_providers.go
+++ b/app/gateway_providers.go
@@ -178,35 +178,35 @@
 	return sibling.New(cl, func() []string { return me.others(set.Siblings) }, rand.IntN)
 }
 
-func newFollower(set settings.Gateway, deps core.Deps, mi *replica.Replica, st *platform.Store, si *sibling.Siblings, me *members, off mechanism.Disabled) *replica.Follower {
+func newFollower(set settings.Gateway, deps core.Deps, re *replica.Replica, st *platform.Store, si *sibling.Siblings, me *members, off mechanism.Disabled) *replica.Follower {
 	if off.Has(mechanism.StoreReaders) {
-		return replica.NewFollower(deps, mi, st, si)
+		return replica.NewFollower(deps, re, st, si)
 	}
 	isReader := func() bool { return me.isReader(deps.Self, set.Regions, deps.Region) }
-	return replica.NewFollower(deps, mi, st, si, replica.IsReader(isReader))
+	return replica.NewFollower(deps, re, st, si, replica.IsReader(isReader))
 }
 
-func newForwarder(set settings.Gateway, deps core.Deps, inf *route.InForce, fl *fleet.Fleet, gu *canary.Guard, wu *warmup.Tracker, mi *replica.Replica, ac core.UpstreamClient, sc *shutdownState, me *members, off mechanism.Disabled) *forward.Forwarder {
+func newForwarder(set settings.Gateway, deps core.Deps, inf *route.InForce, fl *fleet.Fleet, gu *canary.Guard, wt *warmup.Tracker, rep *replica.Replica, ac core.UpstreamClient, sc *shutdownState, me *members, off mechanism.Disabled) *forward.Forwarder {
 	re := set.RetryBudget
 	slack := func() float64 { return retry.SlackShare(re.Slack, me.count()) }
 	return forward.New(deps, ac, forward.Components{
-		InForce: inf, Fleet: fl, Canary: gu, Warmup: wu,
-		ConfigAge:      func() time.Duration { return mi.Age(time.Now()) },
+		InForce: inf, Fleet: fl, Canary: gu, Warmup: wt,
+		ConfigAge:      func() time.Duration { return rep.Age(time.Now()) },
 		NewRetryWindow: forward.RetryWindows(time.Duration(re.Window), re.Ratio, slack),
 		Stopping:       sc.remaining, Off: off,
 	})
 }
 
-func newWatchHandler(deps core.Deps, la platform.Layout, inf *route.InForce, fl *fleet.Fleet, gu *canary.Guard, wu *warmup.Tracker, fo *replica.Follower, fw *forward.Forwarder, cl *upstream.Client, me *members) *watch.Handler {
-	fd := watch.New(deps, la, watch.Targets{
-		InForce: inf, Fleet: fl, Canary: gu, Warmup: wu, Regions: la.Regions, Doubtful: fo.Doubtful,
+func newWatchHandler(deps core.Deps, la platform.Layout, inf *route.InForce, fl *fleet.Fleet, gu *canary.Guard, wt *warmup.Tracker, fo *replica.Follower, fw *forward.Forwarder, cl *upstream.Client, me *members) *watch.Handler {
+	ha := watch.New(deps, la, watch.Targets{
+		InForce: inf, Fleet: fl, Canary: gu, Warmup: wt, Regions: la.Regions, Doubtful: fo.Doubtful,
 		OnRemoved: func(ho core.Host) {
 			cl.CloseIdle(ho.Addr)
 			fw.Forget(ho.ID)
 		},
 	})
-	me.list, me.count = fd.Members, fd.EntryCount
-	return fd
+	me.list, me.count = ha.Members, ha.EntryCount
+	return ha
 }
 
 func newRegistrar(set settings.Gateway, deps core.Deps, st *platform.Store) (*registration.Registrar, error) {
--- a/app/gauges.go
+++ b/app/gauges.go
@@ -31,8 +31,8 @@
 	srv     *front.Server
 }
 
-func newGauges(deps core.Deps, inf *route.InForce, fl *fleet.Fleet, gu *canary.Guard, mi *replica.Replica, fw *forward.Forwarder, srv *front.Server) *gauges {
-	return &gauges{deps.Metrics, inf, fl, gu, mi, fw, srv}
+func newGauges(deps core.Deps, inf *route.InForce, fl *fleet.Fleet, gu *canary.Guard, re *replica.Replica, fw *forward.Forwarder, srv *front.Server) *gauges {
+	return &gauges{deps.Metrics, inf, fl, gu, re, fw, srv}
 }
 
 // Serve implements suture.Service.
--- a/core/chain/chain_test.go
+++ b/core/chain/chain_test.go
@@ -54,27 +54,27 @@
 	return &harness{st: st, ch: chain.New(st, "row")}
 }
 
-func (wo *harness) record(in operation, fn func() outcome) {
+func (ha *harness) record(in operation, fn func() outcome) {
 	called := time.Now().UnixNano()
 	out := fn()
 	op := porcupine.Operation{Input: in, Output: out, Call: called, Return: time.Now().UnixNano()}
 	if errors.Is(out.err, chain.ErrOutcomeUnknown) {
 		op.Return = math.MaxInt64
 	}
-	wo.mu.Lock()
-	defer wo.mu.Unlock()
-	op.ClientId = len(wo.history)
-	wo.history = append(wo.history, op)
+	ha.mu.Lock()
+	defer ha.mu.Unlock()
+	op.ClientId = len(ha.history)
+	ha.history = append(ha.history, op)
 }
 
 // write starts a writer that looks up the last entry, is paused, and writes the next entry.
-func (wo *harness) write(pause, deadline time.Duration, seal bool) {
-	wo.mu.Lock()
-	wo.lastNonce++
-	nonce := fmt.Sprintf("nonce-%d", wo.lastNonce)
-	wo.mu.Unlock()
-	wo.tasks.Go(func() {
-		last, err := wo.ch.Last(context.Background())
+func (ha *harness) write(pause, deadline time.Duration, seal bool) {
+	ha.mu.Lock()
+	ha.lastNonce++
+	nonce := fmt.Sprintf("nonce-%d", ha.lastNonce)
+	ha.mu.Unlock()
+	ha.tasks.Go(func() {
+		last, err := ha.ch.Last(context.Background())
 		if err != nil || last.Seal {
 			return
 		}
@@ -83,52 +83,52 @@
 		defer cancel()
 		n := last.Number + 1
 		if seal {
-			_ = wo.ch.Seal(ctx, n)
+			_ = ha.ch.Seal(ctx, n)
 			return
 		}
-		wo.record(operation{n, nonce}, func() outcome {
-			return outcome{err: wo.ch.CreateAs(ctx, n, nonce, fmt.Appendf(nil, "%q", nonce))}
+		ha.record(operation{n, nonce}, func() outcome {
+			return outcome{err: ha.ch.CreateAs(ctx, n, nonce, fmt.Appendf(nil, "%q", nonce))}
 		})
 	})
 }
 
-func (wo *harness) read(n uint64) {
-	wo.tasks.Go(func() {
-		en, err := wo.ch.Read(context.Background(), n)
+func (ha *harness) read(n uint64) {
+	ha.tasks.Go(func() {
+		en, err := ha.ch.Read(context.Background(), n)
 		if err == nil && !en.Seal && string(en.Payload) != fmt.Sprintf("%q", en.Nonce) {
-			wo.addViolation("entry %d holds the payload %s, its nonce is %s", n, en.Payload, en.Nonce)
+			ha.addViolation("entry %d holds the payload %s, its nonce is %s", n, en.Payload, en.Nonce)
 		}
 		if !errors.Is(err, chain.ErrStoreUnavailable) && !en.Seal {
-			wo.record(operation{number: n}, func() outcome { return outcome{nonce: en.Nonce, err: err} })
+			ha.record(operation{number: n}, func() outcome { return outcome{nonce: en.Nonce, err: err} })
 		}
 	})
 }
 
 // compact replaces the entries up to the one before the last by a snapshot of their nonces, which
 // it reads as a reader does: the snapshot and the entries after it.
-func (wo *harness) compact() {
-	wo.tasks.Go(func() {
-		sum, last, err := wo.readAll()
+func (ha *harness) compact() {
+	ha.tasks.Go(func() {
+		sum, last, err := ha.readAll()
 		if err != nil || last < 2 || len(sum) < int(last) {
 			return
 		}
-		err = wo.ch.Compact(context.Background(), last-1, fmt.Appendf(nil, "%q", fmt.Sprint(sum[:last-1])))
+		err = ha.ch.Compact(context.Background(), last-1, fmt.Appendf(nil, "%q", fmt.Sprint(sum[:last-1])))
 		if errors.Is(err, chain.ErrNotAccepted) {
-			wo.addViolation("entry %d was read but Compact reports that it is not accepted", last)
+			ha.addViolation("entry %d was read but Compact reports that it is not accepted", last)
 		}
 	})
 }
 
 // readAll returns the nonces of all entries, and the number of the last entry. Entries that the
 // snapshot replaces may be pruned.
-func (wo *harness) readAll() ([]string, uint64, error) {
-	sn, err := wo.ch.Snapshot(context.Background())
+func (ha *harness) readAll() ([]string, uint64, error) {
+	sn, err := ha.ch.Snapshot(context.Background())
 	if err != nil {
 		return nil, 0, err
 	}
 	var nonces []string
 	for n := uint64(1); ; n++ {
-		en, err := wo.ch.Read(context.Background(), n)
+		en, err := ha.ch.Read(context.Background(), n)
 		switch {
 		case errors.Is(err, chain.ErrAbsent):
 			return nonces, n - 1, nil
@@ -142,10 +142,10 @@
 	}
 }
 
-func (wo *harness) addViolation(format string, args ...any) {
-	wo.mu.Lock()
-	defer wo.mu.Unlock()
-	wo.violations = append(wo.violations, fmt.Sprintf(format, args...))
+func (ha *harness) addViolation(format string, args ...any) {
+	ha.mu.Lock()
+	defer ha.mu.Unlock()
+	ha.violations = append(ha.violations, fmt.Sprintf(format, args...))
 }
 
 // Writers race for the next entry, are paused before they write and resume on a sealed or compacted
@@ -155,31 +155,31 @@
 func TestChainAcceptsOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rapid.Check(noDeadline{t}, func(rt *rapid.T) {
-			wo := newHarness()
-			defer wo.tasks.Wait()
-			rt.Repeat(wo.actions())
-			wo.st.SetFaults(fakestore.Faults{})
-			wo.tasks.Wait()
-			wo.st.ApplyLateWrites()
-			wo.checkFinalState(rt)
+			ha := newHarness()
+			defer ha.tasks.Wait()
+			rt.Repeat(ha.actions())
+			ha.st.SetFaults(fakestore.Faults{})
+			ha.tasks.Wait()
+			ha.st.ApplyLateWrites()
+			ha.checkFinalState(rt)
 		})
 	})
 }
 
-func (wo *harness) actions() map[string]func(*rapid.T) {
+func (ha *harness) actions() map[string]func(*rapid.T) {
 	durations := func(ds ...time.Duration) *rapid.Generator[time.Duration] { return rapid.SampledFrom(ds) }
 	return map[string]func(*rapid.T){
 		"write": func(rt *rapid.T) {
 			pause := durations(0, 0, 10*time.Millisecond, time.Minute).Draw(rt, "pause")
 			deadline := durations(time.Millisecond, time.Second, time.Hour).Draw(rt, "deadline")
-			wo.write(pause, deadline, rapid.IntRange(0, 15).Draw(rt, "seal") == 0)
+			ha.write(pause, deadline, rapid.IntRange(0, 15).Draw(rt, "seal") == 0)
 		},
-		"read": func(rt *rapid.T) { wo.read(rapid.Uint64Range(1, 6).Draw(rt, "number")) },
-		"fold": func(*rapid.T) { wo.compact() },
-		"land": func(*rapid.T) { wo.st.ApplyLateWrites() },
+		"read": func(rt *rapid.T) { ha.read(rapid.Uint64Range(1, 6).Draw(rt, "number")) },
+		"fold": func(*rapid.T) { ha.compact() },
+		"land": func(*rapid.T) { ha.st.ApplyLateWrites() },
 		"wait": func(rt *rapid.T) { time.Sleep(durations(time.Millisecond, time.Second).Draw(rt, "time")) },
 		"faults": func(rt *rapid.T) {
-			wo.st.SetFaults(fakestore.Faults{
+			ha.st.SetFaults(fakestore.Faults{
 				Down:      rapid.IntRange(0, 4).Draw(rt, "down") == 0,
 				LoseReply: 0.2, LoseWrite: 0.1, DelayWrite: 0.2, Refuse: 0.1,
 				WriteDelay: durations(0, 30*time.Millisecond, time.Second).Draw(rt, "late"),
@@ -189,18 +189,18 @@
 	}
 }
 
-func (wo *harness) checkFinalState(rt *rapid.T) {
-	if len(wo.violations) > 0 {
-		rt.Fatal(wo.violations)
+func (ha *harness) checkFinalState(rt *rapid.T) {
+	if len(ha.violations) > 0 {
+		rt.Fatal(ha.violations)
 	}
-	nonces, last, err := wo.readAll()
+	nonces, last, err := ha.readAll()
 	assert.NilError(rt, err)
-	sn, err := wo.ch.Snapshot(context.Background())
+	sn, err := ha.ch.Snapshot(context.Background())
 	assert.NilError(rt, err)
 	if want := fmt.Sprintf("%q", fmt.Sprint(nonces[:sn.Through])); sn.Through > 0 && string(sn.Payload) != want {
 		rt.Fatalf("the snapshot holds %s, the chain %s", sn.Payload, want)
 	}
-	end, err := wo.ch.Last(context.Background())
+	end, err := ha.ch.Last(context.Background())
 	assert.NilError(rt, err)
 	assert.Equal(rt, end.Number, last)
 	seen := map[string]uint64{}
@@ -211,18 +211,18 @@
 		seen[nonce] = uint64(i + 1)
 	}
 	for n := uint64(1); n <= last+1; n++ {
-		wo.checkLinearizable(rt, n)
+		ha.checkLinearizable(rt, n)
 	}
 }
 
 // checkLinearizable checks an entry's history against a register that is written once.
-func (wo *harness) checkLinearizable(rt *rapid.T, n uint64) {
+func (ha *harness) checkLinearizable(rt *rapid.T, n uint64) {
 	model := porcupine.NondeterministicModel{
 		Init: func() []any { return []any{""} },
 		Step: func(state, in, out any) []any { return step(state.(string), in.(operation), out.(outcome)) },
 	}
 	var ops []porcupine.Operation
-	for _, op := range wo.history {
+	for _, op := range ha.history {
 		if op.Input.(operation).number == n {
 			ops = append(ops, op)
 		}
--- a/core/claim/archive_test.go
+++ b/core/claim/archive_test.go
@@ -70,8 +70,8 @@
 // be gone from the store.
 func TestArchivedClaims(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		wo := newHarness(2)
-		defer wo.stop()
+		ha := newHarness(2)
+		defer ha.stop()
 		const many = 40
 		reqs := sameBucket(many + 12)
 		fresh := reqs[many+10:]
@@ -79,34 +79,34 @@
 		for at := time.Now(); reqs[0].Key.Bucket() != 0 || len(reqs[0].Key.Idempotency) < 36; at = at.Add(time.Millisecond) {
 			reqs[0].Key.Idempotency = keyOf(at)
 		}
-		wo.claimAndFinishAll(t, reqs[:many])
+		ha.claimAndFinishAll(t, reqs[:many])
 		time.Sleep(23 * time.Hour)
 		for _, req := range reqs[:many] {
 			first := req.Attempt
 			req.Attempt = "again"
-			out, err := wo.agents[1].tbl.Claim(t.Context(), req)
+			out, err := ha.agents[1].tbl.Claim(t.Context(), req)
 			assert.NilError(t, err)
 			assert.Equal(t, out.State, claim.Done)
 			assert.Equal(t, string(out.Answer.Body), string(first))
 			req.Digest = "another body"
-			_, err = wo.agents[1].tbl.Claim(t.Context(), req)
+			_, err = ha.agents[1].tbl.Claim(t.Context(), req)
 			assert.ErrorIs(t, err, claim.ErrReused)
 		}
-		before, err := wo.st.List(t.Context(), "claims/")
+		before, err := ha.st.List(t.Context(), "claims/")
 		assert.NilError(t, err)
 		// A day and an hour later the first segments are deleted, while the bucket itself keeps its
 		// claims.
-		wo.claimAndFinishAll(t, reqs[many:])
+		ha.claimAndFinishAll(t, reqs[many:])
 		time.Sleep(2 * time.Hour)
-		longer, cleanup := claim.New(core.NewDeps(), wo.st, claim.Retention(1000*time.Hour), claim.MaxBucketBytes(4<<10))
+		longer, cleanup := claim.New(core.NewDeps(), ha.st, claim.Retention(1000*time.Hour), claim.MaxBucketBytes(4<<10))
 		defer cleanup()
-		wo.claimAndFinishAll(t, fresh[:1])
+		ha.claimAndFinishAll(t, fresh[:1])
 		_, err = longer.Claim(t.Context(), reqs[0])
 		assert.ErrorIs(t, err, claim.ErrExpired)
 		time.Sleep(50 * time.Hour)
-		wo.claimAndFinishAll(t, fresh[1:])
+		ha.claimAndFinishAll(t, fresh[1:])
 		time.Sleep(time.Minute)
-		after, err := wo.st.List(t.Context(), "claims/")
+		after, err := ha.st.List(t.Context(), "claims/")
 		assert.NilError(t, err)
 		assert.Assert(t, len(before) > 10 && len(after) == 1, "%d keys before, %d after", len(before), len(after))
 		out, err := longer.Claim(t.Context(), sameBucket(60)[59])
@@ -116,12 +116,12 @@
 }
 
 // claimAndFinishAll claims each request at the first agent and stores its attempt ID as the answer.
-func (wo *harness) claimAndFinishAll(t *testing.T, reqs []claim.Request) {
+func (ha *harness) claimAndFinishAll(t *testing.T, reqs []claim.Request) {
 	for _, req := range reqs {
-		out, err := wo.agents[0].tbl.Claim(t.Context(), req)
+		out, err := ha.agents[0].tbl.Claim(t.Context(), req)
 		assert.NilError(t, err)
 		assert.Equal(t, out.State, claim.Owned)
-		assert.NilError(t, wo.agents[0].tbl.Finish(t.Context(), req, claim.Answer{Status: 200, Body: []byte(req.Attempt)}))
+		assert.NilError(t, ha.agents[0].tbl.Finish(t.Context(), req, claim.Answer{Status: 200, Body: []byte(req.Attempt)}))
 	}
 }
 
@@ -131,24 +131,24 @@
 func TestArchiveInDoubt(t *testing.T) {
 	for _, faults := range []fakestore.Faults{{LoseReply: 1}, {LoseWrite: 1}, {Refuse: 1}} {
 		synctest.Test(t, func(t *testing.T) {
-			wo := newHarness(2)
-			defer wo.stop()
+			ha := newHarness(2)
+			defer ha.stop()
 			done := false
-			wo.st.SetHook(func(op fakestore.Op) {
+			ha.st.SetHook(func(op fakestore.Op) {
 				switch {
 				case op.Key == "claims/booking/0/1" && op.Name == "create" && !done:
 					done = true
-					wo.st.SetFaults(faults)
+					ha.st.SetFaults(faults)
 				case done:
-					wo.st.SetFaults(fakestore.Faults{})
+					ha.st.SetFaults(fakestore.Faults{})
 				}
 			})
 			reqs := sameBucket(12)
-			wo.claimAndFinishAll(t, reqs)
+			ha.claimAndFinishAll(t, reqs)
 			assert.Assert(t, done)
 			for _, req := range reqs {
 				req.Attempt = "again"
-				out, err := wo.agents[1].tbl.Claim(t.Context(), req)
+				out, err := ha.agents[1].tbl.Claim(t.Context(), req)
 				assert.NilError(t, err)
 				assert.Equal(t, out.State, claim.Done)
 			}
--- a/core/claim/harness_test.go
+++ b/core/claim/harness_test.go
@@ -50,15 +50,15 @@
 }
 
 func newHarness(agents int) *harness {
-	wo := &harness{st: fakestore.New(), runs: map[string][]core.AttemptID{}, notRun: map[core.AttemptID]bool{}}
+	ha := &harness{st: fakestore.New(), runs: map[string][]core.AttemptID{}, notRun: map[core.AttemptID]bool{}}
 	for range agents {
-		wo.agents = append(wo.agents, wo.newAgent())
+		ha.agents = append(ha.agents, ha.newAgent())
 	}
-	return wo
+	return ha
 }
 
-func (wo *harness) newAgent() *agent {
-	tbl, cleanup := claim.New(core.NewDeps(), wo.st, claim.WriteBudget(50), claim.MaxBucketBytes(4<<10))
+func (ha *harness) newAgent() *agent {
+	tbl, cleanup := claim.New(core.NewDeps(), ha.st, claim.WriteBudget(50), claim.MaxBucketBytes(4<<10))
 	return &agent{tbl: tbl, stop: cleanup}
 }
 
@@ -70,94 +70,94 @@
 }
 
 // call sends one request with a key to an agent, in its own goroutine.
-func (wo *harness) call(ag *agent, key string, pl callPlan) {
-	wo.mu.Lock()
-	wo.lastAttempt++
-	req := request(key, core.AttemptID(fmt.Sprintf("attempt-%d", wo.lastAttempt)))
-	wo.mu.Unlock()
-	wo.calls.Go(func() {
+func (ha *harness) call(ag *agent, key string, pl callPlan) {
+	ha.mu.Lock()
+	ha.lastAttempt++
+	req := request(key, core.AttemptID(fmt.Sprintf("attempt-%d", ha.lastAttempt)))
+	ha.mu.Unlock()
+	ha.calls.Go(func() {
 		ctx, cancel := context.WithTimeout(context.Background(), pl.deadline)
 		defer cancel()
-		op := wo.recordCall(input{claiming, req.Attempt}, key)
+		op := ha.recordCall(input{claiming, req.Attempt}, key)
 		out, err := ag.tbl.Claim(ctx, req)
-		wo.recordReturn(op, output{state: out.State, attempt: out.Attempt, err: err})
+		ha.recordReturn(op, output{state: out.State, attempt: out.Attempt, err: err})
 		switch {
 		case err != nil:
-			wo.markNotRun(req.Attempt)
+			ha.markNotRun(req.Attempt)
 		case out.State == claim.Owned:
 			time.Sleep(pl.pause)
-			wo.runOwned(ag, key, req, pl.end)
+			ha.runOwned(ag, key, req, pl.end)
 		case out.State == claim.Done:
-			wo.expect(string(out.Answer.Body) == string(out.Attempt), "the caller of %s got the answer %q for attempt %s", key, out.Answer.Body, out.Attempt)
+			ha.expect(string(out.Answer.Body) == string(out.Attempt), "the caller of %s got the answer %q for attempt %s", key, out.Answer.Body, out.Attempt)
 		}
 	})
 }
 
-func (wo *harness) runOwned(ag *agent, key string, req claim.Request, end string) {
-	wo.mu.Lock()
+func (ha *harness) runOwned(ag *agent, key string, req claim.Request, end string) {
+	ha.mu.Lock()
 	if ag.dead {
-		wo.mu.Unlock()
+		ha.mu.Unlock()
 		return
 	}
 	if end != "release" {
-		wo.runs[key] = append(wo.runs[key], req.Attempt)
+		ha.runs[key] = append(ha.runs[key], req.Attempt)
 	}
-	wo.mu.Unlock()
+	ha.mu.Unlock()
 	switch end {
 	case "answer":
-		op := wo.recordCall(input{finishing, req.Attempt}, key)
+		op := ha.recordCall(input{finishing, req.Attempt}, key)
 		err := ag.tbl.Finish(context.Background(), req, claim.Answer{Status: 200, Body: []byte(req.Attempt)})
-		wo.recordReturn(op, output{err: err})
+		ha.recordReturn(op, output{err: err})
 	case "release":
-		wo.markNotRun(req.Attempt)
-		op := wo.recordCall(input{releasing, req.Attempt}, key)
+		ha.markNotRun(req.Attempt)
+		op := ha.recordCall(input{releasing, req.Attempt}, key)
 		err := ag.tbl.Release(context.Background(), req)
-		wo.recordReturn(op, output{err: err})
+		ha.recordReturn(op, output{err: err})
 	case "lost":
 		ag.tbl.MarkOutcomeUnknown(req, core.OutcomeUnknown("the service broke the call off"))
 	}
 }
 
-func (wo *harness) markNotRun(id core.AttemptID) {
-	wo.mu.Lock()
-	defer wo.mu.Unlock()
-	wo.notRun[id] = true
+func (ha *harness) markNotRun(id core.AttemptID) {
+	ha.mu.Lock()
+	defer ha.mu.Unlock()
+	ha.notRun[id] = true
 }
 
-func (wo *harness) expect(ok bool, format string, args ...any) {
+func (ha *harness) expect(ok bool, format string, args ...any) {
 	if !ok {
-		wo.mu.Lock()
-		defer wo.mu.Unlock()
-		wo.violations = append(wo.violations, fmt.Sprintf(format, args...))
+		ha.mu.Lock()
+		defer ha.mu.Unlock()
+		ha.violations = append(ha.violations, fmt.Sprintf(format, args...))
 	}
 }
 
 // kill stops an agent at once, without its pending writes, and replaces it.
-func (wo *harness) kill(at int) {
-	wo.mu.Lock()
-	wo.agents[at].dead, wo.anyKilled = true, true
-	wo.mu.Unlock()
-	wo.agents[at].tbl.Kill()
-	wo.agents[at] = wo.newAgent()
+func (ha *harness) kill(at int) {
+	ha.mu.Lock()
+	ha.agents[at].dead, ha.anyKilled = true, true
+	ha.mu.Unlock()
+	ha.agents[at].tbl.Kill()
+	ha.agents[at] = ha.newAgent()
 }
 
 // checkInvariants checks what is visible from outside: the runs at the upstream and the answers to
 // callers.
-func (wo *harness) checkInvariants(rt *rapid.T) {
-	wo.mu.Lock()
-	defer wo.mu.Unlock()
-	for key, runs := range wo.runs {
+func (ha *harness) checkInvariants(rt *rapid.T) {
+	ha.mu.Lock()
+	defer ha.mu.Unlock()
+	for key, runs := range ha.runs {
 		if len(runs) > 1 {
 			rt.Fatalf("%s ran %d times: %v", key, len(runs), runs)
 		}
 		for _, id := range runs {
-			if wo.notRun[id] {
+			if ha.notRun[id] {
 				rt.Fatalf("attempt %s of %s was answered \"not run\" but ran", id, key)
 			}
 		}
 	}
-	if len(wo.violations) > 0 {
-		rt.Fatal(wo.violations)
+	if len(ha.violations) > 0 {
+		rt.Fatal(ha.violations)
 	}
 }
 
@@ -168,13 +168,13 @@
 func TestClaimsRunAtMostOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rapid.Check(noDeadline{t}, func(rt *rapid.T) {
-			wo := newHarness(3)
-			defer wo.stop()
-			rt.Repeat(wo.actions())
-			wo.removeFaults()
-			wo.checkInvariants(rt)
-			wo.checkUnusedKeysClaimable(rt)
-			wo.checkLinearizable(rt)
+			ha := newHarness(3)
+			defer ha.stop()
+			rt.Repeat(ha.actions())
+			ha.removeFaults()
+			ha.checkInvariants(rt)
+			ha.checkUnusedKeysClaimable(rt)
+			ha.checkLinearizable(rt)
 		})
 	})
 }
@@ -191,28 +191,28 @@
 	return keys
 }()
 
-func (wo *harness) actions() map[string]func(*rapid.T) {
+func (ha *harness) actions() map[string]func(*rapid.T) {
 	durations := func(ds ...time.Duration) *rapid.Generator[time.Duration] { return rapid.SampledFrom(ds) }
 	return map[string]func(*rapid.T){
-		"": wo.checkInvariants,
+		"": ha.checkInvariants,
 		"call": func(rt *rapid.T) {
-			ag := wo.agents[rapid.IntRange(0, len(wo.agents)-1).Draw(rt, "agent")]
-			wo.call(ag, rapid.SampledFrom(keys).Draw(rt, "key"), callPlan{
+			ag := ha.agents[rapid.IntRange(0, len(ha.agents)-1).Draw(rt, "agent")]
+			ha.call(ag, rapid.SampledFrom(keys).Draw(rt, "key"), callPlan{
 				pause:    durations(0, 10*time.Millisecond, time.Minute).Draw(rt, "pause"),
 				deadline: durations(time.Millisecond, 30*time.Millisecond, 10*time.Second).Draw(rt, "deadline"),
 				end:      rapid.SampledFrom([]string{"answer", "answer", "release", "lost"}).Draw(rt, "end"),
 			})
 		},
 		"faults": func(rt *rapid.T) {
-			wo.st.SetFaults(fakestore.Faults{
+			ha.st.SetFaults(fakestore.Faults{
 				Down:      rapid.IntRange(0, 3).Draw(rt, "down") == 0,
 				LoseReply: 0.2, LoseWrite: 0.1, DelayWrite: 0.3, Refuse: 0.1,
 				WriteDelay: durations(0, 30*time.Millisecond, time.Second).Draw(rt, "late"),
 				Latency:    durations(0, 5*time.Millisecond, time.Second).Draw(rt, "latency"),
 			})
 		},
-		"land": func(*rapid.T) { wo.st.ApplyLateWrites() },
-		"kill": func(rt *rapid.T) { wo.kill(rapid.IntRange(0, len(wo.agents)-1).Draw(rt, "agent")) },
+		"land": func(*rapid.T) { ha.st.ApplyLateWrites() },
+		"kill": func(rt *rapid.T) { ha.kill(rapid.IntRange(0, len(ha.agents)-1).Draw(rt, "agent")) },
 		"wait": func(rt *rapid.T) {
 			time.Sleep(durations(time.Millisecond, 50*time.Millisecond, 5*time.Second).Draw(rt, "time"))
 		},
@@ -220,27 +220,27 @@
 }
 
 // removeFaults removes all faults and waits until every pending call and write has ended.
-func (wo *harness) removeFaults() {
-	wo.st.SetFaults(fakestore.Faults{})
-	wo.calls.Wait()
+func (ha *harness) removeFaults() {
+	ha.st.SetFaults(fakestore.Faults{})
+	ha.calls.Wait()
 	time.Sleep(10 * time.Second)
-	wo.st.ApplyLateWrites()
+	ha.st.ApplyLateWrites()
 }
 
-func (wo *harness) stop() {
-	for _, ag := range wo.agents {
+func (ha *harness) stop() {
+	for _, ag := range ha.agents {
 		ag.tbl.Kill()
 	}
-	wo.calls.Wait()
+	ha.calls.Wait()
 }
 
 // checkUnusedKeysClaimable checks that a key that never ran can be claimed, if no agent was killed.
-func (wo *harness) checkUnusedKeysClaimable(rt *rapid.T) {
+func (ha *harness) checkUnusedKeysClaimable(rt *rapid.T) {
 	for _, key := range keys {
-		if wo.anyKilled || len(wo.runs[key]) > 0 {
+		if ha.anyKilled || len(ha.runs[key]) > 0 {
 			continue
 		}
-		out, err := wo.agents[0].tbl.Claim(context.Background(), request(key, "last"))
+		out, err := ha.agents[0].tbl.Claim(context.Background(), request(key, "last"))
 		if err != nil || out.State != claim.Owned {
 			rt.Fatalf("%s never ran and cannot be claimed: %+v %v", key, out, err)
 		}
--- a/core/claim/linearizability_test.go
+++ b/core/claim/linearizability_test.go
@@ -37,12 +37,12 @@
 	attempt core.AttemptID
 }
 
-func (wo *harness) recordCall(in input, key string) int {
-	wo.mu.Lock()
-	defer wo.mu.Unlock()
-	op := porcupine.Operation{ClientId: len(wo.history), Input: in, Output: output{err: errNeverReturned}, Metadata: key, Call: now(), Return: math.MaxInt64}
-	wo.history = append(wo.history, op)
-	return len(wo.history) - 1
+func (ha *harness) recordCall(in input, key string) int {
+	ha.mu.Lock()
+	defer ha.mu.Unlock()
+	op := porcupine.Operation{ClientId: len(ha.history), Input: in, Output: output{err: errNeverReturned}, Metadata: key, Call: now(), Return: math.MaxInt64}
+	ha.history = append(ha.history, op)
+	return len(ha.history) - 1
 }
 
 // errNeverReturned marks a call that never returned because its agent died.
@@ -50,21 +50,21 @@
 
 // recordReturn records the result of a call. A claim that ended unsettled may take effect at any
 // later time and is released some time after that.
-func (wo *harness) recordReturn(op int, out output) {
-	wo.mu.Lock()
-	defer wo.mu.Unlock()
-	wo.history[op].Output = out
-	in := wo.history[op].Input.(input)
+func (ha *harness) recordReturn(op int, out output) {
+	ha.mu.Lock()
+	defer ha.mu.Unlock()
+	ha.history[op].Output = out
+	in := ha.history[op].Input.(input)
 	if !errors.Is(out.err, claim.ErrOutcomeUnknown) {
-		wo.history[op].Return = now()
+		ha.history[op].Return = now()
 		return
 	}
 	if in.kind != claiming {
 		return
 	}
-	wo.history = append(wo.history, porcupine.Operation{
-		ClientId: len(wo.history), Input: input{releasing, in.attempt}, Output: output{err: errNeverReturned},
-		Metadata: wo.history[op].Metadata, Call: wo.history[op].Call, Return: math.MaxInt64,
+	ha.history = append(ha.history, porcupine.Operation{
+		ClientId: len(ha.history), Input: input{releasing, in.attempt}, Output: output{err: errNeverReturned},
+		Metadata: ha.history[op].Metadata, Call: ha.history[op].Call, Return: math.MaxInt64,
 	})
 }
 
@@ -72,31 +72,31 @@
 
 // step returns the possible states of a claim after an operation, or none when the operation cannot
 // have had its result.
-func step(en modelClaim, in input, out output) []modelClaim {
-	own := en.attempt == in.attempt && en.state == claim.Claimed
+func step(mc modelClaim, in input, out output) []modelClaim {
+	own := mc.attempt == in.attempt && mc.state == claim.Claimed
 	var after modelClaim
 	switch {
-	case in.kind == claiming && en.state == "":
+	case in.kind == claiming && mc.state == "":
 		after = modelClaim{claim.Claimed, in.attempt}
 	case in.kind == finishing && own:
 		after = modelClaim{claim.Done, in.attempt}
 	case in.kind == releasing && own:
 		after = modelClaim{}
 	default:
-		after = en
+		after = mc
 	}
 	switch {
 	case errors.Is(out.err, claim.ErrOutcomeUnknown), errors.Is(out.err, errNeverReturned):
-		return []modelClaim{en, after}
+		return []modelClaim{mc, after}
 	case out.err != nil:
-		return []modelClaim{en}
+		return []modelClaim{mc}
 	case in.kind != claiming:
 		return []modelClaim{after}
 	}
 	observed := modelClaim{out.state, out.attempt}
 	if out.state == claim.Owned {
 		observed = modelClaim{claim.Claimed, in.attempt}
-		if en.state != "" {
+		if mc.state != "" {
 			return nil
 		}
 	}
@@ -108,20 +108,20 @@
 
 // checkLinearizable checks that each key's history is linearizable: some sequential order of its
 // operations explains their results.
-func (wo *harness) checkLinearizable(rt *rapid.T) {
+func (ha *harness) checkLinearizable(rt *rapid.T) {
 	model := porcupine.NondeterministicModel{
 		Init: func() []any { return []any{modelClaim{}} },
 		Step: func(state, in, out any) []any {
 			var next []any
-			for _, en := range step(state.(modelClaim), in.(input), out.(output)) {
-				next = append(next, en)
+			for _, mc := range step(state.(modelClaim), in.(input), out.(output)) {
+				next = append(next, mc)
 			}
 			return next
 		},
 	}
 	for _, key := range keys {
 		var ops []porcupine.Operation
-		for _, op := range wo.history {
+		for _, op := range ha.history {
 			if op.Metadata == key {
 				ops = append(ops, op)
 			}
--- a/core/claim/owned.go
+++ b/core/claim/owned.go
@@ -30,12 +30,12 @@
 func (tbl *Table) recordEnding(id core.AttemptID, en Ending) {
 	tbl.mu.Lock()
 	defer tbl.mu.Unlock()
-	ho := tbl.owned[id]
-	if ho == nil || ho.ended {
+	oc := tbl.owned[id]
+	if oc == nil || oc.ended {
 		return
 	}
-	ho.ending, ho.ended = en, true
-	close(ho.done)
+	oc.ending, oc.ended = en, true
+	close(oc.done)
 }
 
 func (tbl *Table) untrackOwned(id core.AttemptID) {
@@ -49,14 +49,14 @@
 // then unknown to the caller.
 func (tbl *Table) AwaitEnding(ctx context.Context, id core.AttemptID) (Ending, bool) {
 	tbl.mu.Lock()
-	ho := tbl.owned[id]
+	oc := tbl.owned[id]
 	tbl.mu.Unlock()
-	if ho == nil {
+	if oc == nil {
 		return Ending{}, false
 	}
 	select {
-	case <-ho.done:
-		return ho.ending, true
+	case <-oc.done:
+		return oc.ending, true
 	case <-ctx.Done():
 		return Ending{}, false
 	}
--- a/core/claim/table_test.go
+++ b/core/claim/table_test.go
@@ -29,17 +29,17 @@
 	for _, sc := range scenarios {
 		t.Run(sc.testName, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				wo := newHarness(2)
-				defer wo.stop()
-				wo.st.SetFaults(sc.faults)
+				ha := newHarness(2)
+				defer ha.stop()
+				ha.st.SetFaults(sc.faults)
 				ctx, cancel := context.WithTimeout(t.Context(), 1500*time.Millisecond)
 				defer cancel()
-				_, err := wo.agents[0].tbl.Claim(ctx, request("key", "one"))
+				_, err := ha.agents[0].tbl.Claim(ctx, request("key", "one"))
 				assert.ErrorIs(t, err, claim.ErrOutcomeUnknown)
-				wo.st.SetFaults(fakestore.Faults{})
+				ha.st.SetFaults(fakestore.Faults{})
 				time.Sleep(5 * time.Second)
-				wo.st.ApplyLateWrites()
-				out, err := wo.agents[1].tbl.Claim(t.Context(), request("key", "two"))
+				ha.st.ApplyLateWrites()
+				out, err := ha.agents[1].tbl.Claim(t.Context(), request("key", "two"))
 				assert.NilError(t, err)
 				assert.Equal(t, out.State, claim.Owned)
 			})
@@ -51,15 +51,15 @@
 // that nothing was claimed, and the same key must work once the store is up again.
 func TestStoreDown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		wo := newHarness(1)
-		defer wo.agents[0].stop()
-		wo.st.SetFaults(fakestore.Faults{Down: true})
+		ha := newHarness(1)
+		defer ha.agents[0].stop()
+		ha.st.SetFaults(fakestore.Faults{Down: true})
 		began := time.Now()
-		_, err := wo.agents[0].tbl.Claim(t.Context(), request("key", "one"))
+		_, err := ha.agents[0].tbl.Claim(t.Context(), request("key", "one"))
 		assert.ErrorIs(t, err, claim.ErrStoreUnavailable)
 		assert.Assert(t, time.Since(began) < time.Second)
-		wo.st.SetFaults(fakestore.Faults{})
-		out, err := wo.agents[0].tbl.Claim(t.Context(), request("key", "two"))
+		ha.st.SetFaults(fakestore.Faults{})
+		out, err := ha.agents[0].tbl.Claim(t.Context(), request("key", "two"))
 		assert.NilError(t, err)
 		assert.Equal(t, out.State, claim.Owned)
 	})
@@ -70,18 +70,18 @@
 // answered "outcome unknown".
 func TestStopStoresAnswers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		wo := newHarness(2)
-		defer wo.stop()
+		ha := newHarness(2)
+		defer ha.stop()
 		req := request("key", "one")
-		_, err := wo.agents[0].tbl.Claim(t.Context(), req)
+		_, err := ha.agents[0].tbl.Claim(t.Context(), req)
 		assert.NilError(t, err)
-		wo.st.SetFaults(fakestore.Faults{Down: true})
-		time.AfterFunc(3*time.Second, func() { wo.st.SetFaults(fakestore.Faults{}) })
+		ha.st.SetFaults(fakestore.Faults{Down: true})
+		time.AfterFunc(3*time.Second, func() { ha.st.SetFaults(fakestore.Faults{}) })
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
-		assert.ErrorIs(t, wo.agents[0].tbl.Finish(ctx, req, claim.Answer{Status: 200}), context.DeadlineExceeded)
-		wo.agents[0].stop()
-		out, err := wo.agents[1].tbl.Claim(t.Context(), request("key", "two"))
+		assert.ErrorIs(t, ha.agents[0].tbl.Finish(ctx, req, claim.Answer{Status: 200}), context.DeadlineExceeded)
+		ha.agents[0].stop()
+		out, err := ha.agents[1].tbl.Claim(t.Context(), request("key", "two"))
 		assert.NilError(t, err)
 		assert.Equal(t, out.State, claim.Done)
 	})
@@ -92,8 +92,8 @@
 // has stopped; otherwise the operation runs twice.
 func TestRetention(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		wo := newHarness(1)
-		ag := wo.agents[0]
+		ha := newHarness(1)
+		ag := ha.agents[0]
 		defer ag.stop()
 		key := keyOf(time.Now())
 		out, err := ag.tbl.Claim(t.Context(), request(key, "one"))
@@ -113,7 +113,7 @@
 		}
 		_, err = ag.tbl.Claim(t.Context(), other)
 		assert.NilError(t, err)
-		longer, cleanup := claim.New(core.NewDeps(), wo.st, claim.Retention(1000*time.Hour))
+		longer, cleanup := claim.New(core.NewDeps(), ha.st, claim.Retention(1000*time.Hour))
 		defer cleanup()
 		_, err = longer.Claim(t.Context(), request(key, "five"))
 		assert.ErrorIs(t, err, claim.ErrExpired)
@@ -137,13 +137,13 @@
 // get neither the other body's answer nor a second run.
 func TestConcurrentRequestsWithOneKey(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		wo := newHarness(2)
-		defer wo.stop()
-		ag := wo.agents[0]
+		ha := newHarness(2)
+		defer ha.stop()
+		ag := ha.agents[0]
 		first := request("key", "one")
 		_, err := ag.tbl.Claim(t.Context(), first)
 		assert.NilError(t, err)
-		out, err := wo.agents[1].tbl.Claim(t.Context(), request("key", "elsewhere"))
+		out, err := ha.agents[1].tbl.Claim(t.Context(), request("key", "elsewhere"))
 		assert.NilError(t, err)
 		assert.Equal(t, out.State, claim.Claimed)
 		other := request("key", "two")
@@ -161,7 +161,7 @@
 		assert.Assert(t, ok)
 		assert.Equal(t, en.Answer.Status, 201)
 		assert.NilError(t, ag.tbl.Release(t.Context(), first))
-		out, err = wo.agents[1].tbl.Claim(t.Context(), request("key", "four"))
+		out, err = ha.agents[1].tbl.Claim(t.Context(), request("key", "four"))
 		assert.NilError(t, err)
 		assert.Equal(t, out.State, claim.Done)
 	})
--- a/core/claim/value.go
+++ b/core/claim/value.go
@@ -239,9 +239,9 @@
 	ed.totalBytes -= ed.val.Claims[at].size()
 	ed.val.Claims = slices.Delete(ed.val.Claims, at, at+1)
 	delete(ed.index, key)
-	for ke, pos := range ed.index {
+	for fp, pos := range ed.index {
 		if pos > at {
-			ed.index[ke] = pos - 1
+			ed.index[fp] = pos - 1
 		}
 	}
 	ed.changed = true
--- a/core/declaration/document.go
+++ b/core/declaration/document.go
@@ -167,7 +167,7 @@
 	}
 	// A value of the wrong type is missing from the document. The other rules
 	// would only report that it is missing, which does not help.
-	if slices.ContainsFunc(mis, func(mi schemaFault) bool { return mi.wrongType }) {
+	if slices.ContainsFunc(mis, func(sf schemaFault) bool { return sf.wrongType }) {
 		return doc, mistakesOf(mis).err()
 	}
 	return doc, append(mistakesOf(mis), doc.resolveRisks(doc.inspect(), false)...).err()
@@ -192,8 +192,8 @@
 
 func mistakesOf(list []schemaFault) Mistakes {
 	var out Mistakes
-	for _, mi := range list {
-		out = append(out, mi.Mistake)
+	for _, sf := range list {
+		out = append(out, sf.Mistake)
 	}
 	return out
 }
--- a/core/dispatch/chat.go
+++ b/core/dispatch/chat.go
@@ -20,8 +20,8 @@
 		return nil, err
 	}
 	out := &Outcome{dis: dis, rq: rq, Cascade: pd.plan.Cascade}
-	wk := &stageRunner{dis: dis, planned: pd, rq: rq, out: out, began: time.Now(), attempted: make([]bool, len(pd.plan.Stages))}
-	if err := wk.run(ctx); err != nil {
+	sr := &stageRunner{dis: dis, planned: pd, rq: rq, out: out, began: time.Now(), attempted: make([]bool, len(pd.plan.Stages))}
+	if err := sr.run(ctx); err != nil {
 		return nil, out.fail(err)
 	}
 	return out, nil
@@ -122,16 +122,16 @@
 	quality  core.Quality
 }
 
-func (wk *stageRunner) run(ctx context.Context) error {
-	de := wk.start
+func (sr *stageRunner) run(ctx context.Context) error {
+	de := sr.start
 	for {
-		more, next, err := wk.step(ctx, de)
-		if err != nil && wk.restore(ctx) {
+		more, next, err := sr.step(ctx, de)
+		if err != nil && sr.restore(ctx) {
 			return nil
 		}
 		if err != nil {
-			fl := wk.recordFailure(err)
-			if more, next = wk.alternative(ctx, fl); !more {
+			fl := sr.recordFailure(err)
+			if more, next = sr.alternative(ctx, fl); !more {
 				return fl
 			}
 		}
@@ -144,61 +144,61 @@
 
 // recordFailure records the failure of a stage and returns the failure of the request. The
 // request as a whole was not run only if no stage of it was sent to an upstream.
-func (wk *stageRunner) recordFailure(err error) *core.Failure {
+func (sr *stageRunner) recordFailure(err error) *core.Failure {
 	fl := asFailure(err)
 	if fl.Ran != core.NotRun {
-		wk.mayHaveRun = true
-	} else if wk.mayHaveRun {
+		sr.mayHaveRun = true
+	} else if sr.mayHaveRun {
 		return &core.Failure{Code: fl.Code, Ran: core.RanUnknown, Message: fl.Message, RetryAfter: fl.RetryAfter}
 	}
 	return fl
 }
 
 // start decides which stage a cascade starts with.
-func (jd *evaluator) start(qu *cascade.Request) cascade.Decision {
+func (ev *evaluator) start(qu *cascade.Request) cascade.Decision {
 	now := time.Now()
-	if !jd.health.AllowWait(now) {
+	if !ev.health.AllowWait(now) {
 		return cascade.Decision{Stage: qu.Fallback(), Final: true}
 	}
-	return jd.learner.Start(now, qu, rand.Float64())
+	return ev.learner.Start(now, qu, rand.Float64())
 }
 
 // step runs one stage and decides which stage follows, if any.
-func (wk *stageRunner) step(ctx context.Context, de cascade.Decision) (bool, cascade.Decision, error) {
-	err := wk.stage(ctx, de)
+func (sr *stageRunner) step(ctx context.Context, de cascade.Decision) (bool, cascade.Decision, error) {
+	err := sr.stage(ctx, de)
 	if err != nil || de.Final {
 		return false, de, err
 	}
-	if err := wk.out.buffer(maxBufferedBytes); err != nil {
+	if err := sr.out.buffer(maxBufferedBytes); err != nil {
 		// A stage whose answer was cut off is not billed.
-		wk.out.lines = wk.out.lines[:len(wk.out.lines)-1]
+		sr.out.lines = sr.out.lines[:len(sr.out.lines)-1]
 		return false, de, err
 	}
-	return wk.rateAndDecide(ctx, de)
+	return sr.rateAndDecide(ctx, de)
 }
 
 // stage runs one stage on an upstream.
-func (wk *stageRunner) stage(ctx context.Context, de cascade.Decision) error {
-	st := wk.plan.Stages[de.Stage]
-	pos := wk.position()
-	wk.attempted[de.Stage] = true
+func (sr *stageRunner) stage(ctx context.Context, de cascade.Decision) error {
+	st := sr.plan.Stages[de.Stage]
+	pos := sr.position()
+	sr.attempted[de.Stage] = true
 	if st.JoinedRollOut {
-		wk.dis.eval.guard.CountExposed(st.Target)
+		sr.dis.eval.guard.CountExposed(st.Target)
 	}
-	at := core.Attempt{Target: st.Target, Stream: wk.rq.Stream}
-	ans, line, err := wk.dis.try(ctx, wk.sn, wk.rq, at, true)
+	at := core.Attempt{Target: st.Target, Stream: sr.rq.Stream}
+	ans, line, err := sr.dis.try(ctx, sr.sn, sr.rq, at, true)
 	if err != nil {
 		return err
 	}
 	line.price = func(us core.Usage) core.Millicents { return cost(st.Version, us) }
 	line.Target = st.Target.String()
-	wk.out.Target, wk.out.Repinned = st.Target, st.Repinned
-	wk.out.setAnswer(wk.observe(ctx, ans, de, pos), line)
+	sr.out.Target, sr.out.Repinned = st.Target, st.Repinned
+	sr.out.setAnswer(sr.observe(ctx, ans, de, pos), line)
 	return nil
 }
 
-func (wk *stageRunner) position() cascade.Position {
-	if wk.saved != nil {
+func (sr *stageRunner) position() cascade.Position {
+	if sr.saved != nil {
 		return cascade.AfterFailure
 	}
 	return cascade.First
@@ -211,42 +211,42 @@
 
 // observe wraps an answer so that the learner records its cost at the end. A sample of the
 // answers whose rating no decision depends on is also rated in the background.
-func (wk *stageRunner) observe(ctx context.Context, ans core.Answer, de cascade.Decision, pos cascade.Position) core.Answer {
-	st, jd := wk.plan.Stages[de.Stage], wk.dis.eval
-	share := jd.guard.RateShare(st.Target)
-	if wk.qu != nil {
+func (sr *stageRunner) observe(ctx context.Context, ans core.Answer, de cascade.Decision, pos cascade.Position) core.Answer {
+	st, ev := sr.plan.Stages[de.Stage], sr.dis.eval
+	share := ev.guard.RateShare(st.Target)
+	if sr.qu != nil {
 		share = max(share, sampleShare)
 	}
-	li := &observedAnswer{Answer: ans}
+	oa := &observedAnswer{Answer: ans}
 	if de.Final && rand.Float64() < share {
-		li.copied = new(bytes.Buffer)
+		oa.copied = new(bytes.Buffer)
 	}
 	began := time.Now()
-	li.ended = func(us core.Usage, text []byte) {
-		learn := wk.recordAnswer(de, pos, cost(st.Version, us), time.Since(began), share)
+	oa.ended = func(us core.Usage, text []byte) {
+		learn := sr.recordAnswer(de, pos, cost(st.Version, us), time.Since(began), share)
 		if text != nil {
-			jd.rate(ctx, jd.background, ratingJob{target: st.Target, prompt: wk.rq.Prompt, answer: text, learn: learn})
+			ev.rate(ctx, ev.background, ratingJob{target: st.Target, prompt: sr.rq.Prompt, answer: text, learn: learn})
 		}
 	}
-	return li
+	return oa
 }
 
 // recordAnswer records the cost and duration of a complete answer with the learner. It returns
 // the function that receives its rating, if the answer is rated.
-func (wk *stageRunner) recordAnswer(de cascade.Decision, pos cascade.Position, paid core.Millicents, took time.Duration, share float64) func(core.Quality) {
-	if wk.qu == nil {
+func (sr *stageRunner) recordAnswer(de cascade.Decision, pos cascade.Position, paid core.Millicents, took time.Duration, share float64) func(core.Quality) {
+	if sr.qu == nil {
 		return nil
 	}
-	le, now := wk.dis.eval.learner, time.Now()
-	le.RecordRun(now, wk.qu, de.Stage, paid, took)
+	le, now := sr.dis.eval.learner, time.Now()
+	le.RecordRun(now, sr.qu, de.Stage, paid, took)
 	if !de.Final {
 		return nil
 	}
-	expected := le.Expected(now, wk.qu, de.Stage, pos)
-	le.RecordResult(wk.qu, expected, now.Sub(wk.began))
+	expected := le.Expected(now, sr.qu, de.Stage, pos)
+	le.RecordResult(sr.qu, expected, now.Sub(sr.began))
 	return func(got core.Quality) {
-		le.RecordRating(time.Now(), wk.qu, de.Stage, pos, got)
-		le.RecordSampledRating(wk.qu, expected, got, share)
+		le.RecordRating(time.Now(), sr.qu, de.Stage, pos, got)
+		le.RecordSampledRating(sr.qu, expected, got, share)
 	}
 }
 
@@ -255,69 +255,69 @@
 const maxBufferedBytes = 4 << 20
 
 // rateAndDecide has the buffered answer rated and decides whether another stage follows.
-func (wk *stageRunner) rateAndDecide(ctx context.Context, de cascade.Decision) (bool, cascade.Decision, error) {
-	out, jd, pos := wk.out, wk.dis.eval, wk.position()
-	got, ok := jd.await(ctx, ratingJob{
-		target: out.Target, prompt: wk.rq.Prompt, answer: out.buffered.Bytes(),
-		learn: func(got core.Quality) { jd.learner.RecordRating(time.Now(), wk.qu, de.Stage, pos, got) },
+func (sr *stageRunner) rateAndDecide(ctx context.Context, de cascade.Decision) (bool, cascade.Decision, error) {
+	out, ev, pos := sr.out, sr.dis.eval, sr.position()
+	got, ok := ev.await(ctx, ratingJob{
+		target: out.Target, prompt: sr.rq.Prompt, answer: out.buffered.Bytes(),
+		learn: func(got core.Quality) { ev.learner.RecordRating(time.Now(), sr.qu, de.Stage, pos, got) },
 	})
 	if err := ctx.Err(); err != nil {
 		return false, de, core.OutcomeUnknown("the caller is gone or its deadline has passed")
 	}
 	now := time.Now()
-	next, more := wk.decideUnrated(de)
+	next, more := sr.decideUnrated(de)
 	if ok {
-		next, more = jd.learner.Next(now, wk.qu, de.Stage, got, now.Sub(wk.began))
+		next, more = ev.learner.Next(now, sr.qu, de.Stage, got, now.Sub(sr.began))
 	} else {
-		got = jd.learner.Expected(now, wk.qu, de.Stage, pos)
+		got = ev.learner.Expected(now, sr.qu, de.Stage, pos)
 	}
 	if !more {
-		jd.learner.RecordResult(wk.qu, got, now.Sub(wk.began))
+		ev.learner.RecordResult(sr.qu, got, now.Sub(sr.began))
 		return false, de, nil
 	}
-	wk.saved = &savedAnswer{out.ans, out.buffered, len(out.lines), out.Target, out.Repinned, got}
+	sr.saved = &savedAnswer{out.ans, out.buffered, len(out.lines), out.Target, out.Repinned, got}
 	return true, next, nil
 }
 
 // decideUnrated decides on an answer without a rating in time, by the declared quality of its
 // stage.
-func (wk *stageRunner) decideUnrated(de cascade.Decision) (cascade.Decision, bool) {
-	if wk.qu.Stages[de.Stage].DeclaredQuality >= wk.qu.Target {
+func (sr *stageRunner) decideUnrated(de cascade.Decision) (cascade.Decision, bool) {
+	if sr.qu.Stages[de.Stage].DeclaredQuality >= sr.qu.Target {
 		return de, false
 	}
-	next := wk.qu.Fallback()
+	next := sr.qu.Fallback()
 	return cascade.Decision{Stage: next, Final: true}, next > de.Stage
 }
 
 // restore replaces a failed stage by the saved answer, and reports whether there was one: a
 // caller is better served by an answer below the target quality than by none.
-func (wk *stageRunner) restore(ctx context.Context) bool {
-	ke, out := wk.saved, wk.out
-	if ke == nil || ctx.Err() != nil {
+func (sr *stageRunner) restore(ctx context.Context) bool {
+	sa, out := sr.saved, sr.out
+	if sa == nil || ctx.Err() != nil {
 		return false
 	}
-	out.ans, out.buffered, out.usageRecorded = ke.ans, ke.buffered, true
-	out.lines = out.lines[:ke.lines]
-	out.Target, out.Repinned = ke.target, ke.repinned
-	wk.dis.eval.learner.RecordResult(wk.qu, ke.quality, time.Since(wk.began))
+	out.ans, out.buffered, out.usageRecorded = sa.ans, sa.buffered, true
+	out.lines = out.lines[:sa.lines]
+	out.Target, out.Repinned = sa.target, sa.repinned
+	sr.dis.eval.learner.RecordResult(sr.qu, sa.quality, time.Since(sr.began))
 	return true
 }
 
 // alternative returns a stage to run in place of a failed one: the next more expensive stage, or
 // else the next cheaper one. So an exhausted pool or a broken version does not make the whole
 // cascade fail. The learner later offsets an answer of lower quality within the mix.
-func (wk *stageRunner) alternative(ctx context.Context, fl *core.Failure) (bool, cascade.Decision) {
+func (sr *stageRunner) alternative(ctx context.Context, fl *core.Failure) (bool, cascade.Decision) {
 	if ctx.Err() != nil || !replaceable(fl) {
 		return false, cascade.Decision{}
 	}
-	last := slices.Index(wk.attempted, true)
-	for i := last + 1; i < len(wk.attempted); i++ {
-		if !wk.attempted[i] {
+	last := slices.Index(sr.attempted, true)
+	for i := last + 1; i < len(sr.attempted); i++ {
+		if !sr.attempted[i] {
 			return true, cascade.Decision{Stage: i, Final: true}
 		}
 	}
 	for i := last - 1; i >= 0; i-- {
-		if !wk.attempted[i] {
+		if !sr.attempted[i] {
 			return true, cascade.Decision{Stage: i, Final: true}
 		}
 	}
--- a/core/dispatch/evaluator.go
+++ b/core/dispatch/evaluator.go
@@ -60,11 +60,11 @@
 
 // rate requests a rating in a separate goroutine and returns a channel that receives it. It
 // returns nil if the semaphore has no free slot.
-func (jd *evaluator) rate(ctx context.Context, sem chan struct{}, sp ratingJob) <-chan core.Quality {
+func (ev *evaluator) rate(ctx context.Context, sem chan struct{}, rj ratingJob) <-chan core.Quality {
 	select {
 	case sem <- struct{}{}:
 	default:
-		meter.RatingsSkipped.Inc(jd.deps.Metrics)
+		meter.RatingsSkipped.Inc(ev.deps.Metrics)
 		return nil
 	}
 	result := make(chan core.Quality, 1)
@@ -74,17 +74,17 @@
 		rctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), ratingTimeout)
 		defer cancel()
 		began := time.Now()
-		got, err := jd.rater.Rate(rctx, sp.target, sp.prompt, sp.answer)
+		got, err := ev.rater.Rate(rctx, rj.target, rj.prompt, rj.answer)
 		if err != nil {
 			return
 		}
 		now := time.Now()
 		if now.Sub(began) <= ratingWait {
-			jd.health.Record(now, true)
+			ev.health.Record(now, true)
 		}
-		jd.guard.Observe(rollout.Outcome{Version: sp.target, Kind: rollout.Rating, Bad: got < rollout.MinGoodRating, At: now})
-		if sp.learn != nil {
-			sp.learn(got)
+		ev.guard.Observe(rollout.Outcome{Version: rj.target, Kind: rollout.Rating, Bad: got < rollout.MinGoodRating, At: now})
+		if rj.learn != nil {
+			rj.learn(got)
 		}
 		result <- got
 	}()
@@ -93,8 +93,8 @@
 
 // await returns a rating that a caller waits for, or false if there is none within
 // ratingWait.
-func (jd *evaluator) await(ctx context.Context, sp ratingJob) (core.Quality, bool) {
-	result := jd.rate(ctx, jd.foreground, sp)
+func (ev *evaluator) await(ctx context.Context, rj ratingJob) (core.Quality, bool) {
+	result := ev.rate(ctx, ev.foreground, rj)
 	if result == nil {
 		return 0, false
 	}
@@ -109,8 +109,8 @@
 	case <-ctx.Done():
 		return 0, false
 	}
-	if jd.health.Record(time.Now(), false) {
-		event.Log(jd.deps.Log, event.RatingsAway)
+	if ev.health.Record(time.Now(), false) {
+		event.Log(ev.deps.Log, event.RatingsAway)
 	}
 	return 0, false
 }
--- a/core/dispatch/observed_answer.go
+++ b/core/dispatch/observed_answer.go
@@ -17,22 +17,22 @@
 }
 
 // Next implements [core.Answer].
-func (li *observedAnswer) Next() ([]byte, error) {
-	data, err := li.Answer.Next()
-	if li.copied != nil {
-		if li.copied.Len()+len(data) > maxCopyBytes {
-			li.copied = nil
+func (oa *observedAnswer) Next() ([]byte, error) {
+	data, err := oa.Answer.Next()
+	if oa.copied != nil {
+		if oa.copied.Len()+len(data) > maxCopyBytes {
+			oa.copied = nil
 		} else {
-			li.copied.Write(data)
+			oa.copied.Write(data)
 		}
 	}
-	if isEOF(err) && li.ended != nil {
+	if isEOF(err) && oa.ended != nil {
 		var text []byte
-		if li.copied != nil {
-			text = li.copied.Bytes()
+		if oa.copied != nil {
+			text = oa.copied.Bytes()
 		}
-		li.ended(li.Usage(), text)
-		li.ended = nil
+		oa.ended(oa.Usage(), text)
+		oa.ended = nil
 	}
 	return data, err
 }
--- a/core/dispatch/shared_picker.go
+++ b/core/dispatch/shared_picker.go
@@ -26,15 +26,15 @@
 // singleEntry adapts [core.Upstreams] to Lister for an entry without siblings.
 type singleEntry struct{ core.Upstreams }
 
-func (lo singleEntry) AppendServing(buf []core.Upstream, mv core.ModelVersion) []core.Upstream {
-	return append(buf, lo.Serving(mv)...)
+func (se singleEntry) AppendServing(buf []core.Upstream, mv core.ModelVersion) []core.Upstream {
+	return append(buf, se.Serving(mv)...)
 }
 
-func (lo singleEntry) AppendOffering(buf []core.Upstream, sv core.ServiceID) []core.Upstream {
-	return append(buf, lo.Offering(sv)...)
+func (se singleEntry) AppendOffering(buf []core.Upstream, sv core.ServiceID) []core.Upstream {
+	return append(buf, se.Offering(sv)...)
 }
 
-func (lo singleEntry) EntryCount() int { return 1 }
+func (se singleEntry) EntryCount() int { return 1 }
 
 // sharedPicker makes a Picker safe for concurrent use.
 type sharedPicker struct {
@@ -53,13 +53,13 @@
 }
 
 // candidates lists the upstreams to select from. The caller holds mu.
-func (pl *sharedPicker) candidates(mv core.ModelVersion, sv core.ServiceID) []core.Upstream {
+func (sp *sharedPicker) candidates(mv core.ModelVersion, sv core.ServiceID) []core.Upstream {
 	if sv != "" {
-		pl.buf = pl.list.AppendOffering(pl.buf[:0], sv)
+		sp.buf = sp.list.AppendOffering(sp.buf[:0], sv)
 	} else {
-		pl.buf = pl.list.AppendServing(pl.buf[:0], mv)
+		sp.buf = sp.list.AppendServing(sp.buf[:0], mv)
 	}
-	return pl.buf
+	return sp.buf
 }
 
 // allowed filters, in place, the candidates on which new work of a workspace may be placed.
@@ -67,16 +67,16 @@
 	return slices.DeleteFunc(cands, func(up core.Upstream) bool { return !sn.MayPlace(ws, up.Host) })
 }
 
-func (pl *sharedPicker) pick(sn *declaration.Snapshot, rq *Request, at *core.Attempt, tried []core.UpstreamID) (placement.Choice, bool) {
-	pl.mu.Lock()
-	defer pl.mu.Unlock()
-	cands := allowed(sn, rq.Workspace, pl.candidates(at.Target, at.Service))
+func (sp *sharedPicker) pick(sn *declaration.Snapshot, rq *Request, at *core.Attempt, tried []core.UpstreamID) (placement.Choice, bool) {
+	sp.mu.Lock()
+	defer sp.mu.Unlock()
+	cands := allowed(sn, rq.Workspace, sp.candidates(at.Target, at.Service))
 	if rq.claim != nil {
 		cands = preferred(*rq.claim, cands, tried)
 	}
-	return pl.pk.Pick(time.Now(), placement.Request{
+	return sp.pk.Pick(time.Now(), placement.Request{
 		Pool: poolOf(at), Prefix: placement.Prefix(rq.Prompt), Body: len(rq.Body), CrossRegion: rq.CrossRegion, Tried: tried,
-	}, cands, pl.randIntN)
+	}, cands, sp.randIntN)
 }
 
 func poolOf(at *core.Attempt) placement.Pool {
@@ -84,21 +84,21 @@
 }
 
 // send dispatches an attempt and records the time until its answer starts.
-func (pl *sharedPicker) send(ctx context.Context, ups core.Upstreams, ch placement.Choice, at *core.Attempt) (core.Answer, error) {
+func (sp *sharedPicker) send(ctx context.Context, ups core.Upstreams, ch placement.Choice, at *core.Attempt) (core.Answer, error) {
 	sent := time.Now()
-	pl.mu.Lock()
-	pl.pk.RecordSent(sent, ch.ID)
-	pl.mu.Unlock()
+	sp.mu.Lock()
+	sp.pk.RecordSent(sent, ch.ID)
+	sp.mu.Unlock()
 	ans, err := ups.Dispatch(ctx, ch.ID, at)
-	pl.mu.Lock()
-	defer pl.mu.Unlock()
+	sp.mu.Lock()
+	defer sp.mu.Unlock()
 	if err != nil {
-		pl.pk.RecordFailure(time.Now(), ch.ID)
+		sp.pk.RecordFailure(time.Now(), ch.ID)
 		return nil, err
 	}
 	now := time.Now()
-	pl.pk.RecordFirstPiece(now, poolOf(at), ch.ID, sent)
-	return &measuredAnswer{Answer: ans, pl: pl, po: poolOf(at), ch: ch, sent: sent, began: now}, nil
+	sp.pk.RecordFirstPiece(now, poolOf(at), ch.ID, sent)
+	return &measuredAnswer{Answer: ans, pl: sp, po: poolOf(at), ch: ch, sent: sent, began: now}, nil
 }
 
 // measuredAnswer is an answer whose throughput the picker records, and also its size if it comes
@@ -113,29 +113,29 @@
 }
 
 // Next implements [core.Answer].
-func (wa *measuredAnswer) Next() ([]byte, error) {
-	data, err := wa.Answer.Next()
-	wa.pieces++
+func (ma *measuredAnswer) Next() ([]byte, error) {
+	data, err := ma.Answer.Next()
+	ma.pieces++
 	switch {
-	case err == nil && wa.ch.CrossRegion:
-		wa.pl.mu.Lock()
-		wa.pl.pk.ChargeCrossRegion(time.Now(), len(data))
-		wa.pl.mu.Unlock()
-	case errors.Is(err, io.EOF) && wa.po.Whole:
-		if out := int(wa.Usage().Generated); out >= placement.MinMeasuredTokens {
-			wa.recordPieces(time.Since(wa.sent), out)
+	case err == nil && ma.ch.CrossRegion:
+		ma.pl.mu.Lock()
+		ma.pl.pk.ChargeCrossRegion(time.Now(), len(data))
+		ma.pl.mu.Unlock()
+	case errors.Is(err, io.EOF) && ma.po.Whole:
+		if out := int(ma.Usage().Generated); out >= placement.MinMeasuredTokens {
+			ma.recordPieces(time.Since(ma.sent), out)
 		}
 	}
-	if err == nil && !wa.po.Whole && wa.pieces == placement.MeasuredPieces+1 {
-		wa.recordPieces(time.Since(wa.began), placement.MeasuredPieces)
+	if err == nil && !ma.po.Whole && ma.pieces == placement.MeasuredPieces+1 {
+		ma.recordPieces(time.Since(ma.began), placement.MeasuredPieces)
 	}
 	return data, err
 }
 
-func (wa *measuredAnswer) recordPieces(took time.Duration, pieces int) {
-	wa.pl.mu.Lock()
-	defer wa.pl.mu.Unlock()
-	wa.pl.pk.RecordPieces(wa.po, wa.ch.ID, took, pieces)
+func (ma *measuredAnswer) recordPieces(took time.Duration, pieces int) {
+	ma.pl.mu.Lock()
+	defer ma.pl.mu.Unlock()
+	ma.pl.pk.RecordPieces(ma.po, ma.ch.ID, took, pieces)
 }
 
 // Capacity returns the capacity of the upstreams of a model version or plain service, in the local
--- a/core/dispatch/try_test.go
+++ b/core/dispatch/try_test.go
@@ -95,16 +95,16 @@
 	interval time.Duration
 }
 
-func (wo *pieces) Next() ([]byte, error) {
-	if wo.left == 0 {
+func (pi *pieces) Next() ([]byte, error) {
+	if pi.left == 0 {
 		return nil, io.EOF
 	}
-	wo.left--
-	time.Sleep(wo.interval)
+	pi.left--
+	time.Sleep(pi.interval)
 	return []byte("word "), nil
 }
 
-func (wo *pieces) Usage() core.Usage { return core.Usage{Generated: 100} }
+func (pi *pieces) Usage() core.Usage { return core.Usage{Generated: 100} }
 
 // unequal is a fake with four upstreams, the first of which is ten times slower.
 type unequal struct {
@@ -113,13 +113,13 @@
 	got    map[core.UpstreamID]int
 }
 
-func (pa *unequal) Dispatch(_ context.Context, id core.UpstreamID, _ *core.Attempt) (core.Answer, error) {
-	pa.got[id]++
+func (un *unequal) Dispatch(_ context.Context, id core.UpstreamID, _ *core.Attempt) (core.Answer, error) {
+	un.got[id]++
 	interval := time.Millisecond
 	if id == "one" {
 		interval *= 10
 	}
-	if pa.stream {
+	if un.stream {
 		return &pieces{left: 20, interval: interval}, nil
 	}
 	time.Sleep(100 * interval)
--- a/core/execute/answer.go
+++ b/core/execute/answer.go
@@ -16,9 +16,9 @@
 }
 
 // Close aborts the attempt and calls release.
-func (he *slotAnswer) Close() {
-	he.Answer.Close()
-	he.release()
+func (sa *slotAnswer) Close() {
+	sa.Answer.Close()
+	sa.release()
 }
 
 // storedAnswer is an answer that is completely in memory.
--- a/core/execute/slot_queue.go
+++ b/core/execute/slot_queue.go
@@ -50,75 +50,75 @@
 
 // Acquire takes a slot or a place in the queue, or returns a refusal. Left is the time until the
 // caller's deadline, 0 if there is none. Started is true if the attempt has got its slot.
-func (bo *SlotQueue) Acquire(now time.Time, priority int, left time.Duration) (pl *Ticket, started bool, fl *core.Failure) {
-	pl = &Ticket{priority: priority, ready: make(chan struct{})}
-	if bo.running < bo.slots {
-		bo.start(now, pl)
-		return pl, true, nil
+func (sq *SlotQueue) Acquire(now time.Time, priority int, left time.Duration) (ti *Ticket, started bool, fl *core.Failure) {
+	ti = &Ticket{priority: priority, ready: make(chan struct{})}
+	if sq.running < sq.slots {
+		sq.start(now, ti)
+		return ti, true, nil
 	}
-	at := bo.position(priority)
-	wait := bo.wait(at)
-	if len(bo.waiting) >= bo.limit {
+	at := sq.position(priority)
+	wait := sq.wait(at)
+	if len(sq.waiting) >= sq.limit {
 		return nil, false, core.Refuse(core.CodeOverloaded, max(wait/2, minRetryAfter), "the queue of the upstream is full")
 	}
 	// The attempt itself is assumed to take at least half of the mean hold time. With the whole
 	// mean, short work would be refused by an upstream whose work is mostly long.
-	if need := wait + bo.meanHold/2; left > 0 && need > left {
+	if need := wait + sq.meanHold/2; left > 0 && need > left {
 		return nil, false, core.Refuse(core.CodeOverloaded, max(need-left, minRetryAfter), "the attempt would wait %s here, which its deadline does not allow", wait)
 	}
-	bo.waiting = slices.Insert(bo.waiting, at, pl)
-	return pl, false, nil
+	sq.waiting = slices.Insert(sq.waiting, at, ti)
+	return ti, false, nil
 }
 
 // position returns the queue position of a new attempt: after all attempts of the same or a higher
 // priority.
-func (bo *SlotQueue) position(priority int) int {
-	for ix, pl := range bo.waiting {
-		if pl.priority < priority {
+func (sq *SlotQueue) position(priority int) int {
+	for ix, ti := range sq.waiting {
+		if ti.priority < priority {
 			return ix
 		}
 	}
-	return len(bo.waiting)
+	return len(sq.waiting)
 }
 
 // wait returns the expected time until the attempt at a queue position starts: each slot starts a
 // new attempt once per hold time.
-func (bo *SlotQueue) wait(at int) time.Duration {
-	return time.Duration(at+1) * bo.meanHold / time.Duration(bo.slots)
+func (sq *SlotQueue) wait(at int) time.Duration {
+	return time.Duration(at+1) * sq.meanHold / time.Duration(sq.slots)
 }
 
-func (bo *SlotQueue) start(now time.Time, pl *Ticket) {
-	bo.running++
-	pl.started = now
-	close(pl.ready)
+func (sq *SlotQueue) start(now time.Time, ti *Ticket) {
+	sq.running++
+	ti.started = now
+	close(ti.ready)
 }
 
 // Release frees a slot and returns the waiting attempt that starts in it, or nil.
-func (bo *SlotQueue) Release(now time.Time, pl *Ticket) *Ticket {
-	bo.meanHold += (now.Sub(pl.started) - bo.meanHold) / holdDivisor
-	bo.running--
-	if len(bo.waiting) == 0 {
+func (sq *SlotQueue) Release(now time.Time, ti *Ticket) *Ticket {
+	sq.meanHold += (now.Sub(ti.started) - sq.meanHold) / holdDivisor
+	sq.running--
+	if len(sq.waiting) == 0 {
 		return nil
 	}
-	next := bo.waiting[0]
-	bo.waiting = slices.Delete(bo.waiting, 0, 1)
-	bo.start(now, next)
+	next := sq.waiting[0]
+	sq.waiting = slices.Delete(sq.waiting, 0, 1)
+	sq.start(now, next)
 	return next
 }
 
 // Cancel removes a waiting attempt. It returns false if the attempt has already started.
-func (bo *SlotQueue) Cancel(pl *Ticket) bool {
-	ix := slices.Index(bo.waiting, pl)
+func (sq *SlotQueue) Cancel(ti *Ticket) bool {
+	ix := slices.Index(sq.waiting, ti)
 	if ix < 0 {
 		return false
 	}
-	bo.waiting = slices.Delete(bo.waiting, ix, ix+1)
+	sq.waiting = slices.Delete(sq.waiting, ix, ix+1)
 	return true
 }
 
 // Load returns the numbers of running and waiting attempts.
-func (bo *SlotQueue) Load() core.Load {
-	return core.Load{Running: bo.running, Queued: len(bo.waiting), Slots: bo.slots}
+func (sq *SlotQueue) Load() core.Load {
+	return core.Load{Running: sq.running, Queued: len(sq.waiting), Slots: sq.slots}
 }
 
 // sharedSlotQueue makes a SlotQueue safe for concurrent use.
@@ -129,42 +129,42 @@
 
 // acquire waits for a slot and returns the function that frees it, which may be called more than
 // once.
-func (bd *sharedSlotQueue) acquire(ctx context.Context, at *core.Attempt) (release func(), err error) {
-	bd.mu.Lock()
-	pl, _, fl := bd.bo.Acquire(time.Now(), at.Priority, at.Deadline)
-	bd.mu.Unlock()
+func (ss *sharedSlotQueue) acquire(ctx context.Context, at *core.Attempt) (release func(), err error) {
+	ss.mu.Lock()
+	ti, _, fl := ss.bo.Acquire(time.Now(), at.Priority, at.Deadline)
+	ss.mu.Unlock()
 	if fl != nil {
 		return nil, fl
 	}
 	select {
-	case <-pl.ready:
+	case <-ti.ready:
 	case <-ctx.Done():
-		if bd.cancel(pl) {
+		if ss.cancel(ti) {
 			return nil, core.Refuse(core.CodeCallerGone, 0, "the caller gave up while the request waited")
 		}
 	}
 	return sync.OnceFunc(func() {
-		bd.mu.Lock()
-		defer bd.mu.Unlock()
-		bd.bo.Release(time.Now(), pl)
+		ss.mu.Lock()
+		defer ss.mu.Unlock()
+		ss.bo.Release(time.Now(), ti)
 	}), nil
 }
 
 // full reports whether a new attempt would be refused because the queue is full.
-func (bd *sharedSlotQueue) full() bool {
-	bd.mu.Lock()
-	defer bd.mu.Unlock()
-	return bd.bo.running >= bd.bo.slots && len(bd.bo.waiting) >= bd.bo.limit
+func (ss *sharedSlotQueue) full() bool {
+	ss.mu.Lock()
+	defer ss.mu.Unlock()
+	return ss.bo.running >= ss.bo.slots && len(ss.bo.waiting) >= ss.bo.limit
 }
 
-func (bd *sharedSlotQueue) cancel(pl *Ticket) bool {
-	bd.mu.Lock()
-	defer bd.mu.Unlock()
-	return bd.bo.Cancel(pl)
+func (ss *sharedSlotQueue) cancel(ti *Ticket) bool {
+	ss.mu.Lock()
+	defer ss.mu.Unlock()
+	return ss.bo.Cancel(ti)
 }
 
-func (bd *sharedSlotQueue) load() core.Load {
-	bd.mu.Lock()
-	defer bd.mu.Unlock()
-	return bd.bo.Load()
+func (ss *sharedSlotQueue) load() core.Load {
+	ss.mu.Lock()
+	defer ss.mu.Unlock()
+	return ss.bo.Load()
 }
--- a/core/execute/slot_queue_test.go
+++ b/core/execute/slot_queue_test.go
@@ -15,10 +15,10 @@
 // time left to try another upstream, and its caller would get no answer before its deadline.
 func TestSlotQueueRefusesOnArrivalAndOrdersByPriority(t *testing.T) {
 	now := time.Unix(0, 0)
-	bo := execute.NewSlotQueue(2, 4)
+	sq := execute.NewSlotQueue(2, 4)
 	acquire := func(priority int, left time.Duration) (*execute.Ticket, *core.Failure) {
-		pl, _, fl := bo.Acquire(now, priority, left)
-		return pl, fl
+		ti, _, fl := sq.Acquire(now, priority, left)
+		return ti, fl
 	}
 	first, _ := acquire(0, 0)
 	second, _ := acquire(0, 0)
@@ -39,12 +39,12 @@
 	canceled, _ := acquire(0, 0)
 	_, fl = acquire(0, 0)
 	assert.Equal(t, fl.Code, core.CodeOverloaded, "the queue is full")
-	assert.Equal(t, bo.Load(), core.Load{Running: 2, Queued: 4, Slots: 2})
+	assert.Equal(t, sq.Load(), core.Load{Running: 2, Queued: 4, Slots: 2})
 
-	assert.Assert(t, bo.Cancel(canceled))
-	assert.Equal(t, bo.Release(now, first), high)
-	assert.Equal(t, bo.Release(now, second), normal)
-	assert.Assert(t, !bo.Cancel(normal), "an attempt that has started cannot be canceled")
-	assert.Equal(t, bo.Release(now, high), low)
-	assert.Assert(t, bo.Release(now, low) == nil)
+	assert.Assert(t, sq.Cancel(canceled))
+	assert.Equal(t, sq.Release(now, first), high)
+	assert.Equal(t, sq.Release(now, second), normal)
+	assert.Assert(t, !sq.Cancel(normal), "an attempt that has started cannot be canceled")
+	assert.Equal(t, sq.Release(now, high), low)
+	assert.Assert(t, sq.Release(now, low) == nil)
 }
--- a/core/ledger/copies/copies.go
+++ b/core/ledger/copies/copies.go
@@ -107,12 +107,12 @@
 	if se.size+len(raw) > se.limit {
 		return false
 	}
-	ow := se.owners[id]
-	if ow == nil {
-		ow = new(processCopies)
-		se.owners[id] = ow
+	pc := se.owners[id]
+	if pc == nil {
+		pc = new(processCopies)
+		se.owners[id] = pc
 	}
-	ow.copies = append(ow.copies, heldCopy{at, raw, now})
+	pc.copies = append(pc.copies, heldCopy{at, raw, now})
 	se.processOf[at] = id
 	se.size += len(raw)
 	return true
@@ -129,15 +129,15 @@
 		}
 	}
 	for id := range owners {
-		ow := se.owners[id]
-		ow.copies = slices.DeleteFunc(ow.copies, func(he heldCopy) bool {
+		pc := se.owners[id]
+		pc.copies = slices.DeleteFunc(pc.copies, func(he heldCopy) bool {
 			if drop[he.attempt] {
 				se.size -= len(he.raw)
-				delete(ow.offered, he.attempt)
+				delete(pc.offered, he.attempt)
 			}
 			return drop[he.attempt]
 		})
-		if len(ow.copies) == 0 {
+		if len(pc.copies) == 0 {
 			delete(se.owners, id)
 		}
 	}
@@ -151,9 +151,9 @@
 // still have their bills themselves.
 func (se *Set) CountUnlinked(linked []core.ProcessID) int {
 	count := 0
-	for id, ow := range se.owners {
+	for id, pc := range se.owners {
 		if !slices.Contains(linked, id) {
-			count += len(ow.copies)
+			count += len(pc.copies)
 		}
 	}
 	return count
@@ -163,22 +163,22 @@
 func (se *Set) Due(now time.Time, linked []core.ProcessID) []Offer {
 	var out []Offer
 	for _, id := range slices.Sorted(maps.Keys(se.owners)) {
-		ow := se.owners[id]
+		pc := se.owners[id]
 		cutoff := now
 		if slices.Contains(linked, id) {
-			ow.unlinkedSince = time.Time{}
+			pc.unlinkedSince = time.Time{}
 			cutoff = now.Add(-reofferAfter)
-		} else if !ow.goneLongEnough(now) && !se.leaving {
+		} else if !pc.goneLongEnough(now) && !se.leaving {
 			continue
 		}
-		if !ow.mayOffer(now) {
+		if !pc.mayOffer(now) {
 			continue
 		}
-		if ho := ow.offer(now, cutoff); len(ho.Bills) > 0 {
-			ho.Process = id
-			ho.To = successor(id, linked, ow.failedOffers)
-			if ho.To != "" {
-				out = append(out, ho)
+		if of := pc.offer(now, cutoff); len(of.Bills) > 0 {
+			of.Process = id
+			of.To = successor(id, linked, pc.failedOffers)
+			if of.To != "" {
+				out = append(out, of)
 			}
 		}
 	}
@@ -186,41 +186,41 @@
 }
 
 // goneLongEnough reports whether the process has been without a link for takeoverAfter.
-func (ow *processCopies) goneLongEnough(now time.Time) bool {
-	if ow.unlinkedSince.IsZero() {
-		ow.unlinkedSince = now
+func (pc *processCopies) goneLongEnough(now time.Time) bool {
+	if pc.unlinkedSince.IsZero() {
+		pc.unlinkedSince = now
 	}
-	return now.Sub(ow.unlinkedSince) >= takeoverAfter
+	return now.Sub(pc.unlinkedSince) >= takeoverAfter
 }
 
 // mayOffer reports whether another offer may be made: the last one was settled, or its pause has
 // passed without that.
-func (ow *processCopies) mayOffer(now time.Time) bool {
+func (pc *processCopies) mayOffer(now time.Time) bool {
 	switch {
-	case len(ow.offered) == 0:
-		ow.failedOffers = 0
+	case len(pc.offered) == 0:
+		pc.failedOffers = 0
 		return true
-	case now.Sub(ow.offeredAt) < retryPause<<min(ow.failedOffers, maxDoublings):
+	case now.Sub(pc.offeredAt) < retryPause<<min(pc.failedOffers, maxDoublings):
 		return false
 	}
-	ow.failedOffers++
+	pc.failedOffers++
 	return true
 }
 
 // offer takes the oldest copies, none younger than cutoff, up to maxOfferBytes.
-func (ow *processCopies) offer(now, cutoff time.Time) Offer {
-	var ho Offer
-	ow.offered, ow.offeredAt = map[core.AttemptID]bool{}, now
+func (pc *processCopies) offer(now, cutoff time.Time) Offer {
+	var of Offer
+	pc.offered, pc.offeredAt = map[core.AttemptID]bool{}, now
 	size := 0
-	for _, he := range ow.copies {
+	for _, he := range pc.copies {
 		if he.heldSince.After(cutoff) || size > 0 && size+len(he.raw) > maxOfferBytes {
 			break
 		}
 		size += len(he.raw)
-		ho.Bills = append(ho.Bills, he.raw)
-		ow.offered[he.attempt] = true
+		of.Bills = append(of.Bills, he.raw)
+		pc.offered[he.attempt] = true
 	}
-	return ho
+	return of
 }
 
 // successor chooses the receiver of an offer: the process itself while it is linked, otherwise the
--- a/core/ledger/copies/copies_test.go
+++ b/core/ledger/copies/copies_test.go
@@ -55,9 +55,9 @@
 				if sc.durable > 0 && d == sc.durable {
 					set.Remove([]core.AttemptID{"at-1", "at-2", "at-9"})
 				}
-				for _, ho := range set.Due(start.Add(d), sc.linked) {
-					assert.Equal(t, ho.Process, core.ProcessID("gone"))
-					got = append(got, offer{d, ho.To, len(ho.Bills)})
+				for _, of := range set.Due(start.Add(d), sc.linked) {
+					assert.Equal(t, of.Process, core.ProcessID("gone"))
+					got = append(got, offer{d, of.To, len(of.Bills)})
 				}
 			}
 			assert.Equal(t, fmt.Sprint(got), fmt.Sprint(sc.expected))
--- a/core/ledger/property_test.go
+++ b/core/ledger/property_test.go
@@ -37,132 +37,132 @@
 const smallMemory = 900
 
 func newHarness(t *rapid.T) *harness {
-	wo := &harness{st: newMemoryStore(), copies: map[core.AttemptID]ledger.Copy{}}
+	ha := &harness{st: newMemoryStore(), copies: map[core.AttemptID]ledger.Copy{}}
 	seed := rapid.Uint64().Draw(t, "seed")
 	deps := core.NewDeps()
 	deps.Self = "gone"
-	wo.led = ledger.New(deps, wo.newStore(seed), ledger.MaxWaitingBytes(smallMemory), ledger.OnDurable(wo.forget))
-	wo.ownSuccessor = ledger.NewSuccessor(deps, wo.stores[0], wo.led)
+	ha.led = ledger.New(deps, ha.newStore(seed), ledger.MaxWaitingBytes(smallMemory), ledger.OnDurable(ha.forget))
+	ha.ownSuccessor = ledger.NewSuccessor(deps, ha.stores[0], ha.led)
 	for i := range 2 {
 		deps.Self = core.ProcessID(fmt.Sprint("successor-", i))
-		way := wo.newStore(seed + uint64(i) + 1)
-		wo.successors = append(wo.successors, ledger.NewSuccessor(deps, way, ledger.New(deps, way)))
+		fs := ha.newStore(seed + uint64(i) + 1)
+		ha.successors = append(ha.successors, ledger.NewSuccessor(deps, fs, ledger.New(deps, fs)))
 	}
-	return wo
+	return ha
 }
 
-func (wo *harness) newStore(seed uint64) *faultyStore {
-	fl := &faultyStore{Store: wo.st, rng: rand.New(rand.NewPCG(seed, 1)), faultShare: 0.3}
-	wo.stores = append(wo.stores, fl)
-	return fl
+func (ha *harness) newStore(seed uint64) *faultyStore {
+	fs := &faultyStore{Store: ha.st, rng: rand.New(rand.NewPCG(seed, 1)), faultShare: 0.3}
+	ha.stores = append(ha.stores, fs)
+	return fs
 }
 
 // forget drops the agent's copies of bills that are reported durable, and checks that these are in
 // the store.
-func (wo *harness) forget(ids []core.AttemptID) {
-	acc, err := ledger.Sum(context.Background(), wo.st)
+func (ha *harness) forget(ids []core.AttemptID) {
+	acc, err := ledger.Sum(context.Background(), ha.st)
 	stored := map[core.AttemptID]bool{}
 	for _, bi := range acc.Bills {
 		stored[bi.ID()] = true
 	}
-	wo.mu.Lock()
-	defer wo.mu.Unlock()
+	ha.mu.Lock()
+	defer ha.mu.Unlock()
 	for _, id := range ids {
 		if err != nil || !stored[id] {
-			wo.violations = append(wo.violations, fmt.Sprintf("bill %s was reported durable but is not in the store", id))
+			ha.violations = append(ha.violations, fmt.Sprintf("bill %s was reported durable but is not in the store", id))
 		}
-		delete(wo.copies, id)
+		delete(ha.copies, id)
 	}
 }
 
 // settleRequest ends a request at the entry: it files the bill and hands the agent a copy.
-func (wo *harness) settleRequest(*rapid.T) {
-	if wo.dead {
+func (ha *harness) settleRequest(*rapid.T) {
+	if ha.dead {
 		return
 	}
-	wo.bills++
-	co := ledger.Copy{Floor: wo.led.Floor(), Bill: newBill(fmt.Sprintf("at-%03d", wo.bills))}
-	wo.led.Add(co.Bill)
-	wo.mu.Lock()
-	defer wo.mu.Unlock()
-	wo.copies[co.Bill.ID()] = co
+	ha.bills++
+	co := ledger.Copy{Floor: ha.led.Floor(), Bill: newBill(fmt.Sprintf("at-%03d", ha.bills))}
+	ha.led.Add(co.Bill)
+	ha.mu.Lock()
+	defer ha.mu.Unlock()
+	ha.copies[co.Bill.ID()] = co
 }
 
-func (wo *harness) write(*rapid.T) {
+func (ha *harness) write(*rapid.T) {
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 		defer cancel()
-		_ = wo.led.Flush(ctx)
+		_ = ha.led.Flush(ctx)
 	}()
 }
 
 // offer offers the agent's copies to a successor, or to the entry itself.
-func (wo *harness) offer(t *rapid.T) {
-	he := rapid.SampledFrom(append(wo.successors, wo.ownSuccessor)).Draw(t, "successor")
-	if held := wo.held(); len(held) > 0 && (he != wo.ownSuccessor || !wo.dead) {
-		go wo.file(he, held)
+func (ha *harness) offer(t *rapid.T) {
+	su := rapid.SampledFrom(append(ha.successors, ha.ownSuccessor)).Draw(t, "successor")
+	if held := ha.held(); len(held) > 0 && (su != ha.ownSuccessor || !ha.dead) {
+		go ha.file(su, held)
 	}
 }
 
-func (wo *harness) held() []ledger.Copy {
-	wo.mu.Lock()
-	defer wo.mu.Unlock()
+func (ha *harness) held() []ledger.Copy {
+	ha.mu.Lock()
+	defer ha.mu.Unlock()
 	var held []ledger.Copy
-	for _, co := range wo.copies {
+	for _, co := range ha.copies {
 		held = append(held, co)
 	}
 	return held
 }
 
-func (wo *harness) file(he *ledger.Successor, held []ledger.Copy) {
+func (ha *harness) file(su *ledger.Successor, held []ledger.Copy) {
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
-	if done, err := he.File(ctx, "gone", held); err == nil {
-		wo.forget(done)
+	if done, err := su.File(ctx, "gone", held); err == nil {
+		ha.forget(done)
 	}
 }
 
 // crashSometimes ends the entry, in one of ten calls.
-func (wo *harness) crashSometimes(t *rapid.T) {
+func (ha *harness) crashSometimes(t *rapid.T) {
 	if rapid.IntRange(0, 9).Draw(t, "dies") == 0 {
-		wo.dead = true
-		wo.stores[0].set(1, true)
+		ha.dead = true
+		ha.stores[0].set(1, true)
 	}
 }
 
-func (wo *harness) wait(t *rapid.T) {
+func (ha *harness) wait(t *rapid.T) {
 	time.Sleep(time.Duration(rapid.Int64Range(1, int64(30*time.Second)).Draw(t, "time")))
 }
 
 // check runs after each action: no bill is stored twice, no entry is missing.
-func (wo *harness) check(t *rapid.T) {
-	acc, err := ledger.Sum(context.Background(), wo.st)
+func (ha *harness) check(t *rapid.T) {
+	acc, err := ledger.Sum(context.Background(), ha.st)
 	assert.NilError(t, err)
 	assert.Equal(t, len(acc.Duplicated), 0, "bills stored twice: %v", acc.Duplicated)
 	assert.Equal(t, len(acc.Faults), 0, "faults: %v", acc.Faults)
-	wo.mu.Lock()
-	defer wo.mu.Unlock()
-	assert.Equal(t, len(wo.violations), 0, "%v", wo.violations)
+	ha.mu.Lock()
+	defer ha.mu.Unlock()
+	assert.Equal(t, len(ha.violations), 0, "%v", ha.violations)
 }
 
 // finish removes the store's faults, waits until every pause has passed, and has one successor file
 // the agent's remaining copies. Then each bill must be stored exactly once.
-func (wo *harness) finish(t *rapid.T) {
-	for _, way := range wo.stores {
-		way.set(0, way.isDead())
+func (ha *harness) finish(t *rapid.T) {
+	for _, fs := range ha.stores {
+		fs.set(0, fs.isDead())
 	}
 	time.Sleep(time.Hour)
-	if !wo.dead {
-		assert.NilError(t, wo.led.Flush(context.Background()))
+	if !ha.dead {
+		assert.NilError(t, ha.led.Flush(context.Background()))
 	}
-	if held := wo.held(); len(held) > 0 {
-		wo.file(wo.successors[0], held)
+	if held := ha.held(); len(held) > 0 {
+		ha.file(ha.successors[0], held)
 	}
-	wo.check(t)
-	acc, err := ledger.Sum(context.Background(), wo.st)
+	ha.check(t)
+	acc, err := ledger.Sum(context.Background(), ha.st)
 	assert.NilError(t, err)
-	assert.Equal(t, len(wo.held()), 0)
-	assert.Equal(t, len(acc.Bills), wo.bills)
+	assert.Equal(t, len(ha.held()), 0)
+	assert.Equal(t, len(acc.Bills), ha.bills)
 }
 
 // The store loses replies, refuses calls, and applies writes late; the entry and its successors are
@@ -174,13 +174,13 @@
 }
 
 func runSequence(t *rapid.T) {
-	wo := newHarness(t)
+	ha := newHarness(t)
 	t.Repeat(map[string]func(*rapid.T){
-		"settle": wo.settleRequest, "settle-2": wo.settleRequest, "write": wo.write, "write-2": wo.write,
-		"offer": wo.offer, "offer-2": wo.offer, "die": wo.crashSometimes, "pass": wo.wait, "pass-2": wo.wait,
-		"": wo.check,
+		"settle": ha.settleRequest, "settle-2": ha.settleRequest, "write": ha.write, "write-2": ha.write,
+		"offer": ha.offer, "offer-2": ha.offer, "die": ha.crashSometimes, "pass": ha.wait, "pass-2": ha.wait,
+		"": ha.check,
 	})
-	wo.finish(t)
+	ha.finish(t)
 }
 
 // By default the property test runs with one seed and takes a second or two. rapid's flags override
--- a/core/ledger/queue.go
+++ b/core/ledger/queue.go
@@ -24,14 +24,14 @@
 }
 
 // add appends a bill and reports whether there was room.
-func (qu *queue) add(wa queuedBill) bool {
+func (qu *queue) add(qb queuedBill) bool {
 	qu.mu.Lock()
 	defer qu.mu.Unlock()
-	if qu.bytes+len(wa.raw) > qu.limit {
+	if qu.bytes+len(qb.raw) > qu.limit {
 		return false
 	}
-	qu.items = append(qu.items, wa)
-	qu.bytes += len(wa.raw)
+	qu.items = append(qu.items, qb)
+	qu.bytes += len(qb.raw)
 	return true
 }
 
@@ -51,8 +51,8 @@
 func (qu *queue) pop(count int) {
 	qu.mu.Lock()
 	defer qu.mu.Unlock()
-	for _, wa := range qu.items[:count] {
-		qu.bytes -= len(wa.raw)
+	for _, qb := range qu.items[:count] {
+		qu.bytes -= len(qb.raw)
 	}
 	clear(qu.items[:count])
 	qu.items = qu.items[count:]
@@ -62,11 +62,11 @@
 func (qu *queue) drop(ids idSet) {
 	qu.mu.Lock()
 	defer qu.mu.Unlock()
-	qu.items = slices.DeleteFunc(qu.items, func(wa queuedBill) bool {
-		if ids[wa.id] {
-			qu.bytes -= len(wa.raw)
+	qu.items = slices.DeleteFunc(qu.items, func(qb queuedBill) bool {
+		if ids[qb.id] {
+			qu.bytes -= len(qb.raw)
 		}
-		return ids[wa.id]
+		return ids[qb.id]
 	})
 }
 
@@ -90,8 +90,8 @@
 	qu.mu.Lock()
 	defer qu.mu.Unlock()
 	ids := make(idSet, len(qu.items))
-	for _, wa := range qu.items {
-		ids[wa.id] = true
+	for _, qb := range qu.items {
+		ids[qb.id] = true
 	}
 	return ids
 }
@@ -111,8 +111,8 @@
 // encodeSegment returns the payload of a segment of bills.
 func encodeSegment(batch []queuedBill) []byte {
 	raws := make([][]byte, len(batch))
-	for i, wa := range batch {
-		raws[i] = wa.raw
+	for i, qb := range batch {
+		raws[i] = qb.raw
 	}
 	return append(append([]byte(`{"bills":[`), bytes.Join(raws, []byte(","))...), "]}"...)
 }
--- a/core/ledger/store_test.go
+++ b/core/ledger/store_test.go
@@ -94,10 +94,10 @@
 	dead bool
 }
 
-func (fl *faultyStore) set(faultShare float64, dead bool) {
-	fl.mu.Lock()
-	defer fl.mu.Unlock()
-	fl.faultShare, fl.dead = faultShare, dead
+func (fs *faultyStore) set(faultShare float64, dead bool) {
+	fs.mu.Lock()
+	defer fs.mu.Unlock()
+	fs.faultShare, fs.dead = faultShare, dead
 }
 
 // maxPause is the longest pause of a process at one call.
@@ -117,26 +117,26 @@
 	faultCount
 )
 
-func (fl *faultyStore) draw() (fault, time.Duration) {
-	fl.mu.Lock()
-	defer fl.mu.Unlock()
+func (fs *faultyStore) draw() (fault, time.Duration) {
+	fs.mu.Lock()
+	defer fs.mu.Unlock()
 	switch {
-	case fl.dead:
+	case fs.dead:
 		return refused, 0
-	case fl.rng.Float64() >= fl.faultShare:
-		return none, time.Duration(fl.rng.Int64N(int64(10 * time.Millisecond)))
+	case fs.rng.Float64() >= fs.faultShare:
+		return none, time.Duration(fs.rng.Int64N(int64(10 * time.Millisecond)))
 	}
-	return fault(1 + fl.rng.IntN(int(faultCount)-1)), time.Duration(fl.rng.Int64N(int64(maxPause)))
+	return fault(1 + fs.rng.IntN(int(faultCount)-1)), time.Duration(fs.rng.Int64N(int64(maxPause)))
 }
 
-func (fl *faultyStore) isDead() bool {
-	fl.mu.Lock()
-	defer fl.mu.Unlock()
-	return fl.dead
+func (fs *faultyStore) isDead() bool {
+	fs.mu.Lock()
+	defer fs.mu.Unlock()
+	return fs.dead
 }
 
-func (fl *faultyStore) write(put func() (core.Revision, error)) (core.Revision, error) {
-	fa, pause := fl.draw()
+func (fs *faultyStore) write(put func() (core.Revision, error)) (core.Revision, error) {
+	fa, pause := fs.draw()
 	switch fa {
 	case refused:
 		return 0, core.ErrUnavailable
@@ -154,30 +154,30 @@
 		return rev, err
 	}
 	time.Sleep(pause)
-	if fl.isDead() {
+	if fs.isDead() {
 		return 0, core.ErrUncertain
 	}
 	return put()
 }
 
-func (fl *faultyStore) Create(ctx context.Context, key string, value []byte, lease core.LeaseID) (core.Revision, error) {
-	return fl.write(func() (core.Revision, error) { return fl.Store.Create(ctx, key, value, lease) })
+func (fs *faultyStore) Create(ctx context.Context, key string, value []byte, lease core.LeaseID) (core.Revision, error) {
+	return fs.write(func() (core.Revision, error) { return fs.Store.Create(ctx, key, value, lease) })
 }
 
-func (fl *faultyStore) Swap(ctx context.Context, key string, prev core.Revision, value []byte) (core.Revision, error) {
-	return fl.write(func() (core.Revision, error) { return fl.Store.Swap(ctx, key, prev, value) })
+func (fs *faultyStore) Swap(ctx context.Context, key string, prev core.Revision, value []byte) (core.Revision, error) {
+	return fs.write(func() (core.Revision, error) { return fs.Store.Swap(ctx, key, prev, value) })
 }
 
-func (fl *faultyStore) Get(ctx context.Context, key string) (core.Item, error) {
-	fa, pause := fl.draw()
+func (fs *faultyStore) Get(ctx context.Context, key string) (core.Item, error) {
+	fa, pause := fs.draw()
 	switch fa {
 	case refused, replyLost, writeLost, appliedLate:
 		return core.Item{}, core.ErrUnavailable
 	case pausedAfter:
-		it, err := fl.Store.Get(ctx, key)
+		it, err := fs.Store.Get(ctx, key)
 		time.Sleep(pause)
 		return it, err
 	}
 	time.Sleep(pause)
-	return fl.Store.Get(ctx, key)
+	return fs.Store.Get(ctx, key)
 }
--- a/core/ledger/writer.go
+++ b/core/ledger/writer.go
@@ -150,8 +150,8 @@
 	ctx, cancel := context.WithTimeout(context.Background(), limit)
 	defer cancel()
 	err := wr.Flush(ctx)
-	for _, wa := range wr.queue.close() {
-		wr.logLost(wa.raw)
+	for _, qb := range wr.queue.close() {
+		wr.logLost(qb.raw)
 	}
 	return err
 }
@@ -252,8 +252,8 @@
 	wr.advance(n)
 	event.Log(wr.deps.Log, event.SegmentWritten, "bills", len(batch))
 	ids := make([]core.AttemptID, len(batch))
-	for i, wa := range batch {
-		ids[i] = wa.id
+	for i, qb := range batch {
+		ids[i] = qb.id
 	}
 	wr.onDurable(ids)
 }
--- a/core/ledger/writer_test.go
+++ b/core/ledger/writer_test.go
@@ -29,19 +29,19 @@
 	losing bool
 }
 
-func (si *replyLosingStore) Create(ctx context.Context, key string, value []byte, lease core.LeaseID) (core.Revision, error) {
-	rev, err := si.memoryStore.Create(ctx, key, value, lease)
-	if si.losing {
+func (rl *replyLosingStore) Create(ctx context.Context, key string, value []byte, lease core.LeaseID) (core.Revision, error) {
+	rev, err := rl.memoryStore.Create(ctx, key, value, lease)
+	if rl.losing {
 		return 0, core.ErrUncertain
 	}
 	return rev, err
 }
 
-func (si *replyLosingStore) Get(ctx context.Context, key string) (core.Item, error) {
-	if si.losing {
+func (rl *replyLosingStore) Get(ctx context.Context, key string) (core.Item, error) {
+	if rl.losing {
 		return core.Item{}, core.ErrUnavailable
 	}
-	return si.memoryStore.Get(ctx, key)
+	return rl.memoryStore.Get(ctx, key)
 }
 
 // The store accepts a segment, but its reply is lost and the store is then down for longer than the
--- a/core/losses/count.go
+++ b/core/losses/count.go
@@ -75,7 +75,7 @@
 		rq.addUsage(usage)
 	}
 	ta.Routes = sorted(routes, func(ro *Row) string { return ro.Name })
-	ta.Models = sorted(usage, func(wo *ModelUsage) string { return wo.Model })
+	ta.Models = sorted(usage, func(mu *ModelUsage) string { return mu.Model })
 	return ta
 }
 
@@ -110,17 +110,17 @@
 		if at.model == "" {
 			continue
 		}
-		wo := usage[at.model]
-		if wo == nil {
-			wo = &ModelUsage{Model: at.model}
-			usage[at.model] = wo
+		mu := usage[at.model]
+		if mu == nil {
+			mu = &ModelUsage{Model: at.model}
+			usage[at.model] = mu
 		}
-		wo.Attempts++
+		mu.Attempts++
 		if at.verdict == "unsure" {
-			wo.Escalated++
+			mu.Escalated++
 		}
-		wo.CachedTokens += min(at.cached, rq.prompt)
-		wo.PrefilledTokens += max(rq.prompt-at.cached, 0)
+		mu.CachedTokens += min(at.cached, rq.prompt)
+		mu.PrefilledTokens += max(rq.prompt-at.cached, 0)
 	}
 }
 
--- a/core/losses/write.go
+++ b/core/losses/write.go
@@ -23,8 +23,8 @@
 	writeRows(tw, "route", ta.Routes)
 	writeRows(tw, "from", ta.Spans)
 	fmt.Fprintf(tw, "\nmodel\tattempts\tescalated\ttokens prefilled\ttokens cached\n")
-	for _, wo := range ta.Models {
-		fmt.Fprintf(tw, "%s\t%d\t%d\t%d\t%d\n", wo.Model, wo.Attempts, wo.Escalated, wo.PrefilledTokens, wo.CachedTokens)
+	for _, mu := range ta.Models {
+		fmt.Fprintf(tw, "%s\t%d\t%d\t%d\t%d\n", mu.Model, mu.Attempts, mu.Escalated, mu.PrefilledTokens, mu.CachedTokens)
 	}
 	if ta.Dropped > 0 {
 		fmt.Fprintf(tw, "\n%d log lines were dropped by processes; some requests without a logged end only lack that line.\n", ta.Dropped)
--- a/core/mechanism/mechanism.go
+++ b/core/mechanism/mechanism.go
@@ -93,19 +93,19 @@
 func Disable(names ...Name) Disabled { return Disabled{names: names} }
 
 // Has reports whether a mechanism is disabled.
-func (of Disabled) Has(na Name) bool { return slices.Contains(of.names, na) }
+func (di Disabled) Has(na Name) bool { return slices.Contains(di.names, na) }
 
 // Parse returns a Disabled that disables the mechanisms with the given names. It fails on an
 // unknown name.
 func Parse(names []string) (Disabled, error) {
-	var of Disabled
+	var di Disabled
 	for _, name := range names {
 		if !slices.Contains(all, Name(name)) {
 			return Disabled{}, eris.Errorf("no mechanism %q exists; use one of %s", name, list())
 		}
-		of.names = append(of.names, Name(name))
+		di.names = append(di.names, Name(name))
 	}
-	return of, nil
+	return di, nil
 }
 
 func list() string {
--- a/core/order/order_test.go
+++ b/core/order/order_test.go
@@ -22,46 +22,46 @@
 	lostReplies int
 }
 
-func (ro *singleKeyStore) Get(_ context.Context, _ string) (core.Item, error) {
-	ro.mu.Lock()
-	defer ro.mu.Unlock()
+func (sk *singleKeyStore) Get(_ context.Context, _ string) (core.Item, error) {
+	sk.mu.Lock()
+	defer sk.mu.Unlock()
 	switch {
-	case ro.down:
+	case sk.down:
 		return core.Item{}, core.ErrUnavailable
-	case ro.item.Revision == 0:
+	case sk.item.Revision == 0:
 		return core.Item{}, core.ErrNotFound
 	}
-	return ro.item, nil
+	return sk.item, nil
 }
 
-func (ro *singleKeyStore) Create(ctx context.Context, key string, value []byte, _ core.LeaseID) (core.Revision, error) {
-	return ro.Swap(ctx, key, 0, value)
+func (sk *singleKeyStore) Create(ctx context.Context, key string, value []byte, _ core.LeaseID) (core.Revision, error) {
+	return sk.Swap(ctx, key, 0, value)
 }
 
-func (ro *singleKeyStore) Swap(_ context.Context, _ string, prev core.Revision, value []byte) (core.Revision, error) {
-	ro.mu.Lock()
-	defer ro.mu.Unlock()
-	if ro.item.Revision != prev {
+func (sk *singleKeyStore) Swap(_ context.Context, _ string, prev core.Revision, value []byte) (core.Revision, error) {
+	sk.mu.Lock()
+	defer sk.mu.Unlock()
+	if sk.item.Revision != prev {
 		return 0, core.ErrConflict
 	}
-	ro.item = core.Item{Value: value, Revision: prev + 1}
-	if ro.loseReply && ro.lostReplies == 0 {
-		ro.lostReplies++
+	sk.item = core.Item{Value: value, Revision: prev + 1}
+	if sk.loseReply && sk.lostReplies == 0 {
+		sk.lostReplies++
 		return 0, core.ErrUncertain
 	}
-	return ro.item.Revision, nil
+	return sk.item.Revision, nil
 }
 
 // Several operators give orders at once, and the store loses a reply. If a number were issued twice,
 // the agent could not determine which order is newer.
 func TestFencingNumbersAreUnique(t *testing.T) {
-	ro := &singleKeyStore{loseReply: true}
+	sk := &singleKeyStore{loseReply: true}
 	var mu sync.Mutex
 	seen := map[order.FencingNumber]bool{}
 	var wg sync.WaitGroup
 	for range 8 {
 		wg.Go(func() {
-			fe, err := order.NewIssuer(ro).Next(t.Context(), "desk-1")
+			fe, err := order.NewIssuer(sk).Next(t.Context(), "desk-1")
 			mu.Lock()
 			defer mu.Unlock()
 			if err == nil {
@@ -78,8 +78,8 @@
 // order. The engine ignores fencing numbers. The agent must refuse the late order, even if it was
 // restarted in the meantime and has lost its state.
 func TestOutdatedOrderIsNotSent(t *testing.T) {
-	ro := new(singleKeyStore)
-	is := order.NewIssuer(ro)
+	sk := new(singleKeyStore)
+	is := order.NewIssuer(sk)
 	old, err := is.Next(t.Context(), "desk-1")
 	assert.NilError(t, err)
 	newer, err := is.Next(t.Context(), "desk-1")
@@ -91,10 +91,10 @@
 			return nil
 		})
 	}
-	assert.Assert(t, errors.Is(pass(order.NewGate(ro, "desk-1"), old), order.ErrSuperseded))
-	assert.NilError(t, pass(order.NewGate(ro, "desk-1"), newer))
-	assert.Assert(t, errors.Is(pass(order.NewGate(ro, "desk-1"), old), order.ErrSuperseded))
+	assert.Assert(t, errors.Is(pass(order.NewGate(sk, "desk-1"), old), order.ErrSuperseded))
+	assert.NilError(t, pass(order.NewGate(sk, "desk-1"), newer))
+	assert.Assert(t, errors.Is(pass(order.NewGate(sk, "desk-1"), old), order.ErrSuperseded))
 	assert.DeepEqual(t, sent, []order.FencingNumber{newer})
-	ro.down = true
-	assert.Assert(t, errors.Is(pass(order.NewGate(ro, "desk-1"), newer), order.ErrUnavailable))
+	sk.down = true
+	assert.Assert(t, errors.Is(pass(order.NewGate(sk, "desk-1"), newer), order.ErrUnavailable))
 }
--- a/core/trace/trace.go
+++ b/core/trace/trace.go
@@ -70,25 +70,25 @@
 
 // Trace reconstructs a request.
 func (lo *Log) Trace(id core.RequestID) Trace {
-	st := Trace{Request: id}
+	tr := Trace{Request: id}
 	own := lo.requestLines(id)
 	if len(own) == 0 {
-		st.Missing = lo.explainNoLines()
-		return st
+		tr.Missing = lo.explainNoLines()
+		return tr
 	}
 	sc := newScope(own)
-	st.Lines = own
+	tr.Lines = own
 	for i := range lo.lines {
 		if li := &lo.lines[i]; li.Get("request") != string(id) && sc.includes(li) {
-			st.Lines = append(st.Lines, *li)
+			tr.Lines = append(tr.Lines, *li)
 		}
 	}
-	st.Lines = append(st.Lines, lo.initialState(sc)...)
-	slices.SortStableFunc(st.Lines, func(a, b Line) int { return a.At.Compare(b.At) })
-	st.Upstreams = lo.upstreamTraffic(id, sc)
-	st.Entries = lo.entryTraffic(id, sc)
-	st.Missing = lo.missing(sc, own)
-	return st
+	tr.Lines = append(tr.Lines, lo.initialState(sc)...)
+	slices.SortStableFunc(tr.Lines, func(a, b Line) int { return a.At.Compare(b.At) })
+	tr.Upstreams = lo.upstreamTraffic(id, sc)
+	tr.Entries = lo.entryTraffic(id, sc)
+	tr.Missing = lo.missing(sc, own)
+	return tr
 }
 
 // requestLines lists the lines with a request's id, ordered by time.
@@ -173,20 +173,20 @@
 	}
 	for i := range lo.lines {
 		li := &lo.lines[i]
-		ne := counts[li.Get("upstream")]
-		if ne == nil || li.Get("request") == string(id) || li.At.Before(sc.from.Add(-timeBefore)) || li.At.After(sc.to.Add(timeAfter)) {
+		ut := counts[li.Get("upstream")]
+		if ut == nil || li.Get("request") == string(id) || li.At.Before(sc.from.Add(-timeBefore)) || li.At.After(sc.to.Add(timeAfter)) {
 			continue
 		}
 		switch li.Event {
 		case event.AttemptBegun.Name:
-			ne.Begun++
+			ut.Begun++
 		case event.AttemptEnded.Name:
-			ne.Ended[li.Get("verdict")]++
+			ut.Ended[li.Get("verdict")]++
 		}
 	}
 	var out []UpstreamTraffic
-	for _, ne := range counts {
-		out = append(out, *ne)
+	for _, ut := range counts {
+		out = append(out, *ut)
 	}
 	slices.SortFunc(out, func(a, b UpstreamTraffic) int { return cmp.Compare(a.Upstream, b.Upstream) })
 	return out
@@ -211,8 +211,8 @@
 		}
 	}
 	var out []EntryTraffic
-	for _, tr := range counts {
-		out = append(out, *tr)
+	for _, et := range counts {
+		out = append(out, *et)
 	}
 	slices.SortFunc(out, func(a, b EntryTraffic) int { return cmp.Compare(a.Process, b.Process) })
 	return out
--- a/core/trace/trace_test.go
+++ b/core/trace/trace_test.go
@@ -25,9 +25,9 @@
 		assert.NilError(t, lo.Read(name, fi))
 		assert.NilError(t, fi.Close())
 	}
-	st := lo.Trace(id)
+	tr := lo.Trace(id)
 	var sb strings.Builder
-	assert.NilError(t, st.Write(&sb))
+	assert.NilError(t, tr.Write(&sb))
 	return sb.String()
 }
 
--- a/core/trace/write.go
+++ b/core/trace/write.go
@@ -16,26 +16,26 @@
 
 // Write prints the trace: its lines, counts of other requests at the same entries and upstreams, and
 // what is missing. The request's own lines are marked with an asterisk.
-func (st *Trace) Write(w io.Writer) error {
+func (tr *Trace) Write(w io.Writer) error {
 	var sb strings.Builder
-	fmt.Fprintf(&sb, "request %s\n", st.Request)
-	for i := range st.Lines {
-		st.writeLine(&sb, &st.Lines[i])
+	fmt.Fprintf(&sb, "request %s\n", tr.Request)
+	for i := range tr.Lines {
+		tr.writeLine(&sb, &tr.Lines[i])
 	}
-	st.writeOthers(&sb)
-	if len(st.Missing) == 0 {
+	tr.writeOthers(&sb)
+	if len(tr.Missing) == 0 {
 		sb.WriteString("nothing is missing\n")
 	}
-	for _, text := range st.Missing {
+	for _, text := range tr.Missing {
 		fmt.Fprintf(&sb, "missing: %s\n", text)
 	}
 	_, err := io.WriteString(w, sb.String())
 	return eris.Wrap(err, "write the trace")
 }
 
-func (st *Trace) writeLine(sb *strings.Builder, li *Line) {
+func (tr *Trace) writeLine(sb *strings.Builder, li *Line) {
 	mark := " "
-	if li.Get("request") == string(st.Request) {
+	if li.Get("request") == string(tr.Request) {
 		mark = "*"
 	}
 	fmt.Fprintf(sb, "%s %s %-8s %-20s", mark, clock(li.At), shortName(li.processName()), li.Event)
@@ -53,12 +53,12 @@
 }
 
 // writeOthers prints counts of the other requests at the same entries and upstreams.
-func (st *Trace) writeOthers(sb *strings.Builder) {
-	for _, tr := range st.Entries {
-		writeCounts(sb, shortName(tr.Process), tr.Begun, tr.Refused, " refused as ")
+func (tr *Trace) writeOthers(sb *strings.Builder) {
+	for _, et := range tr.Entries {
+		writeCounts(sb, shortName(et.Process), et.Begun, et.Refused, " refused as ")
 	}
-	for _, ne := range st.Upstreams {
-		writeCounts(sb, ne.Upstream, ne.Begun, ne.Ended, " ")
+	for _, ut := range tr.Upstreams {
+		writeCounts(sb, ut.Upstream, ut.Begun, ut.Ended, " ")
 	}
 }
 
--- a/io/entry/bills.go
+++ b/io/entry/bills.go
@@ -29,40 +29,40 @@
 	return billCopies{deps: deps, copies: copies.New(), entries: map[core.ProcessID]*link.Control{}}
 }
 
-func (bl *billCopies) addLink(id core.ProcessID, co *link.Control) {
-	bl.mu.Lock()
-	defer bl.mu.Unlock()
-	bl.entries[id] = co
+func (bc *billCopies) addLink(id core.ProcessID, co *link.Control) {
+	bc.mu.Lock()
+	defer bc.mu.Unlock()
+	bc.entries[id] = co
 }
 
 // removeLink removes a link, unless its entry has a newer one.
-func (bl *billCopies) removeLink(co *link.Control) {
-	bl.mu.Lock()
-	defer bl.mu.Unlock()
-	for id, other := range bl.entries {
+func (bc *billCopies) removeLink(co *link.Control) {
+	bc.mu.Lock()
+	defer bc.mu.Unlock()
+	for id, other := range bc.entries {
 		if other == co {
-			delete(bl.entries, id)
+			delete(bc.entries, id)
 		}
 	}
 }
 
-func (bl *billCopies) receiveBill(se *frame.Settled) {
-	bl.mu.Lock()
-	defer bl.mu.Unlock()
+func (bc *billCopies) receiveBill(se *frame.Settled) {
+	bc.mu.Lock()
+	defer bc.mu.Unlock()
 	at := core.AttemptID(se.Attempt)
-	if !bl.copies.Add(core.ProcessID(se.Process), at, se.Bill, time.Now()) {
-		event.Log(bl.deps.Log, event.CopyDropped, "process", se.Process, "attempt", at)
+	if !bc.copies.Add(core.ProcessID(se.Process), at, se.Bill, time.Now()) {
+		event.Log(bc.deps.Log, event.CopyDropped, "process", se.Process, "attempt", at)
 	}
 }
 
-func (bl *billCopies) receiveDurable(du *frame.Durable) {
-	bl.mu.Lock()
-	defer bl.mu.Unlock()
+func (bc *billCopies) receiveDurable(du *frame.Durable) {
+	bc.mu.Lock()
+	defer bc.mu.Unlock()
 	ats := make([]core.AttemptID, len(du.Attempts))
 	for i, at := range du.Attempts {
 		ats[i] = core.AttemptID(at)
 	}
-	bl.copies.Remove(ats)
+	bc.copies.Remove(ats)
 }
 
 // handoverInterval is the interval of the check for copies to hand over. It is short compared
@@ -70,7 +70,7 @@
 const handoverInterval = time.Second
 
 // serve hands copies over until the context ends.
-func (bl *billCopies) serve(ctx context.Context) {
+func (bc *billCopies) serve(ctx context.Context) {
 	tick := time.NewTicker(handoverInterval)
 	defer tick.Stop()
 	for {
@@ -79,7 +79,7 @@
 			return
 		case <-tick.C:
 		}
-		for _, de := range bl.dueHandovers(time.Now()) {
+		for _, de := range bc.dueHandovers(time.Now()) {
 			// The control stream detects a lost link; the copies are offered again.
 			_ = de.to.Send(&frame.Frame{Body: &frame.Frame_Told{Told: de.message}})
 		}
@@ -92,30 +92,30 @@
 // drain hands the copies of entries without a link to a successor and waits until they are
 // durable. Otherwise the last copies of an entry's bills would be lost if the agent stops shortly
 // after the entry crashed.
-func (bl *billCopies) drain(ctx context.Context) {
+func (bc *billCopies) drain(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, drainTimeout)
 	defer cancel()
-	bl.mu.Lock()
-	bl.copies.OfferNow()
-	bl.mu.Unlock()
-	for count := bl.unlinkedCopies(); count > 0; count = bl.unlinkedCopies() {
+	bc.mu.Lock()
+	bc.copies.OfferNow()
+	bc.mu.Unlock()
+	for count := bc.unlinkedCopies(); count > 0; count = bc.unlinkedCopies() {
 		select {
 		case <-ctx.Done():
-			event.Log(bl.deps.Log, event.CopiesLeft, "copies", count)
+			event.Log(bc.deps.Log, event.CopiesLeft, "copies", count)
 			return
 		case <-time.After(handoverInterval / 10):
 		}
 	}
 }
 
-func (bl *billCopies) unlinkedCopies() int {
-	bl.mu.Lock()
-	defer bl.mu.Unlock()
-	return bl.copies.CountUnlinked(bl.linkedEntries())
+func (bc *billCopies) unlinkedCopies() int {
+	bc.mu.Lock()
+	defer bc.mu.Unlock()
+	return bc.copies.CountUnlinked(bc.linkedEntries())
 }
 
-func (bl *billCopies) linkedEntries() []core.ProcessID {
-	return slices.Sorted(maps.Keys(bl.entries))
+func (bc *billCopies) linkedEntries() []core.ProcessID {
+	return slices.Sorted(maps.Keys(bc.entries))
 }
 
 // handover is a message with bills, and the link of the entry that receives it.
@@ -124,12 +124,12 @@
 	message *frame.Told
 }
 
-func (bl *billCopies) dueHandovers(now time.Time) []handover {
-	bl.mu.Lock()
-	defer bl.mu.Unlock()
+func (bc *billCopies) dueHandovers(now time.Time) []handover {
+	bc.mu.Lock()
+	defer bc.mu.Unlock()
 	var out []handover
-	for _, ho := range bl.copies.Due(now, bl.linkedEntries()) {
-		out = append(out, handover{bl.entries[ho.To], &frame.Told{Process: string(ho.Process), Bills: ho.Bills}})
+	for _, of := range bc.copies.Due(now, bc.linkedEntries()) {
+		out = append(out, handover{bc.entries[of.To], &frame.Told{Process: string(of.Process), Bills: of.Bills}})
 	}
 	return out
 }
--- a/io/logline/logline_test.go
+++ b/io/logline/logline_test.go
@@ -23,9 +23,9 @@
 
 func newStalledOutput() *stalledOutput { return &stalledOutput{release: make(chan struct{})} }
 
-func (sl *stalledOutput) Write(p []byte) (int, error) {
-	<-sl.release
-	return sl.buf.Write(p)
+func (so *stalledOutput) Write(p []byte) (int, error) {
+	<-so.release
+	return so.buf.Write(p)
 }
 
 // line holds the fields of a log line that the tests check.
@@ -79,17 +79,17 @@
 // request cannot find out whether its lines may be missing.
 func TestEachLineIsWrittenOrCounted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		sl := newStalledOutput()
-		lg, cleanup := logline.New(sl, slog.LevelInfo, slog.String("process", "p1"))
+		so := newStalledOutput()
+		lg, cleanup := logline.New(so, slog.LevelInfo, slog.String("process", "p1"))
 		for range 10 {
 			logAll(lg, event.ExchangeEnded, 400)
 			logAll(lg, event.ExchangeFailed, 100)
 			time.Sleep(300 * time.Millisecond)
 		}
-		close(sl.release)
+		close(so.release)
 		time.Sleep(3 * time.Second)
 		cleanup()
-		lines, written, dropped := read(t, sl.buf.Bytes())
+		lines, written, dropped := read(t, so.buf.Bytes())
 		assert.Equal(t, written["exchange-ended"]+dropped["exchange-ended"], 4000)
 		assert.Equal(t, written["exchange-failed"]+dropped["exchange-failed"], 1000)
 		assert.Assert(t, dropped["exchange-ended"] > 0)
@@ -121,17 +121,17 @@
 // requests must still be written, from the reserved part of the buffer.
 func TestWarningsHaveReservedSpace(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		sl := newStalledOutput()
-		lg, cleanup := logline.New(sl, slog.LevelInfo, slog.String("process", "p1"))
+		so := newStalledOutput()
+		lg, cleanup := logline.New(so, slog.LevelInfo, slog.String("process", "p1"))
 		logAll(lg, event.Started, 1)
 		time.Sleep(time.Second) // The writer blocks at the first line.
 		logAll(lg, event.ExchangeEnded, 290)
 		logAll(lg, event.AttemptBegun, 290)
 		logAll(lg, event.ExchangeFailed, 60)
-		close(sl.release)
+		close(so.release)
 		time.Sleep(2 * time.Second)
 		cleanup()
-		_, written, dropped := read(t, sl.buf.Bytes())
+		_, written, dropped := read(t, so.buf.Bytes())
 		assert.Assert(t, dropped["attempt-begun"] > 0, "no line was dropped: the buffer was not full")
 		assert.Equal(t, written["exchange-failed"], 60)
 	})
@@ -140,8 +140,8 @@
 // writeSizes records the length of each write.
 type writeSizes []int
 
-func (si *writeSizes) Write(p []byte) (int, error) {
-	*si = append(*si, len(p))
+func (ws *writeSizes) Write(p []byte) (int, error) {
+	*ws = append(*ws, len(p))
 	return len(p), nil
 }
 
@@ -149,13 +149,13 @@
 // longer write beyond that, and the log then lacks the lines about the end of some requests.
 func TestWritesHaveALimitedSize(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var si writeSizes
-		lg, cleanup := logline.New(&si, slog.LevelInfo, slog.String("process", "p1"))
+		var ws writeSizes
+		lg, cleanup := logline.New(&ws, slog.LevelInfo, slog.String("process", "p1"))
 		logAll(lg, event.ExchangeEnded, 250)
 		time.Sleep(time.Second)
 		cleanup()
-		assert.Assert(t, len(si) > 1)
-		for _, n := range si {
+		assert.Assert(t, len(ws) > 1)
+		for _, n := range ws {
 			assert.Assert(t, n <= 8<<10, "a write of %d bytes exceeds 8 kB", n)
 		}
 	})
--- a/io/sibling/digest_test.go
+++ b/io/sibling/digest_test.go
@@ -17,8 +17,8 @@
 	sent [][]byte
 }
 
-func (wi *recordingConn) WriteTo(data []byte, _ net.Addr) (int, error) {
-	wi.sent = append(wi.sent, data)
+func (rc *recordingConn) WriteTo(data []byte, _ net.Addr) (int, error) {
+	rc.sent = append(rc.sent, data)
 	return len(data), nil
 }
 
@@ -29,7 +29,7 @@
 	digests []replica.Digest
 }
 
-func (pe *receivedGossip) ReceiveLoad(_ uint64, lo balance.Load) { pe.loads = append(pe.loads, lo) }
+func (rg *receivedGossip) ReceiveLoad(_ uint64, lo balance.Load) { rg.loads = append(rg.loads, lo) }
 
 // fakeDigests provides an entry's digest and records received ones in a receivedGossip.
 type fakeDigests struct{ pe *receivedGossip }
@@ -42,22 +42,22 @@
 
 // newTestGossiper returns a Gossiper and the record of what it receives.
 func newTestGossiper() (*Gossiper, *receivedGossip) {
-	pe := &receivedGossip{}
+	rg := &receivedGossip{}
 	addrs := func() []string { return []string{"127.0.0.1:7340"} }
-	return NewGossiper("p", "127.0.0.1:7341", pe, fakeDigests{pe}, addrs, func() bool { return true }), pe
+	return NewGossiper("p", "127.0.0.1:7341", rg, fakeDigests{rg}, addrs, func() bool { return true }), rg
 }
 
 // TestDigestDatagramLeavesLoadUnchanged guards against an entry whose load is reset to zero
 // at its siblings when it announces a new revision.
 func TestDigestDatagramLeavesLoadUnchanged(t *testing.T) {
 	sender, _ := newTestGossiper()
-	receiver, pe := newTestGossiper()
-	wi := &recordingConn{}
-	sender.sendDigest(wi)
-	assert.Equal(t, len(wi.sent), 1)
-	receiver.handleDatagram(wi.sent[0], "127.0.0.1:7342")
-	assert.Equal(t, len(pe.loads), 0)
-	assert.Equal(t, len(pe.digests), 1)
-	assert.Equal(t, pe.digests[0].Revision, replica.Digest{Revision: 7}.Revision)
-	assert.Equal(t, pe.digests[0].From, "127.0.0.1:7342")
+	receiver, rg := newTestGossiper()
+	rc := &recordingConn{}
+	sender.sendDigest(rc)
+	assert.Equal(t, len(rc.sent), 1)
+	receiver.handleDatagram(rc.sent[0], "127.0.0.1:7342")
+	assert.Equal(t, len(rg.loads), 0)
+	assert.Equal(t, len(rg.digests), 1)
+	assert.Equal(t, rg.digests[0].Revision, replica.Digest{Revision: 7}.Revision)
+	assert.Equal(t, rg.digests[0].From, "127.0.0.1:7342")
 }
--- a/io/sibling/gossip.go
+++ b/io/sibling/gossip.go
@@ -80,27 +80,27 @@
 
 // RemoteEntries sets the function that returns the addresses of the entries of each other region.
 func RemoteEntries(fn func() map[core.Region][]string) GossiperOption {
-	return func(sh *Gossiper) { sh.remote = fn }
+	return func(gs *Gossiper) { gs.remote = fn }
 }
 
 // NewGossiper returns a Gossiper that listens at addr and sends to the addresses returned by
 // addrs. isReader reports whether other entries rely on this entry's replica.
 func NewGossiper(self core.ProcessID, addr string, ld Loads, di Digests, addrs func() []string, isReader func() bool, opts ...GossiperOption) *Gossiper {
-	sh := &Gossiper{
+	gs := &Gossiper{
 		self: self, addr: addr, ld: ld, di: di, addrs: addrs, isReader: isReader, revisionChanged: make(chan struct{}, 1), rotation: rotation{},
 		limiter: rate.NewLimiter(sentRate, sentBurst), remote: func() map[core.Region][]string { return nil },
 	}
 	for _, opt := range opts {
-		opt(sh)
+		opt(gs)
 	}
-	return sh
+	return gs
 }
 
 // AnnounceDigest triggers an immediate announcement of this entry's replica digest to all
 // siblings, if they rely on its replica.
-func (sh *Gossiper) AnnounceDigest() {
+func (gs *Gossiper) AnnounceDigest() {
 	select {
-	case sh.revisionChanged <- struct{}{}:
+	case gs.revisionChanged <- struct{}{}:
 	default:
 	}
 }
@@ -136,13 +136,13 @@
 )
 
 // Serve implements suture.Service.
-func (sh *Gossiper) Serve(ctx context.Context) error {
-	pc, err := net.ListenPacket("udp", sh.addr)
+func (gs *Gossiper) Serve(ctx context.Context) error {
+	pc, err := net.ListenPacket("udp", gs.addr)
 	if err != nil {
 		return eris.Wrap(err, "sibling")
 	}
 	defer context.AfterFunc(ctx, func() { pc.Close() })()
-	go sh.receive(pc)
+	go gs.receive(pc)
 	ti := time.NewTicker(balance.ShareInterval)
 	defer ti.Stop()
 	remoteTicker := time.NewTicker(balance.RemoteInterval)
@@ -152,71 +152,71 @@
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-ti.C:
-			sh.sendFacts(pc, true)
-			sh.sendLoad(pc)
+			gs.sendFacts(pc, true)
+			gs.sendLoad(pc)
 		case <-remoteTicker.C:
-			sh.sendRegionLoad(pc)
-		case <-sh.revisionChanged:
-			sh.sendDigest(pc)
-		case <-sh.ld.SentSignal():
-			sh.sendSentCalls(pc)
-			sh.sendRemoteCalls(pc)
-			sh.sendFacts(pc, false) // A failed connect is followed by a retry, whose call triggers this case.
+			gs.sendRegionLoad(pc)
+		case <-gs.revisionChanged:
+			gs.sendDigest(pc)
+		case <-gs.ld.SentSignal():
+			gs.sendSentCalls(pc)
+			gs.sendRemoteCalls(pc)
+			gs.sendFacts(pc, false) // A failed connect is followed by a retry, whose call triggers this case.
 		}
 	}
 }
 
 // sendLoad gossips this entry's load to some siblings. An entry that is no reader sends
 // nothing when it has no load: its last load expires at the others within seconds.
-func (sh *Gossiper) sendLoad(pc net.PacketConn) {
-	lo := sh.ld.TakeLoad()
-	if len(lo.Shares) == 0 && len(lo.CachedParts) == 0 && !sh.isReader() {
+func (gs *Gossiper) sendLoad(pc net.PacketConn) {
+	lo := gs.ld.TakeLoad()
+	if len(lo.Shares) == 0 && len(lo.CachedParts) == 0 && !gs.isReader() {
 		return
 	}
-	sh.rotation.beginRound(sh.addrs(), lo.CachedParts)
-	for _, addr := range sh.rotation.next(siblingsPerRound) {
-		sh.sendTo(pc, []string{addr}, balance.Load{Shares: lo.Shares, CachedParts: sh.rotation.takePending(addr), Budgets: lo.Budgets})
+	gs.rotation.beginRound(gs.addrs(), lo.CachedParts)
+	for _, addr := range gs.rotation.next(siblingsPerRound) {
+		gs.sendTo(pc, []string{addr}, balance.Load{Shares: lo.Shares, CachedParts: gs.rotation.takePending(addr), Budgets: lo.Budgets})
 	}
 }
 
 // sendSentCalls immediately reports calls sent to upstreams to all siblings, unless the
 // rate limit is reached; the next gossip round then carries them.
-func (sh *Gossiper) sendSentCalls(pc net.PacketConn) {
-	sent := sh.ld.TakeCalls()
+func (gs *Gossiper) sendSentCalls(pc net.PacketConn) {
+	sent := gs.ld.TakeCalls()
 	if len(sent) == 0 {
 		return
 	}
-	addrs := sh.addrs()
-	if !sh.limiter.AllowN(time.Now(), len(addrs)) {
+	addrs := gs.addrs()
+	if !gs.limiter.AllowN(time.Now(), len(addrs)) {
 		return
 	}
-	sendDatagrams(pc, addrs, encodeSent(balance.Hash(sh.self), sent))
+	sendDatagrams(pc, addrs, encodeSent(balance.Hash(gs.self), sent))
 }
 
 // sendFacts sends facts about upstreams to all siblings: immediately if the rate limit
 // allows, otherwise with the next gossip round.
-func (sh *Gossiper) sendFacts(pc net.PacketConn, round bool) {
-	sh.unsentFacts = append(sh.unsentFacts, sh.ld.TakeFacts()...)
-	if len(sh.unsentFacts) == 0 {
+func (gs *Gossiper) sendFacts(pc net.PacketConn, round bool) {
+	gs.unsentFacts = append(gs.unsentFacts, gs.ld.TakeFacts()...)
+	if len(gs.unsentFacts) == 0 {
 		return
 	}
-	addrs := sh.addrs()
-	if round || sh.limiter.AllowN(time.Now(), len(addrs)) {
-		sendDatagrams(pc, addrs, encodeFacts(sh.unsentFacts))
-		sh.unsentFacts = nil
+	addrs := gs.addrs()
+	if round || gs.limiter.AllowN(time.Now(), len(addrs)) {
+		sendDatagrams(pc, addrs, encodeFacts(gs.unsentFacts))
+		gs.unsentFacts = nil
 	}
 }
 
 // sendDigest sends the replica digest, without the load, to all siblings if they rely on
 // this entry's replica.
-func (sh *Gossiper) sendDigest(pc net.PacketConn) {
-	if sh.isReader() {
-		sendDatagrams(pc, sh.addrs(), encodeDigest(sh.di.Digest(time.Now())))
+func (gs *Gossiper) sendDigest(pc net.PacketConn) {
+	if gs.isReader() {
+		sendDatagrams(pc, gs.addrs(), encodeDigest(gs.di.Digest(time.Now())))
 	}
 }
 
-func (sh *Gossiper) sendTo(pc net.PacketConn, addrs []string, lo balance.Load) {
-	sendDatagrams(pc, addrs, encodeLoad(balance.Hash(sh.self), sh.di.Digest(time.Now()), lo))
+func (gs *Gossiper) sendTo(pc net.PacketConn, addrs []string, lo balance.Load) {
+	sendDatagrams(pc, addrs, encodeLoad(balance.Hash(gs.self), gs.di.Digest(time.Now()), lo))
 }
 
 // sendDatagrams sends data to each of the addresses.
@@ -238,9 +238,9 @@
 	data = append(data, byte(len(shares)), byte(len(budgets)))
 	data = appendShares(data, shares)
 	data = appendBudgets(data, budgets)
-	for _, ke := range cached {
-		data = binary.BigEndian.AppendUint64(data, ke.Upstream)
-		data = binary.BigEndian.AppendUint64(data, ke.Part)
+	for _, cp := range cached {
+		data = binary.BigEndian.AppendUint64(data, cp.Upstream)
+		data = binary.BigEndian.AppendUint64(data, cp.Part)
 	}
 	return data
 }
@@ -303,7 +303,7 @@
 	return di
 }
 
-func (sh *Gossiper) receive(pc net.PacketConn) {
+func (gs *Gossiper) receive(pc net.PacketConn) {
 	buf := make([]byte, loadHeadSize+maxShares*shareSize+maxBudgets*budgetSize+maxCachedParts*cachedPartSize)
 	for {
 		n, addr, err := pc.ReadFrom(buf)
@@ -313,42 +313,42 @@
 		if err != nil {
 			continue
 		}
-		sh.handleDatagram(buf[:n], addr.String())
+		gs.handleDatagram(buf[:n], addr.String())
 	}
 }
 
 // handleDatagram decodes a datagram and passes on its content. Datagrams of unknown
 // formats, including those of other releases, are ignored.
-func (sh *Gossiper) handleDatagram(data []byte, addr string) {
+func (gs *Gossiper) handleDatagram(data []byte, addr string) {
 	if lo, ok := decodeRegion(data); ok {
-		sh.ld.ReceiveRegionLoad(lo)
+		gs.ld.ReceiveRegionLoad(lo)
 		return
 	}
 	if sent, ok := decodeRemoteCalls(data); ok {
-		sh.ld.ReceiveRemoteCalls(sent)
+		gs.ld.ReceiveRemoteCalls(sent)
 		return
 	}
 	if facts, ok := decodeFacts(data); ok {
-		sh.ld.ReceiveFacts(facts)
+		gs.ld.ReceiveFacts(facts)
 		return
 	}
 	if from, sent, ok := decodeSent(data); ok {
-		sh.ld.ReceiveCalls(from, sent)
+		gs.ld.ReceiveCalls(from, sent)
 		return
 	}
 	if di, ok := decodeDigestDatagram(data); ok {
-		sh.receiveDigest(di, addr)
+		gs.receiveDigest(di, addr)
 		return
 	}
 	if from, di, lo, ok := decodeLoad(data); ok {
-		sh.ld.ReceiveLoad(from, lo)
-		sh.receiveDigest(di, addr)
+		gs.ld.ReceiveLoad(from, lo)
+		gs.receiveDigest(di, addr)
 	}
 }
 
 // receiveDigest processes a received digest. The sender serves its replica at the address
 // that it sends from.
-func (sh *Gossiper) receiveDigest(di replica.Digest, addr string) {
+func (gs *Gossiper) receiveDigest(di replica.Digest, addr string) {
 	di.From = addr
-	sh.di.ReceiveDigest(time.Now(), di)
+	gs.di.ReceiveDigest(time.Now(), di)
 }
--- a/io/sibling/gossip_test.go
+++ b/io/sibling/gossip_test.go
@@ -20,11 +20,11 @@
 		CachedParts: []balance.CachedPart{{Upstream: 7, Part: 1 << 63}},
 		Budgets:     []balance.RetryBudget{{Service: 1 << 61, Left: -3}, {Service: 2, Left: 40}},
 	}
-	wo := replica.Digest{Revision: 1 << 40, Age: 2 * time.Second, Contact: 40 * time.Millisecond}
-	data := encodeLoad(42, wo, lo)
+	di := replica.Digest{Revision: 1 << 40, Age: 2 * time.Second, Contact: 40 * time.Millisecond}
+	data := encodeLoad(42, di, lo)
 	from, digest, got, ok := decodeLoad(data)
 	assert.Assert(t, ok)
-	assert.Equal(t, digest, wo)
+	assert.Equal(t, digest, di)
 	assert.Equal(t, from, uint64(42))
 	lo.Shares[1].Own, lo.Shares[1].Pending = maxUnits, maxUnits*pendingUnit
 	assert.DeepEqual(t, got, lo)
@@ -35,8 +35,8 @@
 	data[0]++
 	_, _, _, ok = decodeLoad(data)
 	assert.Assert(t, !ok)
-	wo = replica.Digest{Age: time.Hour, Contact: replica.NoContact}
-	_, digest, _, _ = decodeLoad(encodeLoad(42, wo, lo))
+	di = replica.Digest{Age: time.Hour, Contact: replica.NoContact}
+	_, digest, _, _ = decodeLoad(encodeLoad(42, di, lo))
 	assert.Equal(t, digest, replica.Digest{Age: maxUnits * digestUnit, Contact: replica.NoContact})
 }
 
--- a/io/sibling/remote.go
+++ b/io/sibling/remote.go
@@ -19,35 +19,35 @@
 // sendRegionLoad sends the load of the local region's entries to one entry of each other
 // region, in rotation. This keeps cross-region traffic low: if the regions have the same
 // number of entries, each entry receives one datagram per other region and round.
-func (sh *Gossiper) sendRegionLoad(pc net.PacketConn) {
-	sh.remoteRound++
-	regions := sh.remote()
+func (gs *Gossiper) sendRegionLoad(pc net.PacketConn) {
+	gs.remoteRound++
+	regions := gs.remote()
 	if len(regions) == 0 {
 		return
 	}
-	lo := sh.ld.RegionLoad(maxShares)
+	lo := gs.ld.RegionLoad(maxShares)
 	if len(lo.Shares) == 0 {
 		return
 	}
 	data := encodeRegion(lo)
-	first := int(balance.Hash(sh.self) % (1 << 16)) //nolint:gosec // Below 1<<16.
+	first := int(balance.Hash(gs.self) % (1 << 16)) //nolint:gosec // Below 1<<16.
 	for _, addrs := range regions {
 		slices.Sort(addrs)
-		sendDatagrams(pc, []string{addrs[(first+sh.remoteRound)%len(addrs)]}, data)
+		sendDatagrams(pc, []string{addrs[(first+gs.remoteRound)%len(addrs)]}, data)
 	}
 }
 
 // sendRemoteCalls immediately reports cross-region calls to the entries of the region whose
 // upstreams received them.
-func (sh *Gossiper) sendRemoteCalls(pc net.PacketConn) {
-	sent := sh.ld.TakeRemoteCalls()
+func (gs *Gossiper) sendRemoteCalls(pc net.PacketConn) {
+	sent := gs.ld.TakeRemoteCalls()
 	if len(sent) == 0 {
 		return
 	}
-	for region, addrs := range sh.remote() {
-		for _, se := range sent {
-			if se.To == balance.Hash(region) && sh.limiter.AllowN(time.Now(), len(addrs)) {
-				sendDatagrams(pc, addrs, encodeRemoteCalls(se))
+	for region, addrs := range gs.remote() {
+		for _, rc := range sent {
+			if rc.To == balance.Hash(region) && gs.limiter.AllowN(time.Now(), len(addrs)) {
+				sendDatagrams(pc, addrs, encodeRemoteCalls(rc))
 			}
 		}
 	}
@@ -60,11 +60,11 @@
 	callsHeadSize = 1 + 8
 )
 
-func encodeRemoteCalls(se balance.RemoteCalls) []byte {
-	shares := se.Shares[:min(len(se.Shares), maxShares)]
+func encodeRemoteCalls(rc balance.RemoteCalls) []byte {
+	shares := rc.Shares[:min(len(rc.Shares), maxShares)]
 	data := make([]byte, 0, callsHeadSize+len(shares)*shareSize)
 	data = append(data, callsFormat)
-	data = binary.BigEndian.AppendUint64(data, se.From)
+	data = binary.BigEndian.AppendUint64(data, rc.From)
 	return appendShares(data, shares)
 }
 
--- a/io/sibling/rotation.go
+++ b/io/sibling/rotation.go
@@ -22,38 +22,38 @@
 }
 
 // beginRound removes siblings that are gone and queues new cached prefixes for the others.
-func (tu rotation) beginRound(addrs []string, cached []balance.CachedPart) {
-	for addr := range tu {
+func (ro rotation) beginRound(addrs []string, cached []balance.CachedPart) {
+	for addr := range ro {
 		if !slices.Contains(addrs, addr) {
-			delete(tu, addr)
+			delete(ro, addr)
 		}
 	}
 	for _, addr := range addrs {
-		one := tu[addr]
-		if one == nil {
-			one = new(siblingState)
-			tu[addr] = one
+		ss := ro[addr]
+		if ss == nil {
+			ss = new(siblingState)
+			ro[addr] = ss
 		}
-		one.roundsWaited++
-		one.unsent = append(one.unsent, cached...)
-		one.unsent = one.unsent[max(len(one.unsent)-maxCachedParts, 0):]
+		ss.roundsWaited++
+		ss.unsent = append(ss.unsent, cached...)
+		ss.unsent = ss.unsent[max(len(ss.unsent)-maxCachedParts, 0):]
 	}
 }
 
 // next returns up to n siblings, those that have waited for the most rounds first.
-func (tu rotation) next(n int) []string {
-	addrs := make([]string, 0, len(tu))
-	for addr := range tu {
+func (ro rotation) next(n int) []string {
+	addrs := make([]string, 0, len(ro))
+	for addr := range ro {
 		addrs = append(addrs, addr)
 	}
 	rand.Shuffle(len(addrs), func(i, j int) { addrs[i], addrs[j] = addrs[j], addrs[i] })
-	slices.SortStableFunc(addrs, func(a, b string) int { return cmp.Compare(tu[b].roundsWaited, tu[a].roundsWaited) })
+	slices.SortStableFunc(addrs, func(a, b string) int { return cmp.Compare(ro[b].roundsWaited, ro[a].roundsWaited) })
 	return addrs[:min(n, len(addrs))]
 }
 
 // takePending returns the cached prefixes not yet sent to a sibling, and resets its wait.
-func (tu rotation) takePending(addr string) []balance.CachedPart {
-	unsent := tu[addr].unsent
-	*tu[addr] = siblingState{}
+func (ro rotation) takePending(addr string) []balance.CachedPart {
+	unsent := ro[addr].unsent
+	*ro[addr] = siblingState{}
 	return unsent
 }
--- a/io/sibling/sibling.go
+++ b/io/sibling/sibling.go
@@ -68,18 +68,18 @@
 // ReplicaHandler serves a replica to siblings: the changes since their revision, or the whole
 // replica if they lag too far behind. doubtful reports whether a removal may have been
 // caused by a store outage.
-func ReplicaHandler(mi *replica.Replica, doubtful func(now time.Time) bool) http.Handler {
+func ReplicaHandler(re *replica.Replica, doubtful func(now time.Time) bool) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, rq *http.Request) {
 		after, err := strconv.ParseUint(rq.FormValue("after"), 10, 64)
 		if err != nil {
 			http.Error(w, "after must be a revision", http.StatusBadRequest)
 			return
 		}
-		if _, _, complete := mi.Since(core.Revision(after)); !complete && rq.FormValue(changesOnly) != "" {
+		if _, _, complete := re.Since(core.Revision(after)); !complete && rq.FormValue(changesOnly) != "" {
 			http.Error(w, "the changes are not kept any more", http.StatusGone)
 			return
 		}
-		ms := updateSince(mi, core.Revision(after))
+		ms := updateSince(re, core.Revision(after))
 		if ms.Revision == 0 {
 			http.Error(w, "nothing is known here yet", http.StatusServiceUnavailable)
 			return
@@ -113,9 +113,9 @@
 
 // updateSince returns the response for a client at a revision: the changes since then, or the
 // whole replica if some of them were dropped from the log.
-func updateSince(mi *replica.Replica, after core.Revision) message {
-	age := mi.Age(time.Now())
-	changes, rev, ok := mi.Since(after)
+func updateSince(re *replica.Replica, after core.Revision) message {
+	age := re.Age(time.Now())
+	changes, rev, ok := re.Since(after)
 	ms := message{Revision: rev, AgeMs: age.Milliseconds(), Newer: rev > after, Whole: !ok}
 	if !ms.Newer {
 		return ms
@@ -124,7 +124,7 @@
 		ms.Changes = append(ms.Changes, change{item(ch.Item), ch.Removed})
 	}
 	if ms.Whole {
-		items, rev, confirmedAt := mi.Copy("")
+		items, rev, confirmedAt := re.Copy("")
 		ms.Revision, ms.AgeMs = rev, time.Since(confirmedAt).Milliseconds()
 		for _, it := range items {
 			ms.Items = append(ms.Items, item(it))
@@ -190,8 +190,8 @@
 	for i := range n {
 		addr := addrs[(first+i)%len(addrs)]
 		go func() {
-			ne, err := si.requestUpdate(ctx, addr, "?after="+formatRevision(after))
-			got <- result{ne, err}
+			up, err := si.requestUpdate(ctx, addr, "?after="+formatRevision(after))
+			got <- result{up, err}
 		}()
 	}
 	best, found := replica.Update{}, false
@@ -226,16 +226,16 @@
 	if err := si.get(ctx, addr, ReplicaPath+query, &ms); err != nil {
 		return replica.Update{}, err
 	}
-	ne := replica.Update{
+	up := replica.Update{
 		Newer: ms.Newer, Whole: ms.Whole, Revision: ms.Revision, Age: time.Duration(ms.AgeMs) * time.Millisecond, Doubtful: ms.Doubtful,
 	}
 	for _, ch := range ms.Changes {
-		ne.Changes = append(ne.Changes, core.Change{Item: core.Item(ch.item), Removed: ch.Gone})
+		up.Changes = append(up.Changes, core.Change{Item: core.Item(ch.item), Removed: ch.Gone})
 	}
 	for _, it := range ms.Items {
-		ne.Items = append(ne.Items, core.Item(it))
+		up.Items = append(up.Items, core.Item(it))
 	}
-	return ne, nil
+	return up, nil
 }
 
 // Reports implements canary.Siblings. Siblings that do not respond are left out.
--- a/standin/engine/engine.go
+++ b/standin/engine/engine.go
@@ -115,15 +115,15 @@
 		w.WriteHeader(http.StatusInternalServerError)
 		return
 	}
-	an := &completion{en: en, fa: fa, id: rq.Header.Get("X-Request-Id"), tokens: en.requestedTokens(cb), promptTokens: len(cb.Messages)/4 + 1}
+	co := &completion{en: en, fa: fa, id: rq.Header.Get("X-Request-Id"), tokens: en.requestedTokens(cb), promptTokens: len(cb.Messages)/4 + 1}
 	en.mu.Lock()
 	index := len(en.journal)
-	en.journal = append(en.journal, JournalEntry{Attempt: an.id, Tag: tag(cb)})
+	en.journal = append(en.journal, JournalEntry{Attempt: co.id, Tag: tag(cb)})
 	en.mu.Unlock()
-	complete := an.run(w, rq, cb.Stream)
+	complete := co.run(w, rq, cb.Stream)
 	en.mu.Lock()
 	defer en.mu.Unlock()
-	en.journal[index].Tokens, en.journal[index].Complete = an.sent, complete
+	en.journal[index].Tokens, en.journal[index].Complete = co.sent, complete
 }
 
 func tag(cb chatBody) string {
--- a/standin/kv/kv.go
+++ b/standin/kv/kv.go
@@ -101,10 +101,10 @@
 }
 
 // SetFault sets the fault that applies to further calls; None ends it.
-func (st *Store) SetFault(tr Fault) {
+func (st *Store) SetFault(fa Fault) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
-	st.fault = tr
+	st.fault = fa
 }
 
 // Put writes a key as the operator or an upstream would.
--- a/standin/service/service.go
+++ b/standin/service/service.go
@@ -41,14 +41,14 @@
 func (sv *Service) ServeHTTP(w http.ResponseWriter, rq *http.Request) { sv.mux.ServeHTTP(w, rq) }
 
 func (sv *Service) run(w http.ResponseWriter, rq *http.Request) {
-	ru := JournalEntry{Operation: rq.PathValue("operation"), Key: rq.Header.Get("Skylarkstand-Idempotency-Key"), Attempt: rq.Header.Get("X-Request-Id")}
+	je := JournalEntry{Operation: rq.PathValue("operation"), Key: rq.Header.Get("Skylarkstand-Idempotency-Key"), Attempt: rq.Header.Get("X-Request-Id")}
 	sv.mu.Lock()
-	sv.journal = append(sv.journal, ru)
+	sv.journal = append(sv.journal, je)
 	n := len(sv.journal)
 	sv.mu.Unlock()
 	time.Sleep(sv.duration)
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(map[string]any{"confirmation": n, "operation": ru.Operation})
+	_ = json.NewEncoder(w).Encode(map[string]any{"confirmation": n, "operation": je.Operation})
 }
 
 func (sv *Service) showJournal(w http.ResponseWriter, _ *http.Request) {
--- a/standin/upstream/upstream.go
+++ b/standin/upstream/upstream.go
@@ -61,70 +61,70 @@
 }
 
 // HostEntry returns the upstream's entry in the host list, with its address.
-func (ru *Upstream) HostEntry(addr, zone, state string) map[string]any {
+func (up *Upstream) HostEntry(addr, zone, state string) map[string]any {
 	return map[string]any{
-		"service": ru.service, "address": addr, "zone": zone, "version": ru.version, "slots": 6, "state": state,
+		"service": up.service, "address": addr, "zone": zone, "version": up.version, "slots": 6, "state": state,
 		"warmup_left_ms": 0, "sequence": 1, "born": 1,
 	}
 }
 
 // ID returns the upstream's id.
-func (ru *Upstream) ID() string { return ru.id }
+func (up *Upstream) ID() string { return up.id }
 
 // SetMode sets how the upstream responds to all further requests.
-func (ru *Upstream) SetMode(mo Mode) {
-	ru.mu.Lock()
-	defer ru.mu.Unlock()
-	ru.mode = mo
+func (up *Upstream) SetMode(mo Mode) {
+	up.mu.Lock()
+	defer up.mu.Unlock()
+	up.mode = mo
 }
 
 // Runs returns the requests that were run, in order.
-func (ru *Upstream) Runs() []Run {
-	ru.mu.Lock()
-	defer ru.mu.Unlock()
-	return append([]Run(nil), ru.runs...)
+func (up *Upstream) Runs() []Run {
+	up.mu.Lock()
+	defer up.mu.Unlock()
+	return append([]Run(nil), up.runs...)
 }
 
 // ServeHTTP implements http.Handler.
-func (ru *Upstream) ServeHTTP(w http.ResponseWriter, rq *http.Request) {
+func (up *Upstream) ServeHTTP(w http.ResponseWriter, rq *http.Request) {
 	body, err := io.ReadAll(rq.Body)
 	if err != nil {
 		return
 	}
 	hd := w.Header()
 	hd.Set("X-Skylarkstand-Attempt-Id", rq.Header.Get("X-Skylarkstand-Attempt-Id"))
-	if rq.Header.Get("X-Skylarkstand-Expect-Instance") != ru.id {
+	if rq.Header.Get("X-Skylarkstand-Expect-Instance") != up.id {
 		hd.Set("X-Skylarkstand-Not-Executed", "1")
 		w.WriteHeader(http.StatusMisdirectedRequest)
 		return
 	}
-	ru.mu.Lock()
-	mode := ru.mode
+	up.mu.Lock()
+	mode := up.mode
 	if mode != Overloaded {
-		ru.runs = append(ru.runs, newRun(rq, body))
+		up.runs = append(up.runs, newRun(rq, body))
 	}
-	ru.mu.Unlock()
+	up.mu.Unlock()
 	switch mode {
 	case Overloaded:
 		hd.Set("X-Skylarkstand-Not-Executed", "1")
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	case Fail:
-		hd.Set("X-Skylarkstand-Response-Seal", "seal-"+ru.id)
+		hd.Set("X-Skylarkstand-Response-Seal", "seal-"+up.id)
 		w.WriteHeader(http.StatusInternalServerError)
 		return
 	}
-	hd.Set("X-Skylarkstand-Response-Seal", "seal-"+ru.id)
+	hd.Set("X-Skylarkstand-Response-Seal", "seal-"+up.id)
 	hd.Set("X-Skylarkstand-Server-Load", "1,0,6")
 	if rq.Header.Get("X-Skylarkstand-Model") != "" {
 		hd.Set("X-Skylarkstand-Confidence", "90")
-		ru.stream(w, rq, mode)
+		up.stream(w, rq, mode)
 		return
 	}
 	if mode == Slow {
 		time.Sleep(slowDelay)
 	}
-	_, _ = fmt.Fprintf(w, "%s did %s", ru.id, body)
+	_, _ = fmt.Fprintf(w, "%s did %s", up.id, body)
 }
 
 func newRun(rq *http.Request, body []byte) Run {
@@ -143,7 +143,7 @@
 // Event returns event n of a stream, as written on the wire.
 func Event(n int) string { return fmt.Sprintf("id: %d\ndata: word %d\n\n", n, n) }
 
-func (ru *Upstream) stream(w http.ResponseWriter, rq *http.Request, mode Mode) {
+func (up *Upstream) stream(w http.ResponseWriter, rq *http.Request, mode Mode) {
 	w.Header().Set("Content-Type", "text/event-stream")
 	after, _ := strconv.Atoi(rq.Header.Get("Last-Event-Id"))
 	ctl := http.NewResponseController(w)
--- a/test/fleet/fleet.go
+++ b/test/fleet/fleet.go
@@ -160,7 +160,7 @@
 }
 
 // StartEngine starts an engine with its agent and adds it to the host list.
-func (fl *Fleet) StartEngine(id string, mv core.ModelVersion, pl Location, args ...string) error {
+func (fl *Fleet) StartEngine(id string, mv core.ModelVersion, lo Location, args ...string) error {
 	addr, err := FreeAddr()
 	if err != nil {
 		return err
@@ -169,11 +169,11 @@
 	if err != nil {
 		return err
 	}
-	return fl.StartAgent(id, mv, pl, eng.URL)
+	return fl.StartAgent(id, mv, lo, eng.URL)
 }
 
 // StartService starts a plain service with its agent and adds it to the host list.
-func (fl *Fleet) StartService(id string, sv core.ServiceID, pl Location, args ...string) error {
+func (fl *Fleet) StartService(id string, sv core.ServiceID, lo Location, args ...string) error {
 	addr, err := FreeAddr()
 	if err != nil {
 		return err
@@ -182,13 +182,13 @@
 	if err != nil {
 		return err
 	}
-	return fl.startAgent(id, pl, core.Host{Service: sv}, map[string]any{"service-url": svc.URL, "service": sv})
+	return fl.startAgent(id, lo, core.Host{Service: sv}, map[string]any{"service-url": svc.URL, "service": sv})
 }
 
 // StartAgent starts an agent beside an upstream that is already running, or that no
 // request will reach, and adds it to the host list.
-func (fl *Fleet) StartAgent(id string, mv core.ModelVersion, pl Location, engineURL string) error {
-	return fl.startAgent(id, pl, core.Host{Model: mv.Model, Version: mv.Version}, map[string]any{
+func (fl *Fleet) StartAgent(id string, mv core.ModelVersion, lo Location, engineURL string) error {
+	return fl.startAgent(id, lo, core.Host{Model: mv.Model, Version: mv.Version}, map[string]any{
 		"engine": engineURL, "model": mv.Model, "version": mv.Version,
 	})
 }
@@ -196,7 +196,7 @@
 // Hosts returns the host list as last published.
 func (fl *Fleet) Hosts() []core.Host { return fl.hosts }
 
-func (fl *Fleet) startAgent(id string, pl Location, ho core.Host, set map[string]any) error {
+func (fl *Fleet) startAgent(id string, lo Location, ho core.Host, set map[string]any) error {
 	listen, err := FreeAddr()
 	if err != nil {
 		return err
@@ -206,7 +206,7 @@
 		return err
 	}
 	set["listen"], set["admin"], set["upstream"] = listen, admin, id
-	set["zone"], set["region"], set["store"] = pl.Zone, pl.Region, fl.StoreURL
+	set["zone"], set["region"], set["store"] = lo.Zone, lo.Region, fl.StoreURL
 	maps.Copy(set, fl.AgentSettings)
 	path, err := fl.writeSettings(id, set)
 	if err != nil {
@@ -220,13 +220,13 @@
 	if listen, err = fl.relayTo(id, listen); err != nil {
 		return err
 	}
-	ho.Role, ho.ID, ho.Addr, ho.Zone, ho.Region = core.RoleAgent, core.UpstreamID(id), listen, pl.Zone, pl.Region
+	ho.Role, ho.ID, ho.Addr, ho.Zone, ho.Region = core.RoleAgent, core.UpstreamID(id), listen, lo.Zone, lo.Region
 	fl.hosts = append(fl.hosts, ho)
 	return fl.PublishHosts()
 }
 
 // StartEntry starts an entry. It becomes ready once it has received a configuration.
-func (fl *Fleet) StartEntry(name string, pl Location, extra map[string]any) (*Process, error) {
+func (fl *Fleet) StartEntry(name string, lo Location, extra map[string]any) (*Process, error) {
 	listen, err := FreeAddr()
 	if err != nil {
 		return nil, err
@@ -236,7 +236,7 @@
 		return nil, err
 	}
 	set := map[string]any{
-		"listen": listen, "peer-listen": peer, "zone": pl.Zone, "region": pl.Region,
+		"listen": listen, "peer-listen": peer, "zone": lo.Zone, "region": lo.Region,
 		"store": fl.StoreURL, "hosts": fl.PlatformURL, "rater": fl.PlatformURL,
 		"pin-secret": PinSecret, "ledger-pace": "200ms",
 	}
@@ -257,7 +257,7 @@
 		return nil, err
 	}
 	pr.Addr = peer
-	fl.hosts = append(fl.hosts, core.Host{Role: core.RoleEntry, Addr: peer, Zone: pl.Zone, Region: pl.Region})
+	fl.hosts = append(fl.hosts, core.Host{Role: core.RoleEntry, Addr: peer, Zone: lo.Zone, Region: lo.Region})
 	return pr, fl.PublishHosts()
 }
 
@@ -283,9 +283,9 @@
 // StartGateway starts a gateway that uses the store at an address, and waits until it is
 // ready. The settings in extra are added to the required ones, and replace those of the
 // same name.
-func (fl *Fleet) StartGateway(name, store string, pl Location, extra map[string]any) (*Process, error) {
+func (fl *Fleet) StartGateway(name, store string, lo Location, extra map[string]any) (*Process, error) {
 	set := map[string]any{
-		"store": store, "zone": pl.Zone, "regions": map[core.Zone]core.Region{pl.Zone: pl.Region},
+		"store": store, "zone": lo.Zone, "regions": map[core.Zone]core.Region{lo.Zone: lo.Region},
 		"readiness-path": "/ready", "drain-limit": "4s",
 	}
 	for _, field := range []string{"listen", "readiness", "siblings", "admin"} {
--- a/test/gateway/fixture_test.go
+++ b/test/gateway/fixture_test.go
@@ -63,43 +63,43 @@
 	fl, cleanup, err := fleet.New(bin, t.TempDir())
 	assert.NilError(t, err)
 	t.Cleanup(cleanup)
-	wo := &fixture{t: t, st: kv.New(), fl: fl, addrs: map[string]string{}}
-	srv := httptest.NewServer(wo.st)
+	fx := &fixture{t: t, st: kv.New(), fl: fl, addrs: map[string]string{}}
+	srv := httptest.NewServer(fx.st)
 	t.Cleanup(func() {
 		srv.CloseClientConnections()
 		srv.Close()
 	})
-	wo.store = strings.TrimPrefix(srv.URL, "http://")
-	wo.configure(1, "key-1")
+	fx.store = strings.TrimPrefix(srv.URL, "http://")
+	fx.configure(1, "key-1")
 	for i := range 2 {
-		wo.desks = append(wo.desks, wo.upstream(fmt.Sprint("i-desk-", i), "desk", "v1"))
-		wo.lms = append(wo.lms, wo.upstream(fmt.Sprint("i-lm-", i), "lm", "v1"))
+		fx.desks = append(fx.desks, fx.upstream(fmt.Sprint("i-desk-", i), "desk", "v1"))
+		fx.lms = append(fx.lms, fx.upstream(fmt.Sprint("i-lm-", i), "lm", "v1"))
 	}
 	for i := range gateways {
-		gw, err := fl.StartGateway(fmt.Sprint("gateway-", i), wo.store,
+		gw, err := fl.StartGateway(fmt.Sprint("gateway-", i), fx.store,
 			fleet.Location{Zone: "muc-a", Region: "muc"}, nil)
 		assert.NilError(t, err)
-		wo.gws = append(wo.gws, gw)
+		fx.gws = append(fx.gws, gw)
 	}
-	return wo
+	return fx
 }
 
 // upstream starts an upstream and adds it to the list in the store.
-func (wo *fixture) upstream(id, service, version string) *upstream.Upstream {
-	wo.t.Helper()
-	ru := upstream.New(id, service, version)
-	srv := httptest.NewServer(ru)
-	wo.t.Cleanup(func() {
+func (fx *fixture) upstream(id, service, version string) *upstream.Upstream {
+	fx.t.Helper()
+	up := upstream.New(id, service, version)
+	srv := httptest.NewServer(up)
+	fx.t.Cleanup(func() {
 		srv.CloseClientConnections()
 		srv.Close()
 	})
-	wo.addrs[id] = strings.TrimPrefix(srv.URL, "http://")
-	wo.st.Put("servers/"+id, ru.HostEntry(wo.addrs[id], "muc-a", "ready"))
-	return ru
+	fx.addrs[id] = strings.TrimPrefix(srv.URL, "http://")
+	fx.st.Put("servers/"+id, up.HostEntry(fx.addrs[id], "muc-a", "ready"))
+	return up
 }
 
 // configure writes a configuration with the given API keys of the workspace school.
-func (wo *fixture) configure(version int, keys ...string) {
+func (fx *fixture) configure(version int, keys ...string) {
 	rt := func(name, prefix, kind, service string, more object) object {
 		out := object{
 			"name": name, "host": "a.example", "prefix": prefix, "route_type": kind, "service": service,
@@ -110,7 +110,7 @@
 		}
 		return out
 	}
-	wo.st.Put("op/config", object{
+	fx.st.Put("op/config", object{
 		"version": version,
 		"routes": []object{
 			rt("lookup", "/lookup/", "safe", "desk", nil),
@@ -143,33 +143,33 @@
 
 // sendConcurrently sends a request with the id "alone". Unlike send, it may be called from
 // several goroutines at once.
-func (wo *fixture) sendConcurrently(as request) response { return wo.sendAs(as, "alone") }
+func (fx *fixture) sendConcurrently(rq request) response { return fx.sendAs(rq, "alone") }
 
 // send sends a request with an id of its own and returns the response.
-func (wo *fixture) send(as request) response {
-	wo.t.Helper()
-	wo.seq++
-	return wo.sendAs(as, fmt.Sprint("r", wo.seq))
+func (fx *fixture) send(rq request) response {
+	fx.t.Helper()
+	fx.seq++
+	return fx.sendAs(rq, fmt.Sprint("r", fx.seq))
 }
 
 // sendAs sends a request with an id.
-func (wo *fixture) sendAs(as request, id string) response {
-	if as.key == "" {
-		as.key = "key-1"
+func (fx *fixture) sendAs(req request, id string) response {
+	if req.key == "" {
+		req.key = "key-1"
 	}
-	rq, err := http.NewRequestWithContext(wo.t.Context(), http.MethodPost, "http://"+wo.gws[as.gateway].Addr+as.path, strings.NewReader(as.body))
+	rq, err := http.NewRequestWithContext(fx.t.Context(), http.MethodPost, "http://"+fx.gws[req.gateway].Addr+req.path, strings.NewReader(req.body))
 	if err != nil {
 		return response{err: err}
 	}
 	rq.Host = "a.example"
-	for name, vals := range as.header {
+	for name, vals := range req.header {
 		rq.Header[name] = vals
 	}
 	rq.Header.Set("X-Skylarkstand-Attempt-Id", id)
-	rq.Header.Set("X-Skylarkstand-Key", as.key)
+	rq.Header.Set("X-Skylarkstand-Key", req.key)
 	rq.Header.Set("X-Skylarkstand-Deadline-Ms", "4000")
-	if as.model != "" {
-		rq.Header.Set("X-Skylarkstand-Model", as.model)
+	if req.model != "" {
+		rq.Header.Set("X-Skylarkstand-Model", req.model)
 		rq.Header.Set("X-Skylarkstand-Token-Usage", "100,30")
 		rq.Header.Set("X-Skylarkstand-Prefix-Hash", "aa:80,bb:20")
 	}
@@ -185,19 +185,19 @@
 // countRuns returns the number of runs of upstreams.
 func countRuns(rus []*upstream.Upstream) int {
 	sum := 0
-	for _, ru := range rus {
-		sum += len(ru.Runs())
+	for _, up := range rus {
+		sum += len(up.Runs())
 	}
 	return sum
 }
 
 // waitFor polls until fn reports true, and fails the test after 20 s.
-func (wo *fixture) waitFor(what string, fn func() bool) {
-	wo.t.Helper()
+func (fx *fixture) waitFor(what string, fn func() bool) {
+	fx.t.Helper()
 	deadline := time.Now().Add(20 * time.Second)
 	for !fn() {
 		if time.Now().After(deadline) {
-			wo.t.Fatalf("timed out after 20 s waiting for %s", what)
+			fx.t.Fatalf("timed out after 20 s waiting for %s", what)
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
--- a/test/gateway/soak_test.go
+++ b/test/gateway/soak_test.go
@@ -69,7 +69,7 @@
 }
 
 func soak(t *testing.T, seed uint64) {
-	be := newSoakFixture(t, seed)
+	sf := newSoakFixture(t, seed)
 	ctx, cancel := context.WithTimeout(t.Context(), soakDuration)
 	defer cancel()
 	var wg sync.WaitGroup
@@ -77,64 +77,64 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			be.sendUntilDone(ctx, i, rand.New(rand.NewPCG(seed, uint64(i)+10)))
+			sf.sendUntilDone(ctx, i, rand.New(rand.NewPCG(seed, uint64(i)+10)))
 		}()
 	}
 	for range soakFaults {
-		be.injectFault()
-		time.Sleep(time.Duration(50+be.rnd.IntN(250)) * time.Millisecond)
+		sf.injectFault()
+		time.Sleep(time.Duration(50+sf.rnd.IntN(250)) * time.Millisecond)
 	}
-	be.healAll()
+	sf.healAll()
 	wg.Wait()
-	be.check()
+	sf.check()
 }
 
 func newSoakFixture(t *testing.T, seed uint64) *soakFixture {
 	t.Helper()
-	be := &soakFixture{fixture: newFixture(t, 0), rnd: rand.New(rand.NewPCG(seed, 1)), version: 10}
-	for _, ru := range append(append([]*upstream.Upstream{}, be.desks...), be.lms...) {
-		re, cleanup, err := fleet.NewRelay(be.addrs[ru.ID()])
+	sf := &soakFixture{fixture: newFixture(t, 0), rnd: rand.New(rand.NewPCG(seed, 1)), version: 10}
+	for _, up := range append(append([]*upstream.Upstream{}, sf.desks...), sf.lms...) {
+		re, cleanup, err := fleet.NewRelay(sf.addrs[up.ID()])
 		assert.NilError(t, err)
 		t.Cleanup(cleanup)
-		be.relays = append(be.relays, re)
-		be.st.Put("servers/"+ru.ID(), ru.HostEntry(re.Addr, "muc-a", "ready"))
+		sf.relays = append(sf.relays, re)
+		sf.st.Put("servers/"+up.ID(), up.HostEntry(re.Addr, "muc-a", "ready"))
 	}
 	for range 3 {
-		re, cleanup, err := fleet.NewRelay(be.store)
+		re, cleanup, err := fleet.NewRelay(sf.store)
 		assert.NilError(t, err)
 		t.Cleanup(cleanup)
-		be.stores = append(be.stores, re)
-		be.gws = append(be.gws, nil)
+		sf.stores = append(sf.stores, re)
+		sf.gws = append(sf.gws, nil)
 	}
-	for i := range be.gws {
-		be.start(i)
+	for i := range sf.gws {
+		sf.start(i)
 	}
-	return be
+	return sf
 }
 
 // start starts a gateway at new addresses as the replacement of gateway i.
-func (be *soakFixture) start(i int) {
-	be.mu.Lock()
-	be.starts++
-	name := fmt.Sprint("gateway-", i, "-", be.starts)
-	be.mu.Unlock()
-	be.stores[i].Restore()
-	be.st.SetFault(kv.None)
-	gw, err := be.fl.StartGateway(name, be.stores[i].Addr, fleet.Location{Zone: "muc-a", Region: "muc"}, nil)
-	assert.NilError(be.t, err)
-	be.mu.Lock()
-	defer be.mu.Unlock()
-	be.gws[i] = gw
+func (sf *soakFixture) start(i int) {
+	sf.mu.Lock()
+	sf.starts++
+	name := fmt.Sprint("gateway-", i, "-", sf.starts)
+	sf.mu.Unlock()
+	sf.stores[i].Restore()
+	sf.st.SetFault(kv.None)
+	gw, err := sf.fl.StartGateway(name, sf.stores[i].Addr, fleet.Location{Zone: "muc-a", Region: "muc"}, nil)
+	assert.NilError(sf.t, err)
+	sf.mu.Lock()
+	defer sf.mu.Unlock()
+	sf.gws[i] = gw
 }
 
-func (be *soakFixture) gateway(i int) *fleet.Process {
-	be.mu.Lock()
-	defer be.mu.Unlock()
-	return be.gws[i]
+func (sf *soakFixture) gateway(i int) *fleet.Process {
+	sf.mu.Lock()
+	defer sf.mu.Unlock()
+	return sf.gws[i]
 }
 
 // sendUntilDone sends requests over persistent connections until the context ends.
-func (be *soakFixture) sendUntilDone(ctx context.Context, n int, rnd *rand.Rand) {
+func (sf *soakFixture) sendUntilDone(ctx context.Context, n int, rnd *rand.Rand) {
 	cl := &http.Client{Transport: &http.Transport{}}
 	defer cl.CloseIdleConnections()
 	kinds := []string{"claim", "lookup", "draft"}
@@ -142,15 +142,15 @@
 		kind := kinds[rnd.IntN(len(kinds))]
 		id := fmt.Sprintf("c%d-%d", n, i)
 		body := strings.Repeat(id+" ", 1+rnd.IntN(200))
-		re := be.post(cl, be.gateway(rnd.IntN(len(be.stores))), id, kind, body)
-		be.mu.Lock()
-		be.exchanges = append(be.exchanges, exchange{id, kind, body, re})
-		be.mu.Unlock()
+		re := sf.post(cl, sf.gateway(rnd.IntN(len(sf.stores))), id, kind, body)
+		sf.mu.Lock()
+		sf.exchanges = append(sf.exchanges, exchange{id, kind, body, re})
+		sf.mu.Unlock()
 		time.Sleep(time.Duration(rnd.IntN(20)) * time.Millisecond)
 	}
 }
 
-func (be *soakFixture) post(cl *http.Client, gw *fleet.Process, id, kind, body string) response {
+func (sf *soakFixture) post(cl *http.Client, gw *fleet.Process, id, kind, body string) response {
 	ctx, cancel := context.WithTimeout(context.Background(), requestTimeout)
 	defer cancel()
 	rq, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+gw.Addr+"/"+kind+"/"+id, strings.NewReader(body))
@@ -177,12 +177,12 @@
 }
 
 // injectFault injects or heals one random fault.
-func (be *soakFixture) injectFault() {
+func (sf *soakFixture) injectFault() {
 	modes := []upstream.Mode{upstream.Fail, upstream.Overloaded, upstream.CutOff, upstream.Slow, upstream.Answer}
-	all := append(append([]*upstream.Upstream{}, be.desks...), be.lms...)
-	re, st := be.relays[be.rnd.IntN(len(be.relays))], be.stores[be.rnd.IntN(len(be.stores))]
-	gw := be.rnd.IntN(len(be.gws))
-	switch be.rnd.IntN(14) {
+	all := append(append([]*upstream.Upstream{}, sf.desks...), sf.lms...)
+	re, st := sf.relays[sf.rnd.IntN(len(sf.relays))], sf.stores[sf.rnd.IntN(len(sf.stores))]
+	gw := sf.rnd.IntN(len(sf.gws))
+	switch sf.rnd.IntN(14) {
 	case 0:
 		re.Cut()
 	case 1:
@@ -196,94 +196,94 @@
 	case 6:
 		st.Restore()
 	case 7, 8:
-		all[be.rnd.IntN(len(all))].SetMode(modes[be.rnd.IntN(len(modes))])
+		all[sf.rnd.IntN(len(all))].SetMode(modes[sf.rnd.IntN(len(modes))])
 	case 9:
-		be.st.SetFault([]kv.Fault{kv.Unavailable, kv.LostReplies, kv.None}[be.rnd.IntN(3)])
+		sf.st.SetFault([]kv.Fault{kv.Unavailable, kv.LostReplies, kv.None}[sf.rnd.IntN(3)])
 	case 10:
-		be.st.Compact()
-		be.version++
-		be.configure(be.version, "key-1", fmt.Sprint("key-", be.version))
+		sf.st.Compact()
+		sf.version++
+		sf.configure(sf.version, "key-1", fmt.Sprint("key-", sf.version))
 	case 11:
-		be.gateway(gw).Freeze()
-		time.Sleep(time.Duration(200+be.rnd.IntN(600)) * time.Millisecond)
-		be.gateway(gw).Resume()
+		sf.gateway(gw).Freeze()
+		time.Sleep(time.Duration(200+sf.rnd.IntN(600)) * time.Millisecond)
+		sf.gateway(gw).Resume()
 	case 12:
-		be.gateway(gw).Kill()
-		be.start(gw)
+		sf.gateway(gw).Kill()
+		sf.start(gw)
 	case 13:
-		old := be.gateway(gw)
+		old := sf.gateway(gw)
 		old.Terminate()
-		if be.rnd.IntN(2) == 0 {
+		if sf.rnd.IntN(2) == 0 {
 			old.Hangup()
 		}
-		be.start(gw)
-		be.mu.Lock()
-		be.terminated = append(be.terminated, old)
-		be.mu.Unlock()
+		sf.start(gw)
+		sf.mu.Lock()
+		sf.terminated = append(sf.terminated, old)
+		sf.mu.Unlock()
 	}
 }
 
 // healAll heals all faults.
-func (be *soakFixture) healAll() {
-	for _, re := range append(append([]*fleet.Relay{}, be.relays...), be.stores...) {
+func (sf *soakFixture) healAll() {
+	for _, re := range append(append([]*fleet.Relay{}, sf.relays...), sf.stores...) {
 		re.Restore()
 	}
-	be.st.SetFault(kv.None)
-	for _, ru := range append(append([]*upstream.Upstream{}, be.desks...), be.lms...) {
-		ru.SetMode(upstream.Answer)
+	sf.st.SetFault(kv.None)
+	for _, up := range append(append([]*upstream.Upstream{}, sf.desks...), sf.lms...) {
+		up.SetMode(upstream.Answer)
 	}
 }
 
 // check compares what callers received with what upstreams ran.
-func (be *soakFixture) check() {
-	t := be.t
-	be.configure(be.version+1, "key-1", "key-last")
-	for i := range be.gws {
-		be.waitFor(fmt.Sprint("service of gateway ", i, " after the faults"), func() bool {
-			re := be.post(http.DefaultClient, be.gateway(i), fmt.Sprint("last-", i), "lookup", "x")
+func (sf *soakFixture) check() {
+	t := sf.t
+	sf.configure(sf.version+1, "key-1", "key-last")
+	for i := range sf.gws {
+		sf.waitFor(fmt.Sprint("service of gateway ", i, " after the faults"), func() bool {
+			re := sf.post(http.DefaultClient, sf.gateway(i), fmt.Sprint("last-", i), "lookup", "x")
 			return re.err == nil && re.status == http.StatusOK
 		})
 	}
-	for _, gw := range be.terminated {
+	for _, gw := range sf.terminated {
 		assert.NilError(t, gw.Wait(), "exit of a gateway after a planned stop")
 	}
 	ran := map[string][]upstream.Run{}
-	for _, ru := range append(append([]*upstream.Upstream{}, be.desks...), be.lms...) {
-		for _, run := range ru.Runs() {
+	for _, up := range append(append([]*upstream.Upstream{}, sf.desks...), sf.lms...) {
+		for _, run := range up.Runs() {
 			ran[run.ID] = append(ran[run.ID], run)
 		}
 	}
 	answered := 0
-	for _, te := range be.exchanges {
-		for _, run := range ran[te.id] {
-			assert.Equal(t, run.Body, te.body, "%s: the upstream received another body", te.id)
+	for _, ex := range sf.exchanges {
+		for _, run := range ran[ex.id] {
+			assert.Equal(t, run.Body, ex.body, "%s: the upstream received another body", ex.id)
 			assert.Equal(t, run.Workspace, "school")
 		}
-		if te.kind == "claim" {
-			assert.Assert(t, len(ran[te.id]) <= 1, "the claim %s ran %d times", te.id, len(ran[te.id]))
+		if ex.kind == "claim" {
+			assert.Assert(t, len(ran[ex.id]) <= 1, "the claim %s ran %d times", ex.id, len(ran[ex.id]))
 		}
-		if te.status == http.StatusServiceUnavailable && te.kind == "claim" {
-			assert.Equal(t, len(ran[te.id]), 0, "the claim %s ran, although its caller received 503: %s", te.id, te.response.body)
+		if ex.status == http.StatusServiceUnavailable && ex.kind == "claim" {
+			assert.Equal(t, len(ran[ex.id]), 0, "the claim %s ran, although its caller received 503: %s", ex.id, ex.response.body)
 		}
-		if te.status == http.StatusOK && te.err == nil {
+		if ex.status == http.StatusOK && ex.err == nil {
 			answered++
-			te.checkAnswer(t)
+			ex.checkAnswer(t)
 		}
-		if te.status == http.StatusOK && te.err != nil {
-			assert.Assert(t, te.kind != "draft" || strings.HasPrefix(completeStream(), te.response.body), "%s: the cut stream is not a prefix of the complete one: %q", te.id, te.response.body)
+		if ex.status == http.StatusOK && ex.err != nil {
+			assert.Assert(t, ex.kind != "draft" || strings.HasPrefix(completeStream(), ex.response.body), "%s: the cut stream is not a prefix of the complete one: %q", ex.id, ex.response.body)
 		}
 	}
-	assert.Assert(t, answered > len(be.exchanges)/10, "only %d of %d requests were answered; want more than a tenth", answered, len(be.exchanges))
-	t.Logf("%d requests, %d answered, %d gateway starts", len(be.exchanges), answered, be.starts)
+	assert.Assert(t, answered > len(sf.exchanges)/10, "only %d of %d requests were answered; want more than a tenth", answered, len(sf.exchanges))
+	t.Logf("%d requests, %d answered, %d gateway starts", len(sf.exchanges), answered, sf.starts)
 }
 
 // checkAnswer checks that a complete answer is the upstream's answer to this request.
-func (te exchange) checkAnswer(t *testing.T) {
+func (ex exchange) checkAnswer(t *testing.T) {
 	t.Helper()
-	assert.Equal(t, te.header.Get("X-Skylarkstand-Attempt-Id"), te.id)
-	if te.kind == "draft" {
-		assert.Equal(t, te.response.body, completeStream(), "%s: the stream is not the complete one", te.id)
+	assert.Equal(t, ex.header.Get("X-Skylarkstand-Attempt-Id"), ex.id)
+	if ex.kind == "draft" {
+		assert.Equal(t, ex.response.body, completeStream(), "%s: the stream is not the complete one", ex.id)
 		return
 	}
-	assert.Assert(t, strings.HasSuffix(te.response.body, " did "+te.body), "%s: not the answer to this request: %q", te.id, te.response.body)
+	assert.Assert(t, strings.HasSuffix(ex.response.body, " did "+ex.body), "%s: not the answer to this request: %q", ex.id, ex.response.body)
 }
--- a/test/matrix/faults_test.go
+++ b/test/matrix/faults_test.go
@@ -16,12 +16,12 @@
 // faults inject a fault and return a function that heals it.
 var faults = map[string]func(*fixture) func(){
 	"none":            func(*fixture) func() { return noop },
-	"kill-agent":      func(wo *fixture) func() { return kill(wo.fl.Process(wo.agent)) },
-	"kill-upstream":   func(wo *fixture) func() { return kill(wo.upstream()) },
+	"kill-agent":      func(fx *fixture) func() { return kill(fx.fl.Process(fx.agent)) },
+	"kill-upstream":   func(fx *fixture) func() { return kill(fx.upstream()) },
 	"kill-entry":      killEntry,
-	"freeze-agent":    func(wo *fixture) func() { return freeze(wo.fl.Process(wo.agent)) },
-	"freeze-entry":    func(wo *fixture) func() { return freeze(wo.entry) },
-	"freeze-upstream": func(wo *fixture) func() { return freeze(wo.upstream()) },
+	"freeze-agent":    func(fx *fixture) func() { return freeze(fx.fl.Process(fx.agent)) },
+	"freeze-entry":    func(fx *fixture) func() { return freeze(fx.entry) },
+	"freeze-upstream": func(fx *fixture) func() { return freeze(fx.upstream()) },
 	"cut-link":        cutLink,
 	"hold-link":       stallLink,
 	"region-cut":      regionCut,
@@ -38,9 +38,9 @@
 	return noop
 }
 
-func killEntry(wo *fixture) func() {
-	wo.stopped[wo.entry.Name] = true
-	return kill(wo.entry)
+func killEntry(fx *fixture) func() {
+	fx.stopped[fx.entry.Name] = true
+	return kill(fx.entry)
 }
 
 func freeze(pr *fleet.Process) func() {
@@ -51,8 +51,8 @@
 	}
 }
 
-func cutLink(wo *fixture) func() {
-	re := wo.fl.Relay(wo.agent)
+func cutLink(fx *fixture) func() {
+	re := fx.fl.Relay(fx.agent)
 	re.Cut()
 	return func() {
 		time.Sleep(faultDuration / 3)
@@ -60,8 +60,8 @@
 	}
 }
 
-func stallLink(wo *fixture) func() {
-	re := wo.fl.Relay(wo.agent)
+func stallLink(fx *fixture) func() {
+	re := fx.fl.Relay(fx.agent)
 	re.Stall()
 	return func() {
 		time.Sleep(faultDuration)
@@ -69,8 +69,8 @@
 	}
 }
 
-func regionCut(wo *fixture) func() {
-	store, hosts := wo.fl.Relay("entry-1-store"), wo.fl.Relay("entry-1-hosts")
+func regionCut(fx *fixture) func() {
+	store, hosts := fx.fl.Relay("entry-1-store"), fx.fl.Relay("entry-1-hosts")
 	store.Stall()
 	hosts.Stall()
 	return func() {
@@ -81,46 +81,46 @@
 }
 
 func storeFault(body string) func(*fixture) func() {
-	return func(wo *fixture) func() {
-		wo.setFaults("store", body)
+	return func(fx *fixture) func() {
+		fx.setFaults("store", body)
 		return func() {
 			time.Sleep(faultDuration)
-			wo.setFaults("store", `{}`)
+			fx.setFaults("store", `{}`)
 		}
 	}
 }
 
-func crossAnswers(wo *fixture) func() {
+func crossAnswers(fx *fixture) func() {
 	for _, id := range []string{"desk-1", "desk-2"} {
-		wo.setFaults(id+"-engine", `{"cross":true}`)
+		fx.setFaults(id+"-engine", `{"cross":true}`)
 	}
-	as := wo.chat(wo.entry, "", true)
-	return func() { <-as.done }
+	rq := fx.chat(fx.entry, "", true)
+	return func() { <-rq.done }
 }
 
 // poison sends a request that crashes engines. It may crash two at most, and the step
 // may have taken one, so it first starts enough engines of each version to keep serving.
-func poison(wo *fixture) func() {
+func poison(fx *fixture) func() {
 	for _, id := range []string{"desk-3", "desk-4"} {
-		assert.NilError(wo.t, wo.fl.StartEngine(id, deskV1, muc, engineArgs...))
+		assert.NilError(fx.t, fx.fl.StartEngine(id, deskV1, muc, engineArgs...))
 	}
 	for _, id := range []string{"new-2", "new-3"} {
-		assert.NilError(wo.t, wo.fl.StartEngine(id, deskV2, muc, engineArgs...))
+		assert.NilError(fx.t, fx.fl.StartEngine(id, deskV2, muc, engineArgs...))
 	}
-	as := wo.crash(wo.other)
-	return func() { <-as.done }
+	rq := fx.crash(fx.other)
+	return func() { <-rq.done }
 }
 
 // operatorRace applies two changes concurrently: one adds a workspace with grants,
 // the other withdraws a version.
-func operatorRace(wo *fixture) func() {
+func operatorRace(fx *fixture) func() {
 	var wg sync.WaitGroup
 	for _, name := range []string{"race-one.jsonc", "race-two.jsonc"} {
-		wg.Go(func() { _, _ = wo.apply(name, 1) })
+		wg.Go(func() { _, _ = fx.apply(name, 1) })
 	}
 	return func() {
 		wg.Wait()
-		out, err := wo.fl.Command("history", "--store", wo.fl.StoreURL)
-		assert.NilError(wo.t, err, out)
+		out, err := fx.fl.Command("history", "--store", fx.fl.StoreURL)
+		assert.NilError(fx.t, err, out)
 	}
 }
--- a/test/matrix/fixture_test.go
+++ b/test/matrix/fixture_test.go
@@ -105,7 +105,7 @@
 	assert.NilError(t, err)
 	fl, cleanup, err := fleet.New(binDir, dir)
 	assert.NilError(t, err)
-	wo := &fixture{t: t, fl: fl, stopped: map[string]bool{}}
+	fx := &fixture{t: t, fl: fl, stopped: map[string]bool{}}
 	t.Cleanup(func() {
 		cleanup()
 		if t.Failed() {
@@ -122,35 +122,35 @@
 	assert.NilError(t, fl.StartEngine("new-1", deskV2, muc, engineArgs...))
 	assert.NilError(t, fl.StartService("orders-1", "subsidy", muc, "--takes", "400ms"))
 	assert.NilError(t, fl.StartService("orders-2", "subsidy", muc, "--takes", "400ms"))
-	wo.entry, err = fl.StartEntry("entry-1", muc, map[string]any{"ledger-pace": "1s"})
+	fx.entry, err = fl.StartEntry("entry-1", muc, map[string]any{"ledger-pace": "1s"})
 	assert.NilError(t, err)
-	wo.other, err = fl.StartEntry("entry-2", nue, map[string]any{"ledger-pace": "1s"})
+	fx.other, err = fl.StartEntry("entry-2", nue, map[string]any{"ledger-pace": "1s"})
 	assert.NilError(t, err)
-	out, err := wo.apply("first.jsonc", 0)
+	out, err := fx.apply("first.jsonc", 0)
 	assert.NilError(t, err, out)
-	wo.ready()
-	return wo
+	fx.ready()
+	return fx
 }
 
 // latestBase makes apply review a document against the generation that is in force.
 const latestBase = -1
 
 // apply applies a document of testdata, as reviewed against a generation.
-func (wo *fixture) apply(name string, base int) (string, error) {
-	args := []string{"apply", filepath.Join("testdata", name), "--store", wo.fl.StoreURL, "--why", "matrix", "--who", "matrix"}
+func (fx *fixture) apply(name string, base int) (string, error) {
+	args := []string{"apply", filepath.Join("testdata", name), "--store", fx.fl.StoreURL, "--why", "matrix", "--who", "matrix"}
 	if base != latestBase {
 		args = append(args, "--base", strconv.Itoa(base))
 	}
-	return wo.fl.Command(args...)
+	return fx.fl.Command(args...)
 }
 
 // ready waits until a model and a service answer through each entry.
-func (wo *fixture) ready() {
-	wo.t.Helper()
-	for _, en := range []*fleet.Process{wo.entry, wo.other} {
-		wo.poll("upstreams ready through "+en.Name, func() bool {
-			chat := wo.chat(en, "#words=1 ", false)
-			call := wo.call(en, fmt.Sprintf("ready-%s-%d", en.Name, time.Now().UnixNano()))
+func (fx *fixture) ready() {
+	fx.t.Helper()
+	for _, en := range []*fleet.Process{fx.entry, fx.other} {
+		fx.poll("upstreams ready through "+en.Name, func() bool {
+			chat := fx.chat(en, "#words=1 ", false)
+			call := fx.call(en, fmt.Sprintf("ready-%s-%d", en.Name, time.Now().UnixNano()))
 			<-chat.done
 			<-call.done
 			return chat.err == nil && chat.reply.Status == 200 && call.err == nil && call.reply.Status == 200
@@ -158,54 +158,54 @@
 	}
 }
 
-func (wo *fixture) poll(what string, fn func() bool) {
-	wo.t.Helper()
+func (fx *fixture) poll(what string, fn func() bool) {
+	fx.t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), pollTimeout)
 	defer cancel()
-	assert.NilError(wo.t, fleet.Poll(ctx, what, func() (bool, error) { return fn(), nil }))
+	assert.NilError(fx.t, fleet.Poll(ctx, what, func() (bool, error) { return fn(), nil }))
 }
 
-func (wo *fixture) newRequest(en *fleet.Process) *request {
-	wo.mu.Lock()
-	defer wo.mu.Unlock()
-	wo.sequence++
-	as := &request{id: fmt.Sprintf("request-%d", wo.sequence), tag: fmt.Sprintf("t%d", wo.sequence), entry: en.Name, done: make(chan struct{})}
-	wo.requests = append(wo.requests, as)
-	return as
+func (fx *fixture) newRequest(en *fleet.Process) *request {
+	fx.mu.Lock()
+	defer fx.mu.Unlock()
+	fx.sequence++
+	rq := &request{id: fmt.Sprintf("request-%d", fx.sequence), tag: fmt.Sprintf("t%d", fx.sequence), entry: en.Name, done: make(chan struct{})}
+	fx.requests = append(fx.requests, rq)
+	return rq
 }
 
 // chat requests a completion of the model desk in the background.
-func (wo *fixture) chat(en *fleet.Process, extra string, stream bool) *request {
-	as := wo.newRequest(en)
+func (fx *fixture) chat(en *fleet.Process, extra string, stream bool) *request {
+	rq := fx.newRequest(en)
 	go func() {
-		defer close(as.done)
-		as.reply, as.err = fleet.Chat(en.URL, "schools-key", "desk", extra+"#tag="+as.tag+" ", stream, map[string]string{"X-Request-Id": as.id})
+		defer close(rq.done)
+		rq.reply, rq.err = fleet.Chat(en.URL, "schools-key", "desk", extra+"#tag="+rq.tag+" ", stream, map[string]string{"X-Request-Id": rq.id})
 	}()
-	return as
+	return rq
 }
 
 // crash sends the request that crashes engines, in the background. Its body is always
 // the same, as of a caller that sends the request again.
-func (wo *fixture) crash(en *fleet.Process) *request {
-	as := wo.newRequest(en)
-	as.tag = "crash"
+func (fx *fixture) crash(en *fleet.Process) *request {
+	rq := fx.newRequest(en)
+	rq.tag = "crash"
 	go func() {
-		defer close(as.done)
-		as.reply, as.err = fleet.Chat(en.URL, "schools-key", "desk", "#crash", true, map[string]string{"X-Request-Id": as.id})
+		defer close(rq.done)
+		rq.reply, rq.err = fleet.Chat(en.URL, "schools-key", "desk", "#crash", true, map[string]string{"X-Request-Id": rq.id})
 	}()
-	return as
+	return rq
 }
 
 // call calls the at-most-once operation with an idempotency key, in the background.
-func (wo *fixture) call(en *fleet.Process, key string) *request {
-	as := wo.newRequest(en)
-	as.key = key
+func (fx *fixture) call(en *fleet.Process, key string) *request {
+	rq := fx.newRequest(en)
+	rq.key = key
 	go func() {
-		defer close(as.done)
-		as.reply, as.err = fleet.Post(en.URL+"/v1/services/subsidy/claim", "schools-key", []byte(`{"lamps":120}`),
-			map[string]string{"Idempotency-Key": key, "X-Request-Id": as.id})
+		defer close(rq.done)
+		rq.reply, rq.err = fleet.Post(en.URL+"/v1/services/subsidy/claim", "schools-key", []byte(`{"lamps":120}`),
+			map[string]string{"Idempotency-Key": key, "X-Request-Id": rq.id})
 	}()
-	return as
+	return rq
 }
 
 type engineRun struct {
@@ -216,32 +216,32 @@
 
 type serviceRun struct{ Operation, Key, Attempt string }
 
-func journal[T any](wo *fixture, name string) []T {
+func journal[T any](fx *fixture, name string) []T {
 	var runs []T
-	if wo.fl.Process(name) == nil {
+	if fx.fl.Process(name) == nil {
 		return nil
 	}
-	_ = fleet.GetJSON(wo.fl.Process(name).URL+"/journal", &runs)
+	_ = fleet.GetJSON(fx.fl.Process(name).URL+"/journal", &runs)
 	return runs
 }
 
 // awaitStart waits until an engine or a service has started the request, and records
 // the upstream's id in wo.agent.
-func (wo *fixture) awaitStart(as *request) {
-	wo.t.Helper()
-	wo.poll("an upstream starts "+as.id, func() bool {
+func (fx *fixture) awaitStart(rq *request) {
+	fx.t.Helper()
+	fx.poll("an upstream starts "+rq.id, func() bool {
 		for _, id := range engineIDs {
-			for _, ru := range journal[engineRun](wo, id+"-engine") {
-				if ru.Tag == as.tag {
-					wo.agent = id
+			for _, ru := range journal[engineRun](fx, id+"-engine") {
+				if ru.Tag == rq.tag {
+					fx.agent = id
 					return true
 				}
 			}
 		}
 		for _, id := range []string{"orders-1", "orders-2"} {
-			for _, ru := range journal[serviceRun](wo, id+"-service") {
-				if as.key != "" && ru.Key == as.key {
-					wo.agent = id
+			for _, ru := range journal[serviceRun](fx, id+"-service") {
+				if rq.key != "" && ru.Key == rq.key {
+					fx.agent = id
 					return true
 				}
 			}
@@ -251,17 +251,17 @@
 }
 
 // upstream returns the engine or service beside the agent in use.
-func (wo *fixture) upstream() *fleet.Process {
-	if strings.HasPrefix(wo.agent, "orders") {
-		return wo.fl.Process(wo.agent + "-service")
+func (fx *fixture) upstream() *fleet.Process {
+	if strings.HasPrefix(fx.agent, "orders") {
+		return fx.fl.Process(fx.agent + "-service")
 	}
-	return wo.fl.Process(wo.agent + "-engine")
+	return fx.fl.Process(fx.agent + "-engine")
 }
 
 // bills counts the bills of each request in the ledger, and reports whether the
 // command succeeded.
-func (wo *fixture) bills() (map[string]int, bool) {
-	out, err := wo.fl.Command("bill", "--store", wo.fl.StoreURL, "--list")
+func (fx *fixture) bills() (map[string]int, bool) {
+	out, err := fx.fl.Command("bill", "--store", fx.fl.StoreURL, "--list")
 	bills := map[string]int{}
 	for line := range strings.Lines(out) {
 		var bi ledger.Bill
--- a/test/matrix/matrix_test.go
+++ b/test/matrix/matrix_test.go
@@ -34,26 +34,26 @@
 }
 
 func runCell(t *testing.T, step string, names ...string) {
-	wo := newFixture(t, step)
-	release := steps[step](wo)
+	fx := newFixture(t, step)
+	release := steps[step](fx)
 	var heal []func()
 	for _, name := range names {
-		heal = append(heal, faults[name](wo))
+		heal = append(heal, faults[name](fx))
 	}
 	go release()
 	for i := len(heal) - 1; i >= 0; i-- {
 		heal[i]()
 	}
-	wo.check()
-	wo.checkRecovery()
+	fx.check()
+	fx.checkRecovery()
 }
 
 // checkRecovery checks that the other entry serves again once the fault has healed.
-func (wo *fixture) checkRecovery() {
-	wo.t.Helper()
-	wo.poll("the other entry serves again", func() bool {
-		as := wo.chat(wo.other, "#words=1 ", true)
-		<-as.done
-		return as.reply != nil && as.reply.Complete
+func (fx *fixture) checkRecovery() {
+	fx.t.Helper()
+	fx.poll("the other entry serves again", func() bool {
+		rq := fx.chat(fx.other, "#words=1 ", true)
+		<-rq.done
+		return rq.reply != nil && rq.reply.Complete
 	})
 }
--- a/test/matrix/operator_test.go
+++ b/test/matrix/operator_test.go
@@ -34,35 +34,35 @@
 		for _, fa := range matrix.Faults {
 			t.Run(st.Name+"/"+fa.Name, func(t *testing.T) {
 				t.Parallel()
-				wo := newFixture(t, st.Name)
-				wo.agent = "desk-1"
-				checkOutcome := operatorSteps[st.Name](wo)
-				faults[fa.Name](wo)()
+				fx := newFixture(t, st.Name)
+				fx.agent = "desk-1"
+				checkOutcome := operatorSteps[st.Name](fx)
+				faults[fa.Name](fx)()
 				checkOutcome()
-				wo.check()
-				wo.checkRecovery()
+				fx.check()
+				fx.checkRecovery()
 			})
 		}
 	}
 }
 
 // applying withdraws version v2 while the store is slow.
-func applying(wo *fixture) func() {
-	wo.setFaults("store", `{"slow":200}`)
+func applying(fx *fixture) func() {
+	fx.setFaults("store", `{"slow":200}`)
 	type result struct {
 		out string
 		err error
 	}
 	done := make(chan result, 1)
 	go func() {
-		out, err := wo.apply("race-two.jsonc", 1)
+		out, err := fx.apply("race-two.jsonc", 1)
 		done <- result{out, err}
 	}()
 	time.Sleep(300 * time.Millisecond)
 	return func() {
 		res := <-done
-		wo.setFaults("store", `{}`)
-		accepted := wo.withdrawalAccepted()
+		fx.setFaults("store", `{}`)
+		accepted := fx.withdrawalAccepted()
 		var exit *exec.ExitError
 		code := 0
 		if errors.As(res.err, &exit) {
@@ -70,28 +70,28 @@
 		}
 		switch code {
 		case 0:
-			assert.Assert(wo.t, accepted, "apply reported that the change is accepted, but the history lacks it: %s", res.out)
+			assert.Assert(fx.t, accepted, "apply reported that the change is accepted, but the history lacks it: %s", res.out)
 		case 4: // apply reported that the outcome is unknown.
 		default:
-			assert.Assert(wo.t, !accepted, "apply reported that the change is refused, but the history has it: %s", res.out)
+			assert.Assert(fx.t, !accepted, "apply reported that the change is refused, but the history has it: %s", res.out)
 		}
 		if !accepted {
-			wo.poll("the withdrawal is accepted", func() bool {
-				_, err := wo.apply("race-two.jsonc", latestBase)
+			fx.poll("the withdrawal is accepted", func() bool {
+				_, err := fx.apply("race-two.jsonc", latestBase)
 				return err == nil
 			})
 		}
-		wo.checkWithdrawn()
+		fx.checkWithdrawn()
 	}
 }
 
 // withdrawalAccepted reports whether the history contains the withdrawal of desk@v2.
-func (wo *fixture) withdrawalAccepted() bool {
-	wo.t.Helper()
+func (fx *fixture) withdrawalAccepted() bool {
+	fx.t.Helper()
 	var out string
-	wo.poll("history", func() bool {
+	fx.poll("history", func() bool {
 		var err error
-		out, err = wo.fl.Command("history", "--store", wo.fl.StoreURL)
+		out, err = fx.fl.Command("history", "--store", fx.fl.StoreURL)
 		return err == nil
 	})
 	return strings.Contains(out, "desk@v2")
@@ -99,11 +99,11 @@
 
 // checkWithdrawn checks that once each entry has moved a session off the version, no
 // work starts on it again, although the session's token pins it to that version.
-func (wo *fixture) checkWithdrawn() {
-	wo.t.Helper()
-	alive := []*fleet.Process{wo.other}
-	if !wo.stopped[wo.entry.Name] {
-		alive = append(alive, wo.entry)
+func (fx *fixture) checkWithdrawn() {
+	fx.t.Helper()
+	alive := []*fleet.Process{fx.other}
+	if !fx.stopped[fx.entry.Name] {
+		alive = append(alive, fx.entry)
 	}
 	pin := session.NewKeyring(fleet.PinSecret).Sign(session.Pin{Workspace: "schools", Session: "pinned", Versions: session.Versions{"desk": "v2"}})
 	chat := func(en *fleet.Process) *fleet.Reply {
@@ -114,22 +114,22 @@
 		return re
 	}
 	for _, en := range alive {
-		wo.poll("the withdrawal is in force at "+en.Name, func() bool { return chat(en).Header.Get("Skylarkstand-Repinned") == "true" })
+		fx.poll("the withdrawal is in force at "+en.Name, func() bool { return chat(en).Header.Get("Skylarkstand-Repinned") == "true" })
 	}
-	before := len(journal[engineRun](wo, "new-1-engine"))
+	before := len(journal[engineRun](fx, "new-1-engine"))
 	for range 10 {
 		for _, en := range alive {
 			version := chat(en).Header.Get("Skylarkstand-Version")
-			assert.Assert(wo.t, version != "desk@v2", "%s served a withdrawn version again", en.Name)
+			assert.Assert(fx.t, version != "desk@v2", "%s served a withdrawn version again", en.Name)
 		}
 	}
-	assert.Equal(wo.t, len(journal[engineRun](wo, "new-1-engine")), before, "an engine of the withdrawn version got new work")
+	assert.Equal(fx.t, len(journal[engineRun](fx, "new-1-engine")), before, "an engine of the withdrawn version got new work")
 }
 
 // rollingOut assigns half of the new sessions to v2 and starts sessions on both versions.
-func rollingOut(wo *fixture) func() {
-	out, err := wo.apply("roll-out.jsonc", 1)
-	assert.NilError(wo.t, err, out)
+func rollingOut(fx *fixture) func() {
+	out, err := fx.apply("roll-out.jsonc", 1)
+	assert.NilError(fx.t, err, out)
 	type startedSession struct{ id, pin, version string }
 	var sessions []startedSession
 	chat := func(en *fleet.Process, se startedSession) *fleet.Reply {
@@ -140,9 +140,9 @@
 		return re
 	}
 	seen := map[string]int{}
-	wo.poll("sessions on both versions", func() bool {
+	fx.poll("sessions on both versions", func() bool {
 		se := startedSession{id: fmt.Sprintf("s%d", len(sessions))}
-		re := chat(wo.entry, se)
+		re := chat(fx.entry, se)
 		if re.Complete {
 			se.pin, se.version = re.Header.Get("Skylarkstand-Pin"), re.Header.Get("Skylarkstand-Version")
 			sessions = append(sessions, se)
@@ -152,10 +152,10 @@
 	})
 	return func() {
 		for _, se := range sessions {
-			wo.poll("session "+se.id+" continues", func() bool {
-				re := chat(wo.other, se)
+			fx.poll("session "+se.id+" continues", func() bool {
+				re := chat(fx.other, se)
 				if re.Complete {
-					assert.Equal(wo.t, re.Header.Get("Skylarkstand-Version"), se.version, "session %s changed its version", se.id)
+					assert.Equal(fx.t, re.Header.Get("Skylarkstand-Version"), se.version, "session %s changed its version", se.id)
 				}
 				return re.Complete
 			})
@@ -165,54 +165,54 @@
 
 // leaving terminates an agent while long answers are in flight on the upstreams of the
 // version.
-func leaving(wo *fixture) func() {
+func leaving(fx *fixture) func() {
 	var inFlight []*request
-	for len(journal[engineRun](wo, "desk-1-engine")) < 2 {
-		inFlight = append(inFlight, wo.chat(wo.entry, "#words=100 ", true))
+	for len(journal[engineRun](fx, "desk-1-engine")) < 2 {
+		inFlight = append(inFlight, fx.chat(fx.entry, "#words=100 ", true))
 		time.Sleep(20 * time.Millisecond)
 	}
-	agent := wo.fl.Process("desk-1")
+	agent := fx.fl.Process("desk-1")
 	agent.Terminate()
 	return func() {
 		// The users allow a few seconds; no new work may start afterwards.
 		time.Sleep(3 * time.Second)
-		before := len(journal[engineRun](wo, "desk-1-engine"))
+		before := len(journal[engineRun](fx, "desk-1-engine"))
 		for range 6 {
-			<-wo.chat(wo.other, "#words=2 ", true).done
+			<-fx.chat(fx.other, "#words=2 ", true).done
 		}
-		assert.Equal(wo.t, len(journal[engineRun](wo, "desk-1-engine")), before, "a draining upstream got new work")
-		for _, as := range inFlight {
-			<-as.done
+		assert.Equal(fx.t, len(journal[engineRun](fx, "desk-1-engine")), before, "a draining upstream got new work")
+		for _, rq := range inFlight {
+			<-rq.done
 		}
 		_ = agent.Wait()
 	}
 }
 
 // stopping terminates an entry with a streamed answer and a service call in flight.
-func stopping(wo *fixture) func() {
-	long := wo.chat(wo.entry, "#words=100 ", true)
-	call := wo.call(wo.entry, "stopping")
-	wo.awaitStart(long)
-	wo.entry.Terminate()
+func stopping(fx *fixture) func() {
+	long := fx.chat(fx.entry, "#words=100 ", true)
+	call := fx.call(fx.entry, "stopping")
+	fx.awaitStart(long)
+	fx.entry.Terminate()
 	return func() {
 		<-long.done
 		<-call.done
-		err := wo.entry.Wait()
-		if wo.stopped[wo.entry.Name] {
+		err := fx.entry.Wait()
+		if fx.stopped[fx.entry.Name] {
 			return
 		}
-		assert.NilError(wo.t, err, "exit of the entry after a planned stop")
-		if !wo.mayCutRequests() {
-			assert.Assert(wo.t, long.reply != nil && long.reply.Complete, "a planned stop cut off a streamed answer: %v", long.reply)
-			assert.Assert(wo.t, call.reply != nil && call.reply.Complete, "a planned stop cut off a service call: %v", call.reply)
+		assert.NilError(fx.t, err, "exit of the entry after a planned stop")
+		if !fx.mayCutRequests() {
+			assert.Assert(fx.t, long.reply != nil && long.reply.Complete, "a planned stop cut off a streamed answer: %v", long.reply)
+			assert.Assert(fx.t, call.reply != nil && call.reply.Complete, "a planned stop cut off a service call: %v", call.reply)
 		}
-		wo.stopped[wo.entry.Name] = true // It accepts no more requests.
+		fx.stopped[fx.entry.Name] = true // It accepts no more requests.
 	}
 }
 
 // mayCutRequests reports whether the fault may itself cut off a request in flight.
-func (wo *fixture) mayCutRequests() bool {
-	name := wo.t.Name()
+func (fx *fixture) mayCutRequests() bool {
+	name := fx.t.Name()
 	for _, fault := range []string{"none", "region-cut", "store-slow", "operator-race", "crossed-answers", "freeze-entry"} {
 		if strings.HasSuffix(name, "/"+fault) {
 			return false
--- a/test/measure/apply.go
+++ b/test/measure/apply.go
@@ -41,24 +41,24 @@
 // measureApply measures the time from an accepted write until the last process has it in force, at
 // the current sizes of deployments. Loopback has no delay between regions, so the figure excludes it.
 func measureApply() error {
-	for _, sh := range deployments {
-		hist, err := measureDeployment(sh)
+	for _, de := range deployments {
+		hist, err := measureDeployment(de)
 		if err != nil {
 			return err
 		}
-		figure.AtMost("apply-in-force-p99-"+sh.user, millis(hist, 99)/1000, "s", 2)
+		figure.AtMost("apply-in-force-p99-"+de.user, millis(hist, 99)/1000, "s", 2)
 	}
 	return nil
 }
 
 // measureDeployment returns the times of all changes, in microseconds.
-func measureDeployment(sh deployment) (*hdrhistogram.Histogram, error) {
-	fl, cleanup, err := fleet.New("bin", filepath.Join("out", "measure", sh.user))
+func measureDeployment(de deployment) (*hdrhistogram.Histogram, error) {
+	fl, cleanup, err := fleet.New("bin", filepath.Join("out", "measure", de.user))
 	if err != nil {
 		return nil, err
 	}
 	defer cleanup()
-	if err := startDeployment(fl, sh); err != nil {
+	if err := startDeployment(fl, de); err != nil {
 		return nil, err
 	}
 	raw, err := os.ReadFile(filepath.Join("test", "demo", "landesamt.jsonc"))
@@ -84,17 +84,17 @@
 }
 
 // startDeployment starts the platform's stand-ins, the agents and the entries.
-func startDeployment(fl *fleet.Fleet, sh deployment) error {
+func startDeployment(fl *fleet.Fleet, de deployment) error {
 	if err := fl.StartPlatform(nil); err != nil {
 		return err
 	}
-	for i := range sh.agents {
-		id, location := fmt.Sprintf("runner-%d", i), sh.locations[i%len(sh.locations)]
+	for i := range de.agents {
+		id, location := fmt.Sprintf("runner-%d", i), de.locations[i%len(de.locations)]
 		if err := fl.StartAgent(id, core.ModelVersion{Model: "desk", Version: "v1"}, location, fl.PlatformURL); err != nil {
 			return err
 		}
 	}
-	for _, location := range sh.locations {
+	for _, location := range de.locations {
 		for i := range entriesPerZone {
 			if _, err := fl.StartEntry(fmt.Sprintf("entry-%s-%d", location.Zone, i), location, map[string]any{"log-level": "warn"}); err != nil {
 				return err
--- a/test/slopes/configuration.go
+++ b/test/slopes/configuration.go
@@ -78,15 +78,15 @@
 	for _, doc := range documentSizes {
 		var took, bytes, processor, frames []point
 		for _, count := range receiverSizes {
-			ho, err := propagateThroughEntry(doc, count)
+			pc, err := propagateThroughEntry(doc, count)
 			if err != nil {
 				return err
 			}
 			num := float64(count)
-			took = append(took, point{num, ho.took})
-			bytes = append(bytes, point{num, ho.bytes})
-			frames = append(frames, point{num, ho.frames})
-			processor = append(processor, point{num, ho.processor})
+			took = append(took, point{num, pc.took})
+			bytes = append(bytes, point{num, pc.bytes})
+			frames = append(frames, point{num, pc.frames})
+			processor = append(processor, point{num, pc.processor})
 		}
 		tag, what := fmt.Sprint(doc), fmt.Sprintf(", %s workspaces", formatInteger(int64(doc)))
 		re.add("hand-on-time-"+tag, "time from the store's acceptance to the last agent, all agents in one process"+what, "agent", seconds, took)
--- a/test/slopes/control.go
+++ b/test/slopes/control.go
@@ -129,10 +129,10 @@
 }
 
 // Run implements [core.Runner].
-func (he *blockingRunner) Run(context.Context, *core.Attempt) (core.Answer, error) {
-	he.mu.Lock()
-	defer he.mu.Unlock()
-	return &blockingAnswer{until: he.release}, nil
+func (br *blockingRunner) Run(context.Context, *core.Attempt) (core.Answer, error) {
+	br.mu.Lock()
+	defer br.mu.Unlock()
+	return &blockingAnswer{until: br.release}, nil
 }
 
 type blockingAnswer struct {
@@ -140,8 +140,8 @@
 	until chan struct{}
 }
 
-func (ha *blockingAnswer) Next() ([]byte, error) {
-	<-ha.until
+func (ba *blockingAnswer) Next() ([]byte, error) {
+	<-ba.until
 	return nil, io.EOF
 }
 
@@ -162,8 +162,8 @@
 
 // reportBytes returns the bytes per second for state reports to a number of entries.
 func reportBytes(size int) (float64, error) {
-	he := &blockingRunner{release: make(chan struct{})}
-	ags, err := startAgents(1, he)
+	br := &blockingRunner{release: make(chan struct{})}
+	ags, err := startAgents(1, br)
 	if err != nil {
 		return 0, err
 	}
@@ -195,7 +195,7 @@
 		time.Sleep(time.Second)
 	}
 	busy := ags.meter.read().since(before)
-	close(he.release)
+	close(br.release)
 	wg.Wait()
 	return (busy.bytes() - quiet.bytes()) / measuredSeconds, nil
 }
--- a/test/slopes/entries.go
+++ b/test/slopes/entries.go
@@ -27,7 +27,7 @@
 		if err != nil {
 			return err
 		}
-		ho, err := me.propagate()
+		pc, err := me.propagate()
 		if err != nil {
 			me.cancel()
 			return err
@@ -37,9 +37,9 @@
 		idleBytes = append(idleBytes, point{float64(me.links), me.meter.read().since(before).bytes() / meshIdleTime.Seconds()})
 		me.cancel()
 		num := float64(size)
-		took = append(took, point{num, ho.took})
-		bytes = append(bytes, point{num, ho.bytes})
-		frames = append(frames, point{num, ho.frames})
+		took = append(took, point{num, pc.took})
+		bytes = append(bytes, point{num, pc.bytes})
+		frames = append(frames, point{num, pc.frames})
 		links = append(links, point{num, float64(me.links)})
 	}
 	re.add("entries-time", "time until all entries have a change of 100 workspaces that the readers of one zone had first, in one process", "entry", seconds, took)
--- a/test/slopes/fixture.go
+++ b/test/slopes/fixture.go
@@ -89,7 +89,7 @@
 type staticHosts []core.Host
 
 // List implements [core.Hosts].
-func (li staticHosts) List(context.Context) ([]core.Host, error) { return li, nil }
+func (sh staticHosts) List(context.Context) ([]core.Host, error) { return sh, nil }
 
 // startPools runs the entry side of links in this process, one pool per entry.
 func startPools(count int, hosts []core.Host) ([]*agent.Pool, []*declaration.InForce, context.CancelFunc) {
@@ -186,8 +186,8 @@
 type tokenRunner struct{ count atomic.Int64 }
 
 // Run implements [core.Runner].
-func (wo *tokenRunner) Run(context.Context, *core.Attempt) (core.Answer, error) {
-	return &tokenAnswer{remaining: int(wo.count.Load())}, nil
+func (tr *tokenRunner) Run(context.Context, *core.Attempt) (core.Answer, error) {
+	return &tokenAnswer{remaining: int(tr.count.Load())}, nil
 }
 
 type tokenAnswer struct{ remaining int }
@@ -195,17 +195,17 @@
 // tokenEvent has the size of an event with one token.
 var tokenEvent = []byte(`data: {"id":"chatcmpl-1","choices":[{"index":0,"delta":{"content":"w1 "}}]}` + "\n\n")
 
-func (wa *tokenAnswer) Next() ([]byte, error) {
-	if wa.remaining == 0 {
+func (ta *tokenAnswer) Next() ([]byte, error) {
+	if ta.remaining == 0 {
 		return nil, io.EOF
 	}
-	wa.remaining--
+	ta.remaining--
 	return tokenEvent, nil
 }
-func (wa *tokenAnswer) Usage() core.Usage   { return core.Usage{Prompt: 10, Generated: 10} }
-func (wa *tokenAnswer) Status() int         { return http.StatusOK }
-func (wa *tokenAnswer) ContentType() string { return "text/event-stream" }
-func (wa *tokenAnswer) Close()              {}
+func (ta *tokenAnswer) Usage() core.Usage   { return core.Usage{Prompt: 10, Generated: 10} }
+func (ta *tokenAnswer) Status() int         { return http.StatusOK }
+func (ta *tokenAnswer) ContentType() string { return "text/event-stream" }
+func (ta *tokenAnswer) Close()              {}
 
 // ReplayOf returns the empty id, since no answer is a stored one.
-func (wa *tokenAnswer) ReplayOf() core.AttemptID { return "" }
+func (ta *tokenAnswer) ReplayOf() core.AttemptID { return "" }
--- a/test/slopes/strategies.go
+++ b/test/slopes/strategies.go
@@ -103,11 +103,11 @@
 	fmt.Fprintf(&sb, "Computed for %g workspaces, from the measured costs of messages: a body of %s, a notice\nof %s, %s to adopt a body and %s to send one.\n\n", workspaces,
 		quantity{co.body, byteCount}, quantity{co.notice, byteCount}, quantity{co.adopt, coreSeconds}, quantity{co.send, coreSeconds})
 	sb.WriteString("| way | links a process | notices | bodies | bytes in all | hops | bodies of the busiest | processor time of the busiest | time |\n| --- | --- | --- | --- | --- | --- | --- | --- | --- |\n")
-	for _, wa := range strategies() {
-		busiest := wa.busiest * co.send
-		took := float64(wa.hops)*co.adopt + busiest + wa.waitTime
-		fmt.Fprintf(&sb, "| %s | %s | %s | %s | %s | %d | %s | %s | %s |\n", wa.name, formatNumber(float64(wa.links)), formatNumber(wa.notices), formatNumber(wa.bodies),
-			quantity{wa.bodies*co.body + wa.notices*co.notice, byteCount}, wa.hops, formatNumber(wa.busiest), quantity{busiest, coreSeconds}, quantity{took, seconds})
+	for _, st := range strategies() {
+		busiest := st.busiest * co.send
+		took := float64(st.hops)*co.adopt + busiest + st.waitTime
+		fmt.Fprintf(&sb, "| %s | %s | %s | %s | %s | %d | %s | %s | %s |\n", st.name, formatNumber(float64(st.links)), formatNumber(st.notices), formatNumber(st.bodies),
+			quantity{st.bodies*co.body + st.notices*co.notice, byteCount}, st.hops, formatNumber(st.busiest), quantity{busiest, coreSeconds}, quantity{took, seconds})
 	}
 	return sb.String()
 }
