--- a/app/agent.go
+++ b/app/agent.go
@@ -59,7 +59,7 @@
 		return err
 	}
 	event.Log(ag.deps.Log, event.Stopping)
-	ag.srv.Leave()
+	ag.srv.StartDraining()
 	// Entries that have not yet processed the notice still dispatch; their attempts are refused.
 	time.Sleep(leaveDelay)
 	dctx, cancel := context.WithTimeout(context.Background(), time.Duration(ag.set.DrainLimit))
--- a/app/entry.go
+++ b/app/entry.go
@@ -132,7 +132,7 @@
 
 func (en *entryProcess) drain(hs *http.Server) {
 	event.Log(en.deps.Log, event.Stopping)
-	en.srv.Leave()
+	en.srv.StartDraining()
 	time.Sleep(leaveDelay)
 	ctx, cancel := context.WithTimeout(context.Background(), time.Duration(en.set.DrainLimit))
 	defer cancel()
--- a/app/gateway.go
+++ b/app/gateway.go
@@ -218,7 +218,7 @@
 func (gw *gatewayProcess) drain() {
 	ends := time.Now().Add(time.Duration(gw.set.DrainLimit) - exitMargin)
 	gw.stop.leaving.Store(true)
-	gw.srv.Leave()
+	gw.srv.StartDraining()
 	event.Log(gw.deps.Log, event.Stopping, "under-way", gw.srv.InFlight())
 	time.Sleep(min(balancerDelay, time.Until(ends)))
 	gw.stop.setDeadline(ends)
--- a/app/settings/load_test.go
+++ b/app/settings/load_test.go
@@ -58,8 +58,8 @@
 	assert.Equal(t, time.Duration(set.DrainLimit), 90*time.Second)
 }
 
-// Guards against an agent configured with two upstreams or none: it would protect the wrong one, and
-// callers' requests would reach an unprotected upstream.
+// Guards against accepting settings of an agent with two upstreams or none: it would protect the
+// wrong one, and callers' requests would reach an unprotected upstream.
 func TestAgentHasExactlyOneUpstream(t *testing.T) {
 	_, err := settings.LoadAgent(file(t, `{
 		"listen": "10.0.0.1:7000", "zone": "muc-a", "region": "muc", "store": "http://10.0.0.9", "upstream": "desk-1", "slots": 0,
--- a/core/chain/chain.go
+++ b/core/chain/chain.go
@@ -215,7 +215,7 @@
 // and reads on until an entry is absent.
 func (ch *Chain) Last(ctx context.Context) (Entry, error) {
 	var last Entry
-	n, err := ch.hintedLast(ctx)
+	n, err := ch.readHeadHint(ctx)
 	if err != nil {
 		return last, err
 	}
@@ -234,7 +234,9 @@
 	}
 }
 
-func (ch *Chain) hintedLast(ctx context.Context) (uint64, error) {
+// readHeadHint returns the number of an entry near the end of the chain, from which to look for the
+// last one. 1 means that the store has no usable hint.
+func (ch *Chain) readHeadHint(ctx context.Context) (uint64, error) {
 	it, err := ch.store.Get(ctx, ch.headKey())
 	switch {
 	case errors.Is(err, core.ErrNotFound):
--- a/core/claim/bucket.go
+++ b/core/claim/bucket.go
@@ -12,7 +12,7 @@
 )
 
 // bucket writes one bucket of the store, one write at a time. The fields after waiting and serving
-// belong to the serving goroutine.
+// belong to the goroutine that runs writeQueued.
 type bucket struct {
 	tbl  *Table
 	path path
@@ -46,8 +46,8 @@
 	callTimeout = 2 * time.Second
 )
 
-// serve writes the queued changes until none is left.
-func (bu *bucket) serve() {
+// writeQueued writes the queued changes until none is left or the table is closed.
+func (bu *bucket) writeQueued() {
 	var open []*change
 	backoff := minBackoff
 	for bu.tbl.ctx.Err() == nil {
@@ -76,7 +76,7 @@
 	}
 }
 
-// stopIfIdle stops serving when no change waits. A later change starts it again.
+// stopIfIdle ends writeQueued when no change waits. A later change starts it again.
 func (bu *bucket) stopIfIdle() bool {
 	bu.tbl.mu.Lock()
 	defer bu.tbl.mu.Unlock()
--- a/core/claim/segment.go
+++ b/core/claim/segment.go
@@ -15,8 +15,8 @@
 	Claims []record `json:"claims"`
 }
 
-// segmentIndex is this process's index of one bucket's segments. It belongs to the bucket's serving
-// goroutine.
+// segmentIndex is this process's index of one bucket's segments. It belongs to the goroutine that
+// runs the bucket's writeQueued.
 //
 // Segment n is created only by a process that read a bucket whose last segment was n-1, from the
 // done claims in it. A done claim never changes, so any process's segment is valid as segment n:
--- a/core/claim/table.go
+++ b/core/claim/table.go
@@ -347,7 +347,7 @@
 	if !bu.serving {
 		bu.serving = true
 		tbl.activeBuckets++
-		go bu.serve()
+		go bu.writeQueued()
 	}
 	return nil
 }
--- a/core/claim/table_test.go
+++ b/core/claim/table_test.go
@@ -49,7 +49,7 @@
 
 // A store that is down refuses before anything is written: the caller must get at once the error
 // that nothing was claimed, and the same key must work once the store is up again.
-func TestStoreDown(t *testing.T) {
+func TestClaimIsRefusedAtOnceWhileStoreIsDown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ha := newHarness(1)
 		defer ha.agents[0].stop()
@@ -90,7 +90,7 @@
 // A caller retries its key after days, when its first answer has been dropped. A key without a
 // timestamp cannot be checked, but a time-ordered key must be refused, also by an agent whose clock
 // has stopped; otherwise the operation runs twice.
-func TestRetention(t *testing.T) {
+func TestKeyOlderThanRetentionIsRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ha := newHarness(1)
 		ag := ha.agents[0]
--- a/core/declaration/check.go
+++ b/core/declaration/check.go
@@ -78,14 +78,14 @@
 	}
 	for i, ar := range doc.AcceptRisks {
 		entry := &findings{}
-		entry.checkAcceptRisk(i, ar, fi.risks, change)
+		entry.checkAcceptedRisk(i, ar, fi.risks, change)
 		out = append(out, entry.mistakes...)
 	}
 	return out
 }
 
-// checkAcceptRisk validates an entry of accept-risks against the risks found.
-func (fi *findings) checkAcceptRisk(i int, ar AcceptRisk, found Mistakes, change bool) {
+// checkAcceptedRisk validates an entry of accept-risks against the risks found.
+func (fi *findings) checkAcceptedRisk(i int, ar AcceptRisk, found Mistakes, change bool) {
 	place := fmt.Sprintf("accept-risks[%d]", i)
 	subject, known := risks[Rule(ar.Rule)]
 	if !known {
--- a/core/declaration/rebase.go
+++ b/core/declaration/rebase.go
@@ -94,7 +94,7 @@
 		}
 		out.appendPart(from.get(sc))
 	}
-	out.AcceptRisks = mergeAcceptRisks(cur, doc, &out)
+	out.AcceptRisks = mergeAcceptedRisks(cur, doc, &out)
 	return out
 }
 
@@ -119,10 +119,10 @@
 	doc.Withdrawals = append(doc.Withdrawals, pa.Withdrawals...)
 }
 
-// mergeAcceptRisks returns the risks that doc accepts, and those that cur accepts and
+// mergeAcceptedRisks returns the risks that doc accepts, and those that cur accepts and
 // that are still found in the merged document. Risks that cur accepts about its own
 // change are dropped, since that change is complete.
-func mergeAcceptRisks(cur, doc, merged *Document) []AcceptRisk {
+func mergeAcceptedRisks(cur, doc, merged *Document) []AcceptRisk {
 	out := slices.Clone(doc.AcceptRisks)
 	found := merged.inspect().risks
 	for _, ar := range cur.AcceptRisks {
@@ -139,6 +139,6 @@
 // own change are dropped; accept lists the risks to accept about the change back.
 func Restore(old *Generation, accept []AcceptRisk) Document {
 	doc := old.Document
-	doc.AcceptRisks = mergeAcceptRisks(&old.Document, &Document{AcceptRisks: accept}, &doc)
+	doc.AcceptRisks = mergeAcceptedRisks(&old.Document, &Document{AcceptRisks: accept}, &doc)
 	return doc
 }
--- a/core/dispatch/outcome.go
+++ b/core/dispatch/outcome.go
@@ -78,7 +78,7 @@
 	li.Cost = li.price(li.Usage)
 }
 
-// buffer reads the whole answer of the current stage into memory, up to a limit.
+// buffer reads the complete answer of the current stage into memory, up to a limit.
 func (out *Outcome) buffer(limit int) error {
 	buf := new(bytes.Buffer)
 	for {
@@ -98,8 +98,8 @@
 	}
 }
 
-// FileBill files the request's one bill and sends a copy to the agent. It is called after the whole
-// answer has been read and before its end is sent to the caller: if the entry dies in
+// FileBill files the request's one bill and sends a copy to the agent. It is called after the
+// complete answer has been read and before its end is sent to the caller: if the entry crashes in
 // between, the request stays unbilled rather than billed without an answer.
 //
 // The bill is queued at the ledger before the copy is sent to the agent. In the reverse order,
--- a/core/dispatch/try_test.go
+++ b/core/dispatch/try_test.go
@@ -126,7 +126,7 @@
 	return &pieces{left: 1}, nil
 }
 
-// An engine is slow but does not report it. Callers whose streams or whole answers it produces
+// An engine is slow but does not report it. Callers whose answers it produces, streamed or not,
 // wait ten times as long. After its first few answers, it must get no more than an occasional
 // probe.
 func TestSlowEngineIsDetectedFromAnswers(t *testing.T) {
--- a/core/event/catalogue.go
+++ b/core/event/catalogue.go
@@ -109,17 +109,17 @@
 	SegmentLate = &Event{402, "segment-late", slog.LevelWarn,
 		"A ledger segment could not be written yet; its bills are kept and the write is retried.", "Check the store."}
 	LedgerSealed = &Event{440, "ledger-sealed", slog.LevelWarn,
-		"Other processes considered this one dead and sealed its ledger; its bills go into its takeover chain from now on.",
+		"Other processes considered this one gone and sealed its ledger; its bills go into its takeover chain from now on.",
 		"Find out what paused the process or cut its links."}
 	TakeoverFiled = &Event{441, "takeover-filed", slog.LevelInfo,
-		"The bills that agents held of a dead process were checked against its ledger, and the missing ones were filed.", "Nothing."}
+		"The bills that agents held of a gone process were checked against its ledger, and the missing ones were filed.", "Nothing."}
 	TakeoverLate = &Event{442, "takeover-late", slog.LevelWarn,
-		"Bills of a dead process could not be filed yet; agents keep them and submit them again.", "Check the store."}
+		"Bills of a gone process could not be filed yet; agents keep them and submit them again.", "Check the store."}
 	CopyDropped = &Event{443, "copy-dropped", slog.LevelWarn,
 		"An agent has no space for the copy of a bill; only the entry has it until it is durable.", "Check the store."}
 	CopiesLeft = &Event{444, "copies-left", slog.LevelError,
-		"An agent stopped while it held copies of bills of dead entries that no other entry could file.",
-		"Check the store; bills of the entry that died last may be missing."}
+		"An agent stopped while it held copies of bills of gone entries that no other entry could file.",
+		"Check the store; bills of the entry that failed last may be missing."}
 	ClaimsBroken = &Event{420, "claims-broken", slog.LevelError,
 		"A bucket or segment of claims cannot be read; requests with its keys are refused and not run.", "Check the store: another program wrote under `claims/`."}
 	ClaimUnfinished = &Event{421, "claim-unfinished", slog.LevelWarn,
--- a/core/execute/answer.go
+++ b/core/execute/answer.go
@@ -52,7 +52,7 @@
 // ReplayOf implements [core.Answer].
 func (st *storedAnswer) ReplayOf() core.AttemptID { return st.replayOf }
 
-// readAnswer reads a whole answer of at most limit bytes.
+// readAnswer reads a complete answer of at most limit bytes.
 func readAnswer(ans core.Answer, limit int) (claim.Answer, error) {
 	var body []byte
 	for {
--- a/core/execute/claimed_test.go
+++ b/core/execute/claimed_test.go
@@ -224,7 +224,7 @@
 		}, []result{{core.NotRun, "overloaded"}, {"", "booked"}}, 3},
 		{"the upstream leaves while the claim is written", func(fx *fixture) []result {
 			fx.st.SetFaults(fakestore.Faults{Latency: time.Second})
-			time.AfterFunc(time.Second/2, fx.ex.Leave)
+			time.AfterFunc(time.Second/2, fx.ex.StartDraining)
 			return []result{fx.send("key")}
 		}, []result{{core.NotRun, "leaving"}}, 0},
 		{"no key", func(fx *fixture) []result { return []result{fx.send("")} }, []result{{core.NotRun, "bad-request"}}, 0},
--- a/core/execute/execute.go
+++ b/core/execute/execute.go
@@ -32,19 +32,19 @@
 	claims *claim.Table
 	queue  sharedSlotQueue
 
-	gate    exclusiveGate
-	leaving atomic.Bool
+	gate     exclusiveGate
+	draining atomic.Bool
 }
 
 // Option configures an Executor at construction.
 type Option func(*Executor)
 
 // Slots sets how many attempts run on the upstream at the same time.
-func Slots(n int) Option { return func(ex *Executor) { ex.queue.bo.slots = max(n, 1) } }
+func Slots(n int) Option { return func(ex *Executor) { ex.queue.sq.slots = max(n, 1) } }
 
 // Queue sets how many attempts may wait for a slot. The agent refuses further attempts at once, so
 // that the entry still has time to try another upstream.
-func Queue(n int) Option { return func(ex *Executor) { ex.queue.bo.limit = n } }
+func Queue(n int) Option { return func(ex *Executor) { ex.queue.sq.limit = n } }
 
 const (
 	defaultSlots = 16
@@ -57,18 +57,18 @@
 // New returns an Executor for the agent's upstream.
 func New(deps core.Deps, ho core.Host, inf *declaration.InForce, ru core.Runner, tbl *claim.Table, opts ...Option) *Executor {
 	ex := &Executor{deps: deps, host: ho, inf: inf, runner: ru, claims: tbl}
-	ex.queue.bo = NewSlotQueue(defaultSlots, defaultQueue)
+	ex.queue.sq = NewSlotQueue(defaultSlots, defaultQueue)
 	for _, opt := range opts {
 		opt(ex)
 	}
 	return ex
 }
 
-// Leave makes the executor refuse all new work.
-func (ex *Executor) Leave() { ex.leaving.Store(true) }
+// StartDraining makes the executor refuse all new work.
+func (ex *Executor) StartDraining() { ex.draining.Store(true) }
 
-// Leaving reports whether Leave was called.
-func (ex *Executor) Leaving() bool { return ex.leaving.Load() }
+// Draining reports whether StartDraining was called.
+func (ex *Executor) Draining() bool { return ex.draining.Load() }
 
 // Load returns the current load of the upstream.
 func (ex *Executor) Load() core.Load { return ex.queue.load() }
@@ -136,7 +136,7 @@
 }
 
 func (ex *Executor) check(at *core.Attempt) *core.Failure {
-	return guard.Check(ex.inf.Current(), ex.host, ex.leaving.Load(), at)
+	return guard.Check(ex.inf.Current(), ex.host, ex.draining.Load(), at)
 }
 
 // awaitGeneration waits until the agent's configuration is at least as new as the entry's, up to
--- a/core/execute/slot_queue.go
+++ b/core/execute/slot_queue.go
@@ -124,14 +124,14 @@
 // sharedSlotQueue makes a SlotQueue safe for concurrent use.
 type sharedSlotQueue struct {
 	mu sync.Mutex
-	bo *SlotQueue
+	sq *SlotQueue
 }
 
 // acquire waits for a slot and returns the function that frees it, which may be called more than
 // once.
 func (ss *sharedSlotQueue) acquire(ctx context.Context, at *core.Attempt) (release func(), err error) {
 	ss.mu.Lock()
-	ti, _, fl := ss.bo.Acquire(time.Now(), at.Priority, at.Deadline)
+	ti, _, fl := ss.sq.Acquire(time.Now(), at.Priority, at.Deadline)
 	ss.mu.Unlock()
 	if fl != nil {
 		return nil, fl
@@ -146,7 +146,7 @@
 	return sync.OnceFunc(func() {
 		ss.mu.Lock()
 		defer ss.mu.Unlock()
-		ss.bo.Release(time.Now(), ti)
+		ss.sq.Release(time.Now(), ti)
 	}), nil
 }
 
@@ -154,17 +154,17 @@
 func (ss *sharedSlotQueue) full() bool {
 	ss.mu.Lock()
 	defer ss.mu.Unlock()
-	return ss.bo.running >= ss.bo.slots && len(ss.bo.waiting) >= ss.bo.limit
+	return ss.sq.running >= ss.sq.slots && len(ss.sq.waiting) >= ss.sq.limit
 }
 
 func (ss *sharedSlotQueue) cancel(ti *Ticket) bool {
 	ss.mu.Lock()
 	defer ss.mu.Unlock()
-	return ss.bo.Cancel(ti)
+	return ss.sq.Cancel(ti)
 }
 
 func (ss *sharedSlotQueue) load() core.Load {
 	ss.mu.Lock()
 	defer ss.mu.Unlock()
-	return ss.bo.Load()
+	return ss.sq.Load()
 }
--- a/core/ids.go
+++ b/core/ids.go
@@ -27,7 +27,8 @@
 type ProcessID string
 
 // RequestID names a caller's request. All attempts that an entry makes for the request share it,
-// and the bill is filed under it.
+// and its bill carries it. It does not identify the bill: callers may choose it, and send the same
+// id twice. See [skylarkstand/core/ledger.Bill.ID].
 type RequestID string
 
 // AttemptID names one attempt to run a request on one upstream. It is never reused, and every frame
--- a/core/ledger/bill.go
+++ b/core/ledger/bill.go
@@ -13,6 +13,9 @@
 // A bill is identified by its last attempt, which no other bill has. The request id does not
 // identify it: callers may choose it, and send the same id twice.
 //
+// An agent's copy of a bill carries a [Floor], the low-water mark of the chains: the first entries
+// that can hold the bill. A successor looks for the bill from there on only.
+//
 // # Usage
 //
 //	led := ledger.New(deps, store, ledger.WriteBudget(100, liveEntries))
--- a/core/ledger/chains.go
+++ b/core/ledger/chains.go
@@ -15,7 +15,7 @@
 	// Prefix is the store's key prefix of ledger chains.
 	Prefix = "ledger/"
 	// indexPrefix is the key prefix of the index of processes that have chains. The chains
-	// themselves are too large to be listed: a list returns whole values.
+	// themselves are too large to be listed: a list returns complete values.
 	indexPrefix = "ledgers/"
 )
 
--- a/core/ledger/property_test.go
+++ b/core/ledger/property_test.go
@@ -167,8 +167,8 @@
 
 // The store loses replies, refuses calls, and applies writes late; the entry and its successors are
 // paused in the middle of a write, resume much later, or die. Agents offer their copies whenever
-// they consider the entry gone. Whatever the order, the account must show each whole answer exactly
-// once.
+// they consider the entry gone. Whatever the order, the account must show each complete answer
+// exactly once.
 func TestEachBillIsStoredOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) { rapid.SyncTest(t, runSequence) })
 }
--- a/core/ledger/successor.go
+++ b/core/ledger/successor.go
@@ -14,7 +14,7 @@
 
 // Successor files the bills of processes that agents consider gone, and returns those of this
 // process to its writer. Any entry may be the successor of any process, even two entries at once:
-// the chains keep each bill single. It is safe for concurrent use.
+// the chains store each bill once. It is safe for concurrent use.
 type Successor struct {
 	deps         core.Deps
 	store        core.Store
@@ -80,7 +80,7 @@
 		case <-ctx.Done():
 			return ctx.Err()
 		case of := <-su.offers:
-			batch := su.collect(ctx, of)
+			batch := su.collectOffers(ctx, of)
 			for _, id := range sortedKeys(batch) {
 				su.fileOffers(ctx, id, batch[id])
 			}
@@ -88,14 +88,14 @@
 	}
 }
 
-// collect returns the offer and those that arrive within gatherWait, by process.
-func (su *Successor) collect(ctx context.Context, of Offer) map[core.ProcessID][]Offer {
+// collectOffers returns the first offer and those that arrive within gatherWait, by process.
+func (su *Successor) collectOffers(ctx context.Context, first Offer) map[core.ProcessID][]Offer {
 	select {
 	case <-time.After(gatherWait):
 	case <-ctx.Done():
 	}
-	batch := map[core.ProcessID][]Offer{of.Process: {of}}
-	su.offeredBytes.Add(-of.bytes)
+	batch := map[core.ProcessID][]Offer{first.Process: {first}}
+	su.offeredBytes.Add(-first.bytes)
 	for {
 		select {
 		case of := <-su.offers:
@@ -157,7 +157,7 @@
 	if err != nil {
 		return nil, err
 	}
-	missing, all := missingBills(copies, ta.found)
+	missing, all := missingBillsAndIDs(copies, ta.found)
 	if err := appendMissing(ctx, chs.takeover, ta, missing); err != nil {
 		return nil, err
 	}
@@ -182,8 +182,8 @@
 	return ta, err
 }
 
-// missingBills returns the copies that no entry holds, and the ids of all copies.
-func missingBills(copies []Copy, found idSet) ([]queuedBill, []core.AttemptID) {
+// missingBillsAndIDs returns the copies that no entry holds, and the ids of all copies.
+func missingBillsAndIDs(copies []Copy, found idSet) ([]queuedBill, []core.AttemptID) {
 	var missing []queuedBill
 	seen := idSet{}
 	for i := range copies {
--- a/core/ledger/sum.go
+++ b/core/ledger/sum.go
@@ -69,8 +69,9 @@
 // read returns the bills of both chains of a process.
 func (acc *Account) read(ctx context.Context, chs *chains) ([]Bill, error) {
 	name := Prefix + string(chs.process)
-	// The takeover chain is read first: the seal was written before its first entry, so the seal is
-	// there when the own chain is read, even while both chains grow.
+	// The takeover chain is read first: the process's own chain was sealed before the
+	// first takeover entry was written, so the seal is there when the own chain is read, even while
+	// both chains grow.
 	takeover, _, err := acc.readChain(ctx, chs, chs.takeover, name+"/takeover")
 	if err != nil {
 		return nil, err
--- a/core/ledger/writer.go
+++ b/core/ledger/writer.go
@@ -258,8 +258,8 @@
 	wr.onDurable(ids)
 }
 
-// switchToTakeover leaves the own chain, which a successor has sealed at entry n because it
-// considered this process gone. Continuing in the own chain would file bills that the successor has
+// switchToTakeover leaves this process's own chain, which a successor has sealed at entry n because
+// it considered this process gone. Continuing in that chain would file bills that the successor has
 // already filed from the agents' copies: after each long pause of an entry, bills would be stored
 // twice.
 // In the takeover chain every entry of a successor is read before the next one is written.
--- a/core/losses/losses_test.go
+++ b/core/losses/losses_test.go
@@ -41,7 +41,7 @@
 
 // Each request that was refused, cut off, late or badly answered must be attributed to exactly one
 // cause, and to the right one. Otherwise, an engineer would fix the wrong thing first.
-func TestCauses(t *testing.T) {
+func TestEachLossHasOneCause(t *testing.T) {
 	scenarios := []struct {
 		testName string
 		rows     []string
--- a/core/mechanism/mechanism_test.go
+++ b/core/mechanism/mechanism_test.go
@@ -10,7 +10,7 @@
 
 // An operator disables a mechanism with a misspelt name. If the name were ignored, both sides of a
 // comparison would have the mechanism enabled, unnoticed.
-func TestParse(t *testing.T) {
+func TestMisspeltMechanismIsRejected(t *testing.T) {
 	for _, na := range mechanism.All() {
 		off, err := mechanism.Parse([]string{string(na)})
 		assert.NilError(t, err)
--- a/core/trace/doc.go
+++ b/core/trace/doc.go
@@ -1,5 +1,5 @@
-// Package trace reconstructs one request from the log lines of several processes, and reports what
-// is missing from the logs.
+// Package trace reconstructs one request from the log lines of several processes, and reports why
+// lines may be missing from the logs.
 //
 // The reconstruction consists of the lines with the request's id, from every entry that received
 // it, and of the lines about the state of those entries at that time: the upstreams that the request
--- a/core/trace/trace.go
+++ b/core/trace/trace.go
@@ -18,7 +18,7 @@
 	// entry is in force within seconds.
 	timeBefore = 10 * time.Second
 	timeAfter  = time.Second
-	// endedAfter is how much earlier than the whole log the lines of a process must stop for the
+	// endedAfter is how long before the end of all logs the last line of a process must be for the
 	// process to be considered ended. A running process logs a line for each attempt.
 	endedAfter = 2 * time.Second
 )
@@ -32,7 +32,7 @@
 	Upstreams []UpstreamTraffic
 	// Entries counts the other requests at the request's entries around its time.
 	Entries []EntryTraffic
-	// Missing lists what is missing from the logs, and why.
+	// Missing lists the reasons why the logs of the request's processes may be incomplete.
 	Missing []string
 }
 
@@ -87,7 +87,7 @@
 	slices.SortStableFunc(tr.Lines, func(a, b Line) int { return a.At.Compare(b.At) })
 	tr.Upstreams = lo.upstreamTraffic(id, sc)
 	tr.Entries = lo.entryTraffic(id, sc)
-	tr.Missing = lo.missing(sc, own)
+	tr.Missing = lo.explainGaps(sc, own)
 	return tr
 }
 
@@ -225,11 +225,11 @@
 	return append(out, lo.unparsedLines()...)
 }
 
-// missing lists what is missing from the logs around the request.
-func (lo *Log) missing(sc scope, own []Line) []string {
+// explainGaps lists the reasons why the logs of the request's processes may be incomplete.
+func (lo *Log) explainGaps(sc scope, own []Line) []string {
 	var out []string
 	for process := range sc.processes {
-		out = append(out, lo.missingEnd(process, own)...)
+		out = append(out, lo.explainMissingEnd(process, own)...)
 	}
 	out = append(out, lo.droppedLines(sc.covers)...)
 	out = append(out, lo.unparsedLines()...)
@@ -237,9 +237,9 @@
 	return out
 }
 
-// missingEnd explains why a process that accepted the request has not logged how it ended. It
+// explainMissingEnd explains why a process that accepted the request has not logged how it ended. It
 // returns nothing if the process has.
-func (lo *Log) missingEnd(process string, own []Line) []string {
+func (lo *Log) explainMissingEnd(process string, own []Line) []string {
 	begun, ended := 0, 0
 	var last *Line
 	for i := range own {
--- a/io/agent/link.go
+++ b/io/agent/link.go
@@ -136,7 +136,7 @@
 	an := newAnswer(ctx, ln, st, at.ID)
 	if err := frame.NewWriter(st).Write(protocol.DispatchFrame(at)); err != nil {
 		an.Close()
-		// The agent may have received the whole frame before the link failed.
+		// The agent may have received the complete frame before the link failed.
 		return nil, core.OutcomeUnknown("the link to upstream %s was lost in the hand-over", ln.host.ID)
 	}
 	if err := an.awaitFirst(); err != nil {
--- a/io/caller/relay.go
+++ b/io/caller/relay.go
@@ -12,7 +12,7 @@
 )
 
 // relay copies a response to the caller. It holds back the end of the response until the
-// request's bill is filed: the bill must be recorded before the caller has the whole response.
+// request's bill is filed: the bill must be recorded before the caller has the complete response.
 func (srv *Server) relay(w http.ResponseWriter, id core.RequestID, out *dispatch.Outcome, stream bool, ad *admitted) error {
 	if stream {
 		return srv.relayStream(w, id, out, ad)
@@ -82,7 +82,7 @@
 			return err
 		case err != nil:
 			// A part was sent with a success status. If the response ended normally, the caller
-			// would treat the part as the whole response, so the connection is aborted.
+			// would treat the part as the complete response, so the connection is aborted.
 			event.Log(srv.deps.Log, event.RequestFailed, "request", id, "code", asFailure(err).Code, "cut", true)
 			panic(http.ErrAbortHandler)
 		}
--- a/io/caller/server.go
+++ b/io/caller/server.go
@@ -5,7 +5,7 @@
 //
 //	srv := caller.New(deps, inForce, dispatcher, keyring, caller.MaxBody(1<<20))
 //	http.Serve(listener, srv)
-//	srv.Leave()   // readyz fails from now on
+//	srv.StartDraining() // readyz fails from now on
 package caller
 
 import (
@@ -33,7 +33,7 @@
 	metrics      http.Handler
 	cont         *restful.Container
 	sessions     SessionStore
-	leaving      atomic.Bool
+	draining     atomic.Bool
 	inFlight     atomic.Int64
 	maxInFlight  int64
 	maxConfigAge time.Duration
@@ -102,13 +102,13 @@
 // ServeHTTP implements [http.Handler].
 func (srv *Server) ServeHTTP(w http.ResponseWriter, rq *http.Request) { srv.cont.ServeHTTP(w, rq) }
 
-// Leave makes readyz fail, so that the platform's load balancer sends no more requests.
-func (srv *Server) Leave() { srv.leaving.Store(true) }
+// StartDraining makes readyz fail, so that the platform's load balancer sends no more requests.
+func (srv *Server) StartDraining() { srv.draining.Store(true) }
 
 func (srv *Server) healthz(_ *restful.Request, rs *restful.Response) { rs.WriteHeader(http.StatusOK) }
 
 func (srv *Server) readyz(_ *restful.Request, rs *restful.Response) {
-	if srv.leaving.Load() || srv.inf.Current() == nil {
+	if srv.draining.Load() || srv.inf.Current() == nil {
 		rs.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
--- a/io/caller/server_test.go
+++ b/io/caller/server_test.go
@@ -103,9 +103,9 @@
 	return rq
 }
 
-// Guards against invalid requests that run, that are billed, or whose refusal programs cannot
+// Guards against running or billing invalid requests, and against refusals that programs cannot
 // interpret.
-func TestBadInput(t *testing.T) {
+func TestInvalidRequestsAreRefusedUnbilled(t *testing.T) {
 	type scenario struct {
 		testName string
 		request  *http.Request
@@ -192,8 +192,8 @@
 	assert.Equal(t, len(bi.filed), 0)
 }
 
-// Guards against a client that treats a part of a response as complete: a long response that is
-// not streamed is cut after a part of it was sent. It is too late for an error status, so the
+// Guards against a partial response that looks complete to the client: a long response that is not
+// streamed is cut after a part of it was sent. It is too late for an error status, so the
 // connection must break.
 func TestCutLongResponseBreaksConnection(t *testing.T) {
 	us := &upstream{chunks: []string{"one", "two"}, end: core.OutcomeUnknown("the link was lost")}
--- a/io/engine/stream_test.go
+++ b/io/engine/stream_test.go
@@ -97,8 +97,8 @@
 }
 
 // A process that terminates closes its connections one by one, and for a moment still accepts new
-// ones without responding. The request crashed the engine; classified as a broken call, it would be
-// sent to another engine as harmless.
+// ones without responding. If the crash were classified as a broken connection, the request that
+// caused it would be retried and crash the next engine.
 func TestEngineThatAcceptsWithoutResponding(t *testing.T) {
 	li, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
--- a/io/entry/server.go
+++ b/io/entry/server.go
@@ -5,7 +5,7 @@
 //
 //	srv := entry.New(deps, host, inForce, executor, gate)
 //	go srv.Serve(ctx, listener)
-//	srv.Leave()              // refuse new work and announce it on all links
+//	srv.StartDraining()      // refuse new work and announce it on all links
 //	srv.Drain(ctx)           // wait for the attempts in flight
 package entry
 
@@ -198,7 +198,7 @@
 	lo := srv.ex.Load()
 	return &frame.State{
 		Running: int32(lo.Running), Queued: int32(lo.Queued), Slots: int32(lo.Slots),
-		Leaving: srv.ex.Leaving(), Generation: uint64(srv.inf.Number()), Down: srv.down.Load(),
+		Leaving: srv.ex.Draining(), Generation: uint64(srv.inf.Number()), Down: srv.down.Load(),
 	}
 }
 
@@ -254,10 +254,10 @@
 	return true
 }
 
-// Leave refuses all new work from now on and announces it on all links, without waiting for the
-// platform's host list, which lags.
-func (srv *Server) Leave() {
-	srv.ex.Leave()
+// StartDraining refuses all new work from now on and announces it on all links, without waiting for
+// the platform's host list, which lags.
+func (srv *Server) StartDraining() {
+	srv.ex.StartDraining()
 	event.Log(srv.deps.Log, event.UpstreamLeaving, "upstream", srv.host.ID)
 	srv.broadcast()
 }
--- a/io/front/conn.go
+++ b/io/front/conn.go
@@ -100,8 +100,8 @@
 }
 
 // CloseIdle closes the connections on which no request is in flight or arriving, and from now
-// on every other one after its response. A response that began before [Server.Leave] did not
-// announce that its connection would be closed.
+// on every other one after its response. A response that began before [Server.StartDraining] did
+// not announce that its connection would be closed.
 func (sv *Server) CloseIdle() {
 	sv.closing.Store(true)
 	id := &sv.idle
--- a/io/front/front.go
+++ b/io/front/front.go
@@ -7,7 +7,7 @@
 //	sv := front.New(deps, codec, fw, inForce)
 //	hs := sv.HTTP()
 //	go hs.Serve(front.Listen(listener))
-//	sv.Leave()                 // responses close their connections from now on
+//	sv.StartDraining()         // responses close their connections from now on
 //	sv.CloseIdle()
 //	left := sv.Drain(ctx)      // requests that were given up
 package front
@@ -41,9 +41,9 @@
 	fw    *forward.Forwarder
 	inf   *route.InForce
 
-	// leaving makes every response close its connection. closing makes connections close as
+	// draining makes every response close its connection. closing makes connections close as
 	// soon as they become idle.
-	leaving, closing atomic.Bool
+	draining, closing atomic.Bool
 	// drained makes the server refuse requests that arrive after the last exchange of a stop
 	// has ended.
 	drained  atomic.Bool
@@ -84,8 +84,8 @@
 	}
 }
 
-// Leave makes every response from now on close its connection.
-func (sv *Server) Leave() { sv.leaving.Store(true) }
+// StartDraining makes every response from now on close its connection.
+func (sv *Server) StartDraining() { sv.draining.Store(true) }
 
 // InFlight counts the exchanges in flight.
 func (sv *Server) InFlight() int64 { return sv.inFlight.Load() }
@@ -123,10 +123,10 @@
 	sv.refuse(w, id, fl)
 }
 
-// announceClose makes the caller send its next request on another connection if the process is
-// leaving when the response begins.
+// announceClose makes the caller send its next request on another connection if the server is
+// draining when the response begins.
 func (sv *Server) announceClose(hd http.Header) {
-	if sv.leaving.Load() {
+	if sv.draining.Load() {
 		hd.Set("Connection", "close")
 	}
 }
@@ -180,7 +180,7 @@
 }
 
 // relay writes a response as it arrives. An error means that the caller did not receive the
-// whole response.
+// complete response.
 func (sv *Server) relay(w http.ResponseWriter, ans *forward.Answer) error {
 	hd := w.Header()
 	for name, vals := range ans.Header() {
--- a/io/front/front_test.go
+++ b/io/front/front_test.go
@@ -124,7 +124,7 @@
 	for !sv.ReceivingRequest() {
 		time.Sleep(time.Millisecond)
 	}
-	sv.Leave()
+	sv.StartDraining()
 	sv.CloseIdle()
 	send(t, nc, request[20:])
 	got := receive(t, br)
@@ -140,7 +140,7 @@
 	deps.Log = slog.New(slog.NewJSONHandler(lines, nil))
 	sv, nc := serveLogged(t, deps, echo{}, route.Limits{})
 	br := bufio.NewReader(nc)
-	sv.Leave()
+	sv.StartDraining()
 	assert.Equal(t, sv.Drain(t.Context()), int64(0))
 	send(t, nc, request)
 	got := receive(t, br)
@@ -160,7 +160,7 @@
 	for sv.IdleConnections() == 0 {
 		time.Sleep(time.Millisecond)
 	}
-	sv.Leave()
+	sv.StartDraining()
 	sv.CloseIdle()
 	_, err := br.ReadByte()
 	assert.ErrorIs(t, err, io.EOF)
@@ -192,7 +192,7 @@
 	br := bufio.NewReader(nc)
 	send(t, nc, request)
 	<-he.started
-	sv.Leave()
+	sv.StartDraining()
 	sv.CloseIdle()
 	close(he.free)
 	assert.Equal(t, receive(t, br).body, "begun ended")
@@ -218,7 +218,7 @@
 	br := bufio.NewReader(nc)
 	send(t, nc, request)
 	<-mu.started
-	sv.Leave()
+	sv.StartDraining()
 	over, cancel := context.WithCancel(t.Context())
 	cancel()
 	assert.Equal(t, sv.Drain(over), int64(1))
@@ -227,9 +227,9 @@
 	assert.Assert(t, strings.Contains(got.body, `"ran":"unknown"`), got.body)
 }
 
-// Guards against requests beyond the configured limits that are held in memory, or refused
+// Guards against holding requests beyond the configured limits in memory, and against refusing them
 // without naming the limit that was exceeded.
-func TestLimits(t *testing.T) {
+func TestRequestsBeyondLimitsAreRefused(t *testing.T) {
 	for _, sc := range []struct {
 		testName, header, body string
 		status                 int
--- a/io/link/control.go
+++ b/io/link/control.go
@@ -14,6 +14,7 @@
 )
 
 // Handlers are called from the goroutine that reads the control stream. They must not block.
+// Each handler has the name of its frame message; Told receives the bills that an agent hands over.
 // Messages with a nil handler are dropped.
 type Handlers struct {
 	Hello   func(*frame.Hello)
--- a/io/sibling/digest_test.go
+++ b/io/sibling/digest_test.go
@@ -47,8 +47,8 @@
 	return NewGossiper("p", "127.0.0.1:7341", rg, fakeDigests{rg}, addrs, func() bool { return true }), rg
 }
 
-// TestDigestDatagramLeavesLoadUnchanged guards against an entry whose load is reset to zero
-// at its siblings when it announces a new revision.
+// TestDigestDatagramLeavesLoadUnchanged guards against resetting an entry's load to zero at its
+// siblings when it announces a new revision.
 func TestDigestDatagramLeavesLoadUnchanged(t *testing.T) {
 	sender, _ := newTestGossiper()
 	receiver, rg := newTestGossiper()
--- a/io/sibling/gossip_test.go
+++ b/io/sibling/gossip_test.go
@@ -11,9 +11,8 @@
 	"skylarkstand/core/replica"
 )
 
-// Guards against load datagrams that are altered by encoding, and against accepting bytes
-// that no entry of this release sent: a wrong load would divert all requests of a region
-// from an idle upstream.
+// Guards against an encoding that alters load datagrams, and against accepting bytes that no entry
+// of this release sent: a wrong load would divert all requests of a region from an idle upstream.
 func TestLoadDatagram(t *testing.T) {
 	lo := balance.Load{
 		Shares:      []balance.Share{{Upstream: 1 << 60, Own: 3, Pending: 250 * time.Millisecond}, {Upstream: 7, Own: 70_000, Pending: time.Hour}},
@@ -56,8 +55,8 @@
 	assert.Equal(t, fmt.Sprint(len(got.Shares), " ", len(got.CachedParts)), "64 36")
 }
 
-// Guards against facts that are altered by encoding, and against decoding other bytes as
-// facts: a spurious cooldown keeps a healthy upstream idle.
+// Guards against an encoding that alters facts, and against decoding other bytes as facts: a
+// spurious cooldown keeps a healthy upstream idle.
 func TestFactsDatagram(t *testing.T) {
 	facts := []balance.Fact{{Upstream: 1 << 63, Start: 9, DownFor: 400 * time.Millisecond, FailedConnects: 2}, {Upstream: 3}}
 	data := encodeFacts(facts)
@@ -75,7 +74,7 @@
 	assert.Assert(t, len(encodeFacts(make([]balance.Fact, 500))) <= 1472)
 }
 
-// Guards against sent calls that are altered by encoding.
+// Guards against an encoding that alters the announced calls.
 func TestSentCallsDatagram(t *testing.T) {
 	sent := []balance.Share{{Upstream: 1 << 62, Own: 1, Pending: 700 * time.Millisecond}, {Upstream: 5, Own: 1}}
 	data := encodeSent(42, sent)
--- a/io/sibling/remote_test.go
+++ b/io/sibling/remote_test.go
@@ -9,8 +9,8 @@
 	"skylarkstand/core/balance"
 )
 
-// TestRegionDatagram guards against a region's load that is altered by encoding, is decoded
-// as another kind of datagram, or exceeds the packet size.
+// TestRegionDatagram guards against an encoding that alters a region's load or exceeds the packet
+// size, and against decoding it as another kind of datagram.
 func TestRegionDatagram(t *testing.T) {
 	lo := balance.RegionLoad{
 		Region: 1 << 60, Others: balance.Share{Own: 1, Pending: 30 * time.Millisecond},
--- a/io/sibling/sibling.go
+++ b/io/sibling/sibling.go
@@ -9,9 +9,9 @@
 //
 // # Usage
 //
-//	mux.Handle("GET "+sibling.ReplicaPath, sibling.ReplicaHandler(mi, follower.Doubtful))
+//	mux.Handle("GET "+sibling.ReplicaPath, sibling.ReplicaHandler(re, follower.Doubtful))
 //	sibs := sibling.New(cl, addrs, rand.IntN)     // replica.Siblings
-//	ne, err := sibs.Fetch(ctx, revision)
+//	up, err := sibs.Fetch(ctx, revision)
 package sibling
 
 import (
--- a/io/sibling/sibling_test.go
+++ b/io/sibling/sibling_test.go
@@ -16,8 +16,8 @@
 	"skylarkstand/io/upstream"
 )
 
-// Guards against changes that are altered in transfer, and against large configurations that
-// are sent to every entry uncompressed.
+// Guards against altering changes in transfer, and against sending large configurations to every
+// entry uncompressed.
 func TestChangesArriveCompressed(t *testing.T) {
 	var doc strings.Builder
 	for i := range 1000 {
--- a/io/upstream/upstream_test.go
+++ b/io/upstream/upstream_test.go
@@ -102,7 +102,7 @@
 	}
 }
 
-// roundTrip sends a request and reads the whole response.
+// roundTrip sends a request and reads the complete response.
 func roundTrip(t *testing.T, cl *upstream.Client, pe *peer, id, body string) (string, error) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
@@ -116,9 +116,9 @@
 	return string(data), err
 }
 
-// Guards against a partial response that is taken for a complete one, a response to another
-// request, and a wrong statement on whether a request that must not run twice was sent.
-// Upstreams end their responses in many ways.
+// Guards against taking a partial response for a complete one, against accepting the response to
+// another request, and against a wrong statement on whether a request that must not run twice was
+// sent. Upstreams end their responses in many ways.
 func TestResponses(t *testing.T) {
 	scenarios := []struct {
 		testName string
@@ -153,8 +153,8 @@
 	}
 }
 
-// Guards against an extra response that is delivered as the response to the next request on the
-// connection, so that its caller receives another caller's quote.
+// Guards against delivering an extra response as the response to the next request on the
+// connection: the caller of that request would receive another caller's quote.
 func TestExtraResponseClosesConnection(t *testing.T) {
 	cl, cleanup := upstream.New()
 	defer cleanup()
@@ -168,7 +168,7 @@
 	assert.Equal(t, pe.accepted.Load(), int64(2))
 }
 
-// Guards against an extra response that arrives when the connection is already idle.
+// Guards against delivering an extra response that arrives when the connection is already idle.
 func TestLateExtraResponseClosesConnection(t *testing.T) {
 	cl, cleanup := upstream.New()
 	defer cleanup()
@@ -188,8 +188,8 @@
 	assert.Equal(t, got, "two")
 }
 
-// Guards against a new connection for each request: each takes one of the upstream's connection
-// slots for a moment, so a connection must be reused after a complete response.
+// Guards against opening a new connection for each request: each takes one of the upstream's
+// connection slots for a moment, so a connection must be reused after a complete response.
 func TestConnectionsAreReused(t *testing.T) {
 	cl, cleanup := upstream.New()
 	defer cleanup()
@@ -201,9 +201,9 @@
 	assert.Equal(t, pe.accepted.Load(), int64(1))
 }
 
-// Guards against a claim that is sent on an idle connection which the upstream closes: it may
-// or may not have run. A connection that is known to be closed, or that is older than the
-// upstream's idle timeout, must not be reused.
+// Guards against sending a claim on an idle connection that the upstream closes: the claim may or
+// may not have run. A connection that is known to be closed, or that is older than the upstream's
+// idle timeout, must not be reused.
 func TestIdleConnectionThatEnded(t *testing.T) {
 	cl, cleanup := upstream.New()
 	defer cleanup()
@@ -229,9 +229,9 @@
 	assert.Equal(t, pe.accepted.Load(), int64(2), "the last request must use a new connection")
 }
 
-// Guards against a body whose remainder is read as another request. An upstream responds to a
-// long request before it has read it, keeps the connection and continues to read: it must
-// receive the remainder of that body and nothing else, and the response must not wait for it.
+// Guards against the remainder of a body being read as another request. An upstream responds to a
+// long request before it has read it, keeps the connection and continues to read: it must receive
+// the remainder of that body and nothing else, and the response must not wait for it.
 func TestEarlyResponseToLongBody(t *testing.T) {
 	cl, cleanup := upstream.New()
 	defer cleanup()
@@ -249,8 +249,8 @@
 	assert.Equal(t, pe.accepted.Load(), int64(2), "the connection with the unread rest of the body must not be reused")
 }
 
-// Guards against an upstream that continues to work for a caller that has left: it notices this
-// only when its connection closes.
+// Guards against keeping the connection to an upstream open after the caller has disconnected: the
+// upstream notices this only when its connection closes, and would continue to work.
 func TestCancelledRequestClosesConnection(t *testing.T) {
 	cl, cleanup := upstream.New()
 	defer cleanup()
