--- a/test/gateway/gateway_test.go
+++ b/test/gateway/gateway_test.go
@@ -69,7 +69,7 @@
 
 // An upstream fails or refuses. The other one must answer a lookup, but a claim only if
 // it certainly did not run.
-func TestRetries(t *testing.T) {
+func TestFailedLookupIsRetriedButFailedClaimIsNot(t *testing.T) {
 	fx := newFixture(t, 1)
 	fx.desks[0].SetMode(upstream.Fail)
 	for range 12 {
@@ -129,7 +129,7 @@
 
 // The store drops its history while an upstream drains, and lists entries that no
 // upstream wrote. The draining upstream must get no new work.
-func TestDrainingUpstream(t *testing.T) {
+func TestDrainingUpstreamGetsNoNewWork(t *testing.T) {
 	fx := newFixture(t, 1)
 	fx.st.Put("servers/i-forged", "no upstream at all")
 	fx.st.Put("servers/i-odd", object{"service": 7, "address": true})
@@ -146,7 +146,7 @@
 
 // The store is unavailable for a while. The gateway must keep serving callers by the
 // configuration it has, and adopt later changes.
-func TestStoreOutage(t *testing.T) {
+func TestGatewayServesDuringStoreOutage(t *testing.T) {
 	for _, fa := range []kv.Fault{kv.Unavailable, kv.LostReplies} {
 		fx := newFixture(t, 1)
 		fx.st.SetFault(fa)
--- a/test/gateway/soak_test.go
+++ b/test/gateway/soak_test.go
@@ -84,7 +84,7 @@
 		sf.injectFault()
 		time.Sleep(time.Duration(50+sf.rnd.IntN(250)) * time.Millisecond)
 	}
-	sf.healAll()
+	sf.removeFaults()
 	wg.Wait()
 	sf.check()
 }
@@ -176,7 +176,7 @@
 	return response{rs.StatusCode, string(data), rs.Header, err}
 }
 
-// injectFault injects or heals one random fault.
+// injectFault injects or removes one random fault.
 func (sf *soakFixture) injectFault() {
 	modes := []upstream.Mode{upstream.Fail, upstream.Overloaded, upstream.CutOff, upstream.Slow, upstream.Answer}
 	all := append(append([]*upstream.Upstream{}, sf.desks...), sf.lms...)
@@ -223,8 +223,8 @@
 	}
 }
 
-// healAll heals all faults.
-func (sf *soakFixture) healAll() {
+// removeFaults removes all faults.
+func (sf *soakFixture) removeFaults() {
 	for _, re := range append(append([]*fleet.Relay{}, sf.relays...), sf.stores...) {
 		re.Restore()
 	}
--- a/test/matrix/checks_test.go
+++ b/test/matrix/checks_test.go
@@ -7,7 +7,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// check compares, after the fault has healed, what the callers received with the
+// check compares, after the fault was removed, what the callers received with the
 // journals of engines and services and with the ledger.
 func (fx *fixture) check() {
 	fx.t.Helper()
@@ -191,7 +191,7 @@
 // mayLoseBill reports whether the bill of a complete answer may be lost: its entry was
 // killed before the bill was durable, and so was the agent that kept a copy.
 func (fx *fixture) mayLoseBill(rq *request) bool {
-	return fx.stopped[rq.entry] && fx.agent != "" && fx.fl.Process(fx.agent).Ended()
+	return fx.stopped[rq.entry] && fx.upstreamID != "" && fx.fl.Process(fx.upstreamID).Ended()
 }
 
 func itoa(n int) string {
--- a/test/matrix/faults_test.go
+++ b/test/matrix/faults_test.go
@@ -13,13 +13,13 @@
 // a silent link is closed, so that some requests are sent before that and some after it.
 const faultDuration = 1500 * time.Millisecond
 
-// faults inject a fault and return a function that heals it.
+// faults inject a fault and return a function that removes it.
 var faults = map[string]func(*fixture) func(){
 	"none":            func(*fixture) func() { return noop },
-	"kill-agent":      func(fx *fixture) func() { return kill(fx.fl.Process(fx.agent)) },
+	"kill-agent":      func(fx *fixture) func() { return kill(fx.fl.Process(fx.upstreamID)) },
 	"kill-upstream":   func(fx *fixture) func() { return kill(fx.upstream()) },
 	"kill-entry":      killEntry,
-	"freeze-agent":    func(fx *fixture) func() { return freeze(fx.fl.Process(fx.agent)) },
+	"freeze-agent":    func(fx *fixture) func() { return freeze(fx.fl.Process(fx.upstreamID)) },
 	"freeze-entry":    func(fx *fixture) func() { return freeze(fx.entry) },
 	"freeze-upstream": func(fx *fixture) func() { return freeze(fx.upstream()) },
 	"cut-link":        cutLink,
@@ -52,7 +52,7 @@
 }
 
 func cutLink(fx *fixture) func() {
-	re := fx.fl.Relay(fx.agent)
+	re := fx.fl.Relay(fx.upstreamID)
 	re.Cut()
 	return func() {
 		time.Sleep(faultDuration / 3)
@@ -61,7 +61,7 @@
 }
 
 func stallLink(fx *fixture) func() {
-	re := fx.fl.Relay(fx.agent)
+	re := fx.fl.Relay(fx.upstreamID)
 	re.Stall()
 	return func() {
 		time.Sleep(faultDuration)
--- a/test/matrix/fixture_test.go
+++ b/test/matrix/fixture_test.go
@@ -76,10 +76,10 @@
 type fixture struct {
 	t  *testing.T
 	fl *fleet.Fleet
-	// entry serves the request that the fault strikes; other is the second entry.
+	// entry serves the request during which the fault is injected; other is the second entry.
 	entry, other *fleet.Process
-	// agent is the id of the upstream that serves the request, once a step has found it.
-	agent string
+	// upstreamID is the id of the upstream that serves the request, once a step has found it.
+	upstreamID string
 
 	mu       sync.Mutex
 	requests []*request
@@ -226,14 +226,14 @@
 }
 
 // awaitStart waits until an engine or a service has started the request, and records
-// the upstream's id in wo.agent.
+// the upstream's id in fx.upstreamID.
 func (fx *fixture) awaitStart(rq *request) {
 	fx.t.Helper()
 	fx.poll("an upstream starts "+rq.id, func() bool {
 		for _, id := range engineIDs {
 			for _, ru := range journal[engineRun](fx, id+"-engine") {
 				if ru.Tag == rq.tag {
-					fx.agent = id
+					fx.upstreamID = id
 					return true
 				}
 			}
@@ -241,7 +241,7 @@
 		for _, id := range []string{"orders-1", "orders-2"} {
 			for _, ru := range journal[serviceRun](fx, id+"-service") {
 				if rq.key != "" && ru.Key == rq.key {
-					fx.agent = id
+					fx.upstreamID = id
 					return true
 				}
 			}
@@ -250,12 +250,12 @@
 	})
 }
 
-// upstream returns the engine or service beside the agent in use.
+// upstream returns the process of the upstream that serves the request.
 func (fx *fixture) upstream() *fleet.Process {
-	if strings.HasPrefix(fx.agent, "orders") {
-		return fx.fl.Process(fx.agent + "-service")
+	if strings.HasPrefix(fx.upstreamID, "orders") {
+		return fx.fl.Process(fx.upstreamID + "-service")
 	}
-	return fx.fl.Process(fx.agent + "-engine")
+	return fx.fl.Process(fx.upstreamID + "-engine")
 }
 
 // bills counts the bills of each request in the ledger, and reports whether the
--- a/test/matrix/matrix_test.go
+++ b/test/matrix/matrix_test.go
@@ -6,7 +6,7 @@
 	"skylarkstand/test/matrix"
 )
 
-// A fault strikes while a request is at each step: a process dies or pauses, a link
+// A fault is injected while a request is at each step: a process dies or pauses, a link
 // or the store fails, an operator makes a mistake. The caller must not receive a
 // truncated answer that looks complete or a false statement of what ran, nothing may
 // run or be billed twice, and the system must serve again afterwards.
@@ -21,7 +21,7 @@
 	}
 }
 
-// Two faults overlap: the second strikes while the first lasts.
+// Two faults overlap: the second is injected while the first lasts.
 func TestPairs(t *testing.T) {
 	for _, st := range matrix.PairSteps {
 		for _, pa := range matrix.Pairs {
@@ -36,19 +36,19 @@
 func runCell(t *testing.T, step string, names ...string) {
 	fx := newFixture(t, step)
 	release := steps[step](fx)
-	var heal []func()
+	var removals []func()
 	for _, name := range names {
-		heal = append(heal, faults[name](fx))
+		removals = append(removals, faults[name](fx))
 	}
 	go release()
-	for i := len(heal) - 1; i >= 0; i-- {
-		heal[i]()
+	for i := len(removals) - 1; i >= 0; i-- {
+		removals[i]()
 	}
 	fx.check()
 	fx.checkRecovery()
 }
 
-// checkRecovery checks that the other entry serves again once the fault has healed.
+// checkRecovery checks that the other entry serves again once the fault was removed.
 func (fx *fixture) checkRecovery() {
 	fx.t.Helper()
 	fx.poll("the other entry serves again", func() bool {
--- a/test/matrix/operator_test.go
+++ b/test/matrix/operator_test.go
@@ -17,7 +17,7 @@
 )
 
 // operatorSteps bring the fixture to a moment of an operator's change or of a planned
-// stop, and return the checks to run once the fault has healed.
+// stop, and return the checks to run once the fault was removed.
 var operatorSteps = map[string]func(*fixture) func(){
 	"apply":    applying,
 	"roll-out": rollingOut,
@@ -25,7 +25,7 @@
 	"stop":     stopping,
 }
 
-// A fault strikes while an operator withdraws a version, rolls one out, or stops a
+// A fault is injected while an operator withdraws a version, rolls one out, or stops a
 // process. The command must report the outcome of the change truthfully, a withdrawn
 // version must not return, a session must keep its version, and a planned stop must
 // not cut off any request.
@@ -35,7 +35,7 @@
 			t.Run(st.Name+"/"+fa.Name, func(t *testing.T) {
 				t.Parallel()
 				fx := newFixture(t, st.Name)
-				fx.agent = "desk-1"
+				fx.upstreamID = "desk-1"
 				checkOutcome := operatorSteps[st.Name](fx)
 				faults[fa.Name](fx)()
 				checkOutcome()
--- a/test/matrix/promises.go
+++ b/test/matrix/promises.go
@@ -39,7 +39,7 @@
 	{
 		Text: "A withdrawn version receives no new work.",
 		Proofs: []Proof{
-			{"a withdrawal is applied while each fault strikes; afterwards both entries refuse the version and its engine's journal gets no new runs", operatorCells + "/apply"},
+			{"a withdrawal is applied during each injected fault; afterwards both entries refuse the version and its engine's journal gets no new runs", operatorCells + "/apply"},
 			{"the agent refuses by its own configuration, even after the attempt has waited for a slot", "go test ./core/guard ./core/execute"},
 		},
 	},
@@ -76,7 +76,7 @@
 	{
 		Text: "A subsidy claim, survey booking, stock hold or shipment confirmation runs at most once.",
 		Proofs: []Proof{
-			{"every fault strikes calls, which are then retried with their key through the other entry; the services' journals have each key at most once", requestCells},
+			{"every fault is injected during calls, which are then retried with their key through the other entry; the services' journals have each key at most once", requestCells},
 			{"model check of claim, run and answer, with mutations of the model", modelCheck},
 			{"the real claim table over a store that loses, delays and refuses writes", "go test ./core/claim"},
 		},
@@ -84,7 +84,7 @@
 	{
 		Text: "An upstream that is leaving receives no new work after a few seconds.",
 		Proofs: []Proof{
-			{"an agent is stopped while each fault strikes; from three seconds later on its engine's journal gets no new runs", operatorCells + "/leave"},
+			{"an agent is stopped during each injected fault; from three seconds later on its engine's journal gets no new runs", operatorCells + "/leave"},
 		},
 		Unproved: "The probe detects within a second an engine that is removed without its agent being stopped; this is not proved under load.",
 	},
@@ -100,7 +100,7 @@
 		Proofs: []Proof{
 			{"model check of the propagation between entries with restarts, duplicated messages and an outage, with mutations of the model", modelCheck},
 			{"late and duplicated generations are not adopted; a configuration propagates without the store", "go test ./core/declaration ./io/peer ./core/topology"},
-			{"a change is applied while each fault strikes, and the command reports its outcome truthfully", operatorCells + "/apply"},
+			{"a change is applied during each injected fault, and the command reports its outcome truthfully", operatorCells + "/apply"},
 			{"time until a change is in force, at today's sizes", "go run ./test/measure apply"},
 		},
 		Unproved: "The size to design for is calculated in CAPACITY.md, not run.",
--- a/test/matrix/steps_test.go
+++ b/test/matrix/steps_test.go
@@ -30,12 +30,12 @@
 	"billed":      billed,
 }
 
-// noop is returned by steps that need no release and by faults that need no healing.
+// noop is returned by steps that need no release and by faults that need no removal.
 func noop() {}
 
 // accepted sends half of a request's body and delays the rest.
 func accepted(fx *fixture) func() {
-	fx.agent = "desk-1"
+	fx.upstreamID = "desk-1"
 	rq := fx.newRequest(fx.entry)
 	conn, err := net.Dial("tcp", strings.TrimPrefix(fx.entry.URL, "http://"))
 	assert.NilError(fx.t, err)
@@ -74,7 +74,7 @@
 		}
 		return busy >= 4
 	})
-	fx.agent = "desk-1"
+	fx.upstreamID = "desk-1"
 	fx.chat(fx.entry, "", true)
 	return noop
 }
@@ -82,7 +82,7 @@
 // routed stalls the links to both agents of the version, so that the request reaches
 // neither of them.
 func routed(fx *fixture) func() {
-	fx.agent = "desk-1"
+	fx.upstreamID = "desk-1"
 	for _, id := range []string{"desk-1", "desk-2"} {
 		fx.fl.Relay(id).Stall()
 	}
@@ -98,7 +98,7 @@
 // handedOver freezes both agents of the version, so that the request waits unread on
 // the link.
 func handedOver(fx *fixture) func() {
-	fx.agent = "desk-1"
+	fx.upstreamID = "desk-1"
 	for _, id := range []string{"desk-1", "desk-2"} {
 		fx.fl.Process(id).Freeze()
 	}
@@ -113,7 +113,7 @@
 
 // claiming slows the store down, so that the write of the claim is in flight.
 func claiming(fx *fixture) func() {
-	fx.agent = "orders-1"
+	fx.upstreamID = "orders-1"
 	fx.setFaults("store", `{"slow":400}`)
 	fx.call(fx.entry, "claiming")
 	time.Sleep(150 * time.Millisecond)
--- a/test/matrix/table.go
+++ b/test/matrix/table.go
@@ -12,7 +12,7 @@
 //	go run ./test/matrix/page >docs/PROMISES.md
 package matrix
 
-// Step is the state of a request or of an operation in which a fault strikes.
+// Step is the state of a request or of an operation in which a fault is injected.
 type Step struct {
 	Name string
 	// Description describes the state.
@@ -68,7 +68,7 @@
 	{"operator-race", "two operators apply conflicting changes in the meantime"},
 }
 
-// Pairs are overlapping faults: the second strikes while the first lasts.
+// Pairs are overlapping faults: the second is injected while the first lasts.
 var Pairs = [][2]string{
 	{"store-down", "kill-entry"},
 	{"replies-lost", "kill-agent"},
@@ -79,5 +79,5 @@
 	{"store-slow", "cut-link"},
 }
 
-// PairSteps are the steps at which pairs strike.
+// PairSteps are the steps at which pairs are injected.
 var PairSteps = []string{"claiming", "running", "mid-stream", "ended"}
--- a/test/slopes/page_test.go
+++ b/test/slopes/page_test.go
@@ -46,7 +46,7 @@
 	assert.Assert(t, lines >= 40, "docs/slopes.md has %d slopes, want at least 40", lines)
 }
 
-func TestRecompute(t *testing.T) {
+func TestRecomputeReplacesResults(t *testing.T) {
 	slopes := map[string]slope{
 		"link-memory":       {name: "link-memory", dim: byteCount, fit: fit{60e3, 20e6, 0}},
 		"request-processor": {name: "request-processor", dim: coreSeconds, fit: fit{500e-6, 0, 0}},
