--- a/core/execute/answer.go
+++ b/core/execute/answer.go
@@ -16,9 +16,9 @@
 }
 
 // Close aborts the attempt and calls release.
-func (he *slotAnswer) Close() {
-	he.Answer.Close()
-	he.release()
+func (sa *slotAnswer) Close() {
+	sa.Answer.Close()
+	sa.release()
 }
 
 // storedAnswer is an answer that is completely in memory.
@@ -52,7 +52,7 @@
 // ReplayOf implements [core.Answer].
 func (st *storedAnswer) ReplayOf() core.AttemptID { return st.replayOf }
 
-// readAnswer reads a whole answer of at most limit bytes.
+// readAnswer reads a complete answer of at most limit bytes.
 func readAnswer(ans core.Answer, limit int) (claim.Answer, error) {
 	var body []byte
 	for {
--- a/core/ledger/writer.go
+++ b/core/ledger/writer.go
@@ -150,8 +150,8 @@
 	ctx, cancel := context.WithTimeout(context.Background(), limit)
 	defer cancel()
 	err := wr.Flush(ctx)
-	for _, wa := range wr.queue.close() {
-		wr.logLost(wa.raw)
+	for _, qb := range wr.queue.close() {
+		wr.logLost(qb.raw)
 	}
 	return err
 }
@@ -252,14 +252,14 @@
 	wr.advance(n)
 	event.Log(wr.deps.Log, event.SegmentWritten, "bills", len(batch))
 	ids := make([]core.AttemptID, len(batch))
-	for i, wa := range batch {
-		ids[i] = wa.id
+	for i, qb := range batch {
+		ids[i] = qb.id
 	}
 	wr.onDurable(ids)
 }
 
-// switchToTakeover leaves the own chain, which a successor has sealed at entry n because it
-// considered this process gone. Continuing in the own chain would file bills that the successor has
+// switchToTakeover leaves this process's own chain, which a successor has sealed at entry n because
+// it considered this process gone. Continuing in that chain would file bills that the successor has
 // already filed from the agents' copies: after each long pause of an entry, bills would be stored
 // twice.
 // In the takeover chain every entry of a successor is read before the next one is written.
