--- a/app/gateway_providers.go
+++ b/app/gateway_providers.go
@@ -188,7 +188,7 @@
 
 func newForwarder(set settings.Gateway, deps core.Deps, inf *route.InForce, fl *fleet.Fleet, gu *canary.Guard, wu *warmup.Tracker, mi *replica.Replica, ac core.UpstreamClient, sc *shutdownState, me *members, off mechanism.Disabled) *forward.Forwarder {
 	re := set.RetryBudget
-	slack := func() float64 { return retry.SlackShare(re.Slack, me.count()) }
+	slack := func() float64 { return retry.BurstShare(re.Slack, me.count()) }
 	return forward.New(deps, ac, forward.Components{
 		InForce: inf, Fleet: fl, Canary: gu, Warmup: wu,
 		ConfigAge:      func() time.Duration { return mi.Age(time.Now()) },
--- a/app/guard_service.go
+++ b/app/guard_service.go
@@ -91,12 +91,12 @@
 		home, ok := rollout.Home(ba.Model, *gd.hosts.Load())
 		switch {
 		case !ok || gd.self.Addr == "":
-			gd.gu.DecideLocally(ba.Model, true)
+			gd.gu.SetDecideLocally(ba.Model, true)
 		case home.Addr == gd.self.Addr:
-			gd.gu.DecideLocally(ba.Model, false)
+			gd.gu.SetDecideLocally(ba.Model, false)
 			gd.gu.MergeBatch(ba)
 		default:
-			gd.gu.DecideLocally(ba.Model, !gd.sendBatch(ctx, home, ba))
+			gd.gu.SetDecideLocally(ba.Model, !gd.sendBatch(ctx, home, ba))
 		}
 	}
 }
--- a/core/balance/shares.go
+++ b/core/balance/announcement.go
@@ -9,8 +9,8 @@
 	"skylarkstand/core/mechanism"
 )
 
-// Share is the work that one entry has at one upstream.
-type Share struct {
+// UpstreamLoad is the work that one entry has at one upstream.
+type UpstreamLoad struct {
 	// Upstream is the hash of the upstream's id, see [Hash].
 	Upstream uint64
 	// Own counts the entry's attempts there, Pending is the prefill time of the prompts among them
@@ -27,14 +27,14 @@
 
 // RetryBudget is the rest of an entry's retry budget at a service.
 type RetryBudget struct {
-	// Service is the hash of its id.
+	// Service is the hash of the service's id.
 	Service uint64
 	Left    float64
 }
 
 // Load is what an entry announces to its siblings.
 type Load struct {
-	Shares      []Share
+	Upstreams   []UpstreamLoad
 	CachedParts []CachedPart
 	Budgets     []RetryBudget
 }
@@ -46,33 +46,34 @@
 // messages between entries.
 func Hash[T ~string](id T) uint64 { return xxhash.Sum64String(string(id)) }
 
-// shareTTL is how long another entry's shares count. They come every [ShareInterval] from a few
-// entries, and every other second from many.
-const shareTTL = 2500 * time.Millisecond
+// loadTTL is how long a sibling entry's announced load counts. A few entries announce theirs every
+// [AnnounceInterval], many entries every other second.
+const loadTTL = 2500 * time.Millisecond
 
-// ShareInterval is how often entries announce their work at upstreams. An engine begins a prompt
+// AnnounceInterval is how often entries announce their work at upstreams. An engine begins a prompt
 // every 50 ms; information older than a few such periods is misleading.
-const ShareInterval = 250 * time.Millisecond
+const AnnounceInterval = 250 * time.Millisecond
 
 // siblingLoad is the work that one other entry announced, by the hash of the upstream's id.
 type siblingLoad struct {
-	at     time.Time
-	shares map[uint64]Share
+	at        time.Time
+	upstreams map[uint64]UpstreamLoad
 }
 
-// TakeLoad returns the work that this entry has at upstreams now, and the parts that it has sent
-// there since the last invocation.
+// TakeLoad returns the work that this entry has at upstreams now, and the prompt parts that it has
+// sent there since the last call. It clears these parts, and the ended prefills that wait for
+// [Picker.TakeCalls].
 func (pk *Picker) TakeLoad() Load {
-	var out []Share
-	for id, pe := range pk.peers {
-		if pe.own > 0 {
-			out = append(out, Share{Upstream: Hash(id), Own: pe.own, Pending: pe.pending})
+	var out []UpstreamLoad
+	for id, us := range pk.states {
+		if us.own > 0 {
+			out = append(out, UpstreamLoad{Upstream: Hash(id), Own: us.own, Pending: us.pending})
 		}
 	}
 	parts := pk.newParts
-	// The shares no longer contain the prompts whose prefill ended, so these need no announcement.
+	// The load no longer contains the prompts whose prefill ended, so these need no announcement.
 	pk.newParts, pk.newPrefills = nil, nil
-	return Load{Shares: out, CachedParts: parts}
+	return Load{Upstreams: out, CachedParts: parts}
 }
 
 // minAnnouncedPrefill is the least prefill time of a prompt that is announced as soon as it is
@@ -80,30 +81,30 @@
 const minAnnouncedPrefill = 20 * time.Millisecond
 
 // addCall queues a call for immediate announcement.
-func (pk *Picker) addCall(rq Request, pe *peer, cost time.Duration) {
+func (pk *Picker) addCall(rq Request, us *upstreamState, cost time.Duration) {
 	if rq.Engine && cost < minAnnouncedPrefill {
 		return
 	}
-	sh := Share{Upstream: pe.hash, Own: 1, Pending: cost}
-	pk.addRemoteCall(pe, sh)
+	ul := UpstreamLoad{Upstream: us.hash, Own: 1, Pending: cost}
+	pk.addRemoteCall(us, ul)
 	if len(pk.newCalls) < maxUnannounced {
-		pk.newCalls = append(pk.newCalls, sh)
+		pk.newCalls = append(pk.newCalls, ul)
 	}
 }
 
 // addPrefill queues a prompt whose prefill ended for the announcement with the next call.
 func (pk *Picker) addPrefill(fl *Flight) {
 	if fl.cost >= minAnnouncedPrefill && len(pk.newPrefills) < maxUnannounced {
-		pk.newPrefills = append(pk.newPrefills, Share{Upstream: fl.peer.hash, Pending: fl.cost})
+		pk.newPrefills = append(pk.newPrefills, UpstreamLoad{Upstream: fl.state.hash, Pending: fl.cost})
 	}
 }
 
-// TakeCalls returns the calls to upstreams since its last invocation. Shares with Own 0 are prompts
-// whose prefill ended meanwhile.
+// TakeCalls returns the calls to upstreams since the last call of TakeCalls, and clears them. Those
+// with Own 0 are prompts whose prefill ended meanwhile.
 //
 // It is made for many entries in front of one pool. The load from [Picker.TakeLoad] is some hundred
 // milliseconds old when it is used; with that alone, all entries would select the same idle engine.
-func (pk *Picker) TakeCalls() []Share {
+func (pk *Picker) TakeCalls() []UpstreamLoad {
 	if len(pk.newCalls) == 0 {
 		return nil
 	}
@@ -114,23 +115,23 @@
 
 // ReceiveCalls adds the calls that another entry has just sent to the load that it announced
 // before.
-func (pk *Picker) ReceiveCalls(now time.Time, from uint64, sent []Share) {
+func (pk *Picker) ReceiveCalls(now time.Time, from uint64, sent []UpstreamLoad) {
 	if pk.off.Has(mechanism.SiblingLoads) || pk.off.Has(mechanism.SiblingCalls) {
 		return
 	}
 	pk.totals.until = time.Time{}
-	to, known := pk.siblings[from]
+	sl, known := pk.siblings[from]
 	if !known {
-		to = siblingLoad{at: now, shares: map[uint64]Share{}}
-		pk.siblings[from] = to
-	}
-	for _, sh := range sent {
-		old := to.shares[sh.Upstream]
-		pending := old.Pending + sh.Pending
-		if sh.Own == 0 {
-			pending = max(old.Pending-sh.Pending, 0)
+		sl = siblingLoad{at: now, upstreams: map[uint64]UpstreamLoad{}}
+		pk.siblings[from] = sl
+	}
+	for _, ul := range sent {
+		old := sl.upstreams[ul.Upstream]
+		pending := old.Pending + ul.Pending
+		if ul.Own == 0 {
+			pending = max(old.Pending-ul.Pending, 0)
 		}
-		to.shares[sh.Upstream] = Share{sh.Upstream, old.Own + sh.Own, pending}
+		sl.upstreams[ul.Upstream] = UpstreamLoad{ul.Upstream, old.Own + ul.Own, pending}
 	}
 }
 
@@ -144,20 +145,20 @@
 		lo.CachedParts = nil
 	}
 	pk.totals.until = time.Time{}
-	to := siblingLoad{at: now, shares: make(map[uint64]Share, len(lo.Shares))}
+	sl := siblingLoad{at: now, upstreams: make(map[uint64]UpstreamLoad, len(lo.Upstreams))}
 	for _, pa := range lo.CachedParts {
-		if pe := pk.byHash[pa.Upstream]; pe != nil {
-			pe.recordPart(now, pa.Part)
+		if us := pk.byHash[pa.Upstream]; us != nil {
+			us.recordPart(now, pa.Part)
 		}
 	}
-	for _, sh := range lo.Shares {
-		to.shares[sh.Upstream] = sh
+	for _, ul := range lo.Upstreams {
+		sl.upstreams[ul.Upstream] = ul
 	}
 	if !pk.off.Has(mechanism.SiblingLoads) {
-		pk.siblings[from] = to
+		pk.siblings[from] = sl
 	}
 	for id, old := range pk.siblings {
-		if now.Sub(old.at) > shareTTL {
+		if now.Sub(old.at) > loadTTL {
 			delete(pk.siblings, id)
 		}
 	}
@@ -166,8 +167,8 @@
 // loadTotals is the sum of the loads that the other entries announced, by upstream. It is cached
 // between selections, each of which looks up every upstream more than once.
 type loadTotals struct {
-	shares  map[uint64]Share
-	entries int
+	upstreams map[uint64]UpstreamLoad
+	entries   int
 	// until is when the first of the summed loads expires; zero marks the sums as outdated by a new
 	// announcement.
 	until time.Time
@@ -176,9 +177,9 @@
 // siblingWork returns the announced work of the other entries at an upstream, and reports whether
 // any of them announced anything lately.
 func (pk *Picker) siblingWork(now time.Time, hash uint64) (own float64, pending time.Duration, known bool) {
-	su := pk.siblingTotals(now)
-	sh := su.shares[hash]
-	return float64(sh.Own), sh.Pending, su.entries > 0
+	lt := pk.siblingTotals(now)
+	ul := lt.upstreams[hash]
+	return float64(ul.Own), ul.Pending, lt.entries > 0
 }
 
 // hasSiblingLoads reports whether any other entry announced anything lately.
@@ -192,30 +193,30 @@
 	return &pk.totals
 }
 
-// addShare adds a share to the sum for its upstream.
-func addShare(shares map[uint64]Share, sh Share) {
-	old := shares[sh.Upstream]
-	shares[sh.Upstream] = Share{sh.Upstream, old.Own + sh.Own, old.Pending + sh.Pending}
+// addLoad adds the load of one entry at an upstream to the sum for this upstream.
+func addLoad(sums map[uint64]UpstreamLoad, ul UpstreamLoad) {
+	old := sums[ul.Upstream]
+	sums[ul.Upstream] = UpstreamLoad{ul.Upstream, old.Own + ul.Own, old.Pending + ul.Pending}
 }
 
 func (pk *Picker) recomputeTotals(now time.Time) {
-	su := &pk.totals
-	if su.shares == nil {
-		su.shares = map[uint64]Share{}
-	}
-	clear(su.shares)
-	su.entries, su.until = 0, now.Add(shareTTL)
-	for _, to := range pk.siblings {
-		expires := to.at.Add(shareTTL)
+	lt := &pk.totals
+	if lt.upstreams == nil {
+		lt.upstreams = map[uint64]UpstreamLoad{}
+	}
+	clear(lt.upstreams)
+	lt.entries, lt.until = 0, now.Add(loadTTL)
+	for _, sl := range pk.siblings {
+		expires := sl.at.Add(loadTTL)
 		if now.After(expires) {
 			continue
 		}
-		su.entries++
-		if expires.Before(su.until) {
-			su.until = expires
+		lt.entries++
+		if expires.Before(lt.until) {
+			lt.until = expires
 		}
-		for _, sh := range to.shares {
-			addShare(su.shares, sh)
+		for _, ul := range sl.upstreams {
+			addLoad(lt.upstreams, ul)
 		}
 	}
 }
--- a/core/balance/balance.go
+++ b/core/balance/balance.go
@@ -28,7 +28,7 @@
 	// about its prompt is announced here.
 	RemoteOnly bool
 	// AtMostOnce is set for work that may run at most once: it can't be retried, so that a failing
-	// upstream costs the whole response.
+	// upstream costs the complete response.
 	AtMostOnce bool
 }
 
@@ -36,26 +36,26 @@
 type Picker struct {
 	zone      core.Zone
 	region    core.Region
-	peers     map[core.UpstreamID]*peer
+	states    map[core.UpstreamID]*upstreamState
 	latencies map[latencyKey]*latency
 	// prefill estimates the prefill rate of the engines.
 	prefill prefillEstimator
-	// byHash holds the peers by the hash of their ids. newParts are the parts sent to engines that
-	// were not announced yet.
-	byHash   map[uint64]*peer
+	// byHash holds the states by the hash of the upstream's id. newParts are the parts sent to
+	// engines that were not announced yet.
+	byHash   map[uint64]*upstreamState
 	newParts []CachedPart
 	// newCalls are the calls that were not announced yet, newPrefills the prompts whose prefill
 	// ended since the last announcement.
-	newCalls, newPrefills []Share
-	// newFacts are the peers with a fact that was not announced yet.
-	newFacts map[*peer]bool
+	newCalls, newPrefills []UpstreamLoad
+	// newFacts are the upstreams with a fact that was not announced yet.
+	newFacts map[*upstreamState]bool
 	// siblings are the loads that the other entries of the region announced, by the hash of the
 	// entry's id.
 	siblings map[uint64]siblingLoad
 	// remote is the load of other regions, by the hash of the region's name.
 	remote map[uint64]remoteLoad
 	// newRemoteCalls are the calls to other regions that were not announced yet, by region.
-	newRemoteCalls map[uint64][]Share
+	newRemoteCalls map[uint64][]UpstreamLoad
 	totals         loadTotals
 	off            mechanism.Disabled
 	// localWait is the mean prefill queue, as time, of the engines in the local region.
@@ -69,9 +69,9 @@
 // New returns a picker for an entry in the given availability zone and region.
 func New(zo core.Zone, re core.Region, opts ...Option) *Picker {
 	pk := &Picker{
-		zone: zo, region: re, peers: map[core.UpstreamID]*peer{},
+		zone: zo, region: re, states: map[core.UpstreamID]*upstreamState{},
 		latencies: map[latencyKey]*latency{}, prefill: newPrefillEstimator(),
-		siblings: map[uint64]siblingLoad{}, remote: map[uint64]remoteLoad{}, newRemoteCalls: map[uint64][]Share{}, byHash: map[uint64]*peer{}, newFacts: map[*peer]bool{},
+		siblings: map[uint64]siblingLoad{}, remote: map[uint64]remoteLoad{}, newRemoteCalls: map[uint64][]UpstreamLoad{}, byHash: map[uint64]*upstreamState{}, newFacts: map[*upstreamState]bool{},
 	}
 	for _, opt := range opts {
 		opt(pk)
@@ -88,13 +88,13 @@
 // Pick returns the upstream for an attempt, or false when every upstream was tried. Draw returns a
 // random number from 0 to 1.
 func (pk *Picker) Pick(now time.Time, hosts []core.Host, rq Request, draw func() float64) (core.Host, bool) {
-	fi := pk.newDecision(now, hosts, rq)
+	de := pk.newDecision(now, hosts, rq)
 	best, least := -1, time.Duration(0)
 	for i := range hosts {
 		if slices.Contains(rq.Tried, hosts[i].ID) {
 			continue
 		}
-		cost := pk.cost(now, &hosts[i], rq, fi) + time.Duration(draw()*float64(maxJitter))
+		cost := pk.cost(now, &hosts[i], rq, de) + time.Duration(draw()*float64(maxJitter))
 		if best < 0 || cost < least {
 			best, least = i, cost
 		}
@@ -109,18 +109,18 @@
 // the queued prefill work and the prefill of the uncached part. Engines of another region count
 // only where the list has none of the local region.
 func (pk *Picker) ExpectedFirstByte(now time.Time, hosts []core.Host, rq Request) time.Duration {
-	prefill, home, hasLocal := pk.prefill.perThousand(rq.Model), pk.prefixHome(now, hosts, rq), pk.anyLocal(hosts)
+	prefill, preferred, hasLocal := pk.prefill.perThousand(rq.Model), pk.preferredUpstream(now, hosts, rq), pk.anyLocal(hosts)
 	least := time.Duration(-1)
 	for i := range hosts {
-		pe := pk.peer(&hosts[i])
-		if now.Before(pe.downUntil) || hasLocal && pe.remote {
+		us := pk.stateOf(&hosts[i])
+		if now.Before(us.downUntil) || hasLocal && us.remote {
 			continue
 		}
-		uncached := rq.Prompt - pe.cachedTokens(now, rq)
-		if hosts[i].ID == home {
-			uncached = min(uncached, rq.Prompt-core.Tokens(homeCachedShare*float64(sharedTokens(rq.Parts))))
+		uncached := rq.Prompt - us.cachedTokens(now, rq)
+		if hosts[i].ID == preferred {
+			uncached = min(uncached, rq.Prompt-core.Tokens(preferredCachedShare*float64(sharedTokens(rq.Parts))))
 		}
-		_, pending := pk.workAt(now, pe)
+		_, pending := pk.workAt(now, us)
 		if cost := pending + prefillTime(prefill, uncached); least < 0 || cost < least {
 			least = cost
 		}
@@ -133,15 +133,15 @@
 func (pk *Picker) MinWait(now time.Time, hosts []core.Host) time.Duration {
 	least, hasLocal := time.Duration(-1), false
 	for i := range hosts {
-		pe := pk.peer(&hosts[i])
-		if now.Before(pe.downUntil) || hasLocal && pe.remote {
+		us := pk.stateOf(&hosts[i])
+		if now.Before(us.downUntil) || hasLocal && us.remote {
 			continue
 		}
-		_, pending := pk.workAt(now, pe)
-		if least < 0 || pending < least || !hasLocal && !pe.remote {
+		_, pending := pk.workAt(now, us)
+		if least < 0 || pending < least || !hasLocal && !us.remote {
 			least = pending
 		}
-		hasLocal = hasLocal || !pe.remote
+		hasLocal = hasLocal || !us.remote
 	}
 	return max(least, 0)
 }
@@ -154,18 +154,18 @@
 // MeanHeaderTime returns the mean time from sending a request to the response header, or 0 while
 // there are too few samples to rely on.
 func (pk *Picker) MeanHeaderTime(rq Request) time.Duration {
-	pl := pk.latency(rq)
-	if pl.count < minSamples {
+	la := pk.latency(rq)
+	if la.count < minSamples {
 		return 0
 	}
-	return pl.meanOr(0)
+	return la.meanOr(0)
 }
 
 // CountAvoided counts the upstreams of a list that are avoided.
 func (pk *Picker) CountAvoided(now time.Time, hosts []core.Host) int {
 	sum := 0
 	for i := range hosts {
-		if pe := pk.peers[hosts[i].ID]; pe != nil && pe.isAvoided(now) {
+		if us := pk.states[hosts[i].ID]; us != nil && us.isAvoided(now) {
 			sum++
 		}
 	}
--- a/core/balance/balance_test.go
+++ b/core/balance/balance_test.go
@@ -42,14 +42,14 @@
 	rnd := rand.New(rand.NewPCG(1, 1))
 	first, ok := pk.Pick(start, hosts, draftRequest("plan-7", 0), rnd.Float64)
 	assert.Assert(t, ok)
-	fl := pk.Sent(start, first, draftRequest("plan-7", 0))
-	pk.Begun(start.Add(time.Second), fl, draftRequest("plan-7", 0), nil)
-	pk.Ended(start.Add(2*time.Second), fl, balance.Good)
+	fl := pk.RecordSent(start, first, draftRequest("plan-7", 0))
+	pk.RecordHeader(start.Add(time.Second), fl, draftRequest("plan-7", 0), nil)
+	pk.RecordEnd(start.Add(2*time.Second), fl, balance.Good)
 	second, _ := pk.Pick(start.Add(3*time.Second), hosts, draftRequest("plan-7", 1), rnd.Float64)
 	assert.Equal(t, second.ID, first.ID)
 
 	for i := range 40 {
-		pk.Sent(start.Add(3*time.Second), first, draftRequest("other", i))
+		pk.RecordSent(start.Add(3*time.Second), first, draftRequest("other", i))
 	}
 	other, _ := pk.Pick(start.Add(3*time.Second), hosts, draftRequest("plan-7", 2), rnd.Float64)
 	assert.Assert(t, other.ID != first.ID, "the engine with the cached prefix is full")
@@ -62,18 +62,18 @@
 	count := map[core.UpstreamID]int{}
 	for i := range 60 {
 		shared := fmt.Sprint("plan-", i)
-		var homes []core.UpstreamID
+		var preferred []core.UpstreamID
 		for entry := range 3 {
 			pk := balance.New("muc-a", "muc")
 			rnd := rand.New(rand.NewPCG(uint64(entry), 1))
 			ho, _ := pk.Pick(start, hosts, draftRequest(shared, entry), rnd.Float64)
-			homes = append(homes, ho.ID)
+			preferred = append(preferred, ho.ID)
 		}
-		count[homes[0]]++
-		assert.Equal(t, len(slices.Compact(homes)), 1, "%v", homes)
+		count[preferred[0]]++
+		assert.Equal(t, len(slices.Compact(preferred)), 1, "%v", preferred)
 	}
 	for id, n := range count {
-		assert.Assert(t, n <= 14, "%s is the home of %d of 60 prompts", id, n)
+		assert.Assert(t, n <= 14, "%s is the preferred upstream of %d of 60 prompts", id, n)
 	}
 }
 
@@ -90,7 +90,7 @@
 			for i := from; i < to; i++ {
 				now := start.Add(time.Duration(i) * 50 * time.Millisecond)
 				ho, _ := pk.Pick(now, hosts, rq, rnd.Float64)
-				fl := pk.Sent(now, ho, rq)
+				fl := pk.RecordSent(now, ho, rq)
 				out := balance.Good
 				if ho.ID == "up-0" {
 					failing++
@@ -99,9 +99,9 @@
 					}
 				}
 				if out == balance.Good {
-					pk.Begun(now.Add(40*time.Millisecond), fl, rq, nil)
+					pk.RecordHeader(now.Add(40*time.Millisecond), fl, rq, nil)
 				}
-				pk.Ended(now.Add(40*time.Millisecond), fl, out)
+				pk.RecordEnd(now.Add(40*time.Millisecond), fl, out)
 			}
 			return failing
 		}
@@ -124,19 +124,19 @@
 	for i := range calls {
 		now := start.Add(time.Duration(i) * 50 * time.Millisecond)
 		ho, _ := pk.Pick(now, hosts, rq, rnd.Float64)
-		fl := pk.Sent(now, ho, rq)
+		fl := pk.RecordSent(now, ho, rq)
 		if ho.ID == "up-0" {
 			attempts++
-			pk.Ended(now, fl, bad)
+			pk.RecordEnd(now, fl, bad)
 			continue
 		}
-		pk.Begun(now, fl, rq, nil)
-		pk.Ended(now, fl, balance.Good)
+		pk.RecordHeader(now, fl, rq, nil)
+		pk.RecordEnd(now, fl, balance.Good)
 	}
 	return attempts
 }
 
-// A host loses power. Each call that is sent there waits for the whole connect timeout; after the
+// A host loses power. Each call that is sent there waits for the full connect timeout; after the
 // first one, calls must go elsewhere, and a later one must try whether the host is reachable again.
 func TestUnreachableUpstreamIsAvoided(t *testing.T) {
 	attempts := attemptsAtFirst(200, balance.Unreachable)
@@ -159,13 +159,13 @@
 	rnd := rand.New(rand.NewPCG(5, 1))
 	rq := balance.Request{Service: "s", Route: "claim"}
 	for i := range hosts {
-		fl := pk.Sent(start, hosts[i], rq)
+		fl := pk.RecordSent(start, hosts[i], rq)
 		load := core.Load{Running: 1, Slots: 6}
 		if i == 0 {
 			load = core.Load{Running: 6, Queued: 4, Slots: 6}
 		}
-		pk.Begun(start.Add(20*time.Millisecond), fl, rq, &load)
-		pk.Ended(start.Add(20*time.Millisecond), fl, balance.Good)
+		pk.RecordHeader(start.Add(20*time.Millisecond), fl, rq, &load)
+		pk.RecordEnd(start.Add(20*time.Millisecond), fl, balance.Good)
 	}
 	for range 20 {
 		ho, _ := pk.Pick(start.Add(100*time.Millisecond), hosts, rq, rnd.Float64)
@@ -183,7 +183,7 @@
 	calls := map[core.UpstreamID]int{}
 	for range 18 {
 		ho, _ := pk.Pick(start, hosts, rq, rnd.Float64)
-		pk.Sent(start, ho, rq)
+		pk.RecordSent(start, ho, rq)
 		calls[ho.ID]++
 	}
 	assert.Equal(t, calls["far"], 6, "%v", calls)
@@ -199,8 +199,8 @@
 	other := core.Host{ID: "up-1", Service: "s", Zone: "muc-a", Region: "muc", Slots: 64, StartedAt: 1}
 	rnd := rand.New(rand.NewPCG(7, 1))
 	for i := range 20 {
-		fl := pk.Sent(start, ho, draftRequest("plan", i))
-		pk.Ended(start, fl, balance.Failed)
+		fl := pk.RecordSent(start, ho, draftRequest("plan", i))
+		pk.RecordEnd(start, fl, balance.Failed)
 	}
 	got, _ := pk.Pick(start, []core.Host{ho, other}, draftRequest("plan", 99), rnd.Float64)
 	assert.Equal(t, got.ID, other.ID)
@@ -245,7 +245,7 @@
 		rq := draftRequest(fmt.Sprint("plan-", rnd.IntN(300)), n)
 		rq.Slack = 4 * time.Second
 		ho, _ := pk.Pick(now, hosts, rq, rnd.Float64)
-		queues[ho.ID] = append(queues[ho.ID], queuedPrompt{pk, pk.Sent(now, ho, rq), rq})
+		queues[ho.ID] = append(queues[ho.ID], queuedPrompt{pk, pk.RecordSent(now, ho, rq), rq})
 		if n%10 == 0 {
 			finishPrefills(now, hosts, queues)
 		}
@@ -263,8 +263,8 @@
 func finishPrefills(now time.Time, hosts []core.Host, queues map[core.UpstreamID][]queuedPrompt) {
 	for _, ho := range hosts {
 		if qu := queues[ho.ID]; len(qu) > 0 {
-			qu[0].entry.Begun(now, qu[0].flight, qu[0].rq, nil)
-			qu[0].entry.Ended(now, qu[0].flight, balance.Good)
+			qu[0].entry.RecordHeader(now, qu[0].flight, qu[0].rq, nil)
+			qu[0].entry.RecordEnd(now, qu[0].flight, balance.Good)
 			queues[ho.ID] = qu[1:]
 		}
 	}
@@ -301,7 +301,7 @@
 		two.Pick(start, []core.Host{ho}, draftRequest("x", 0), rnd.Float64)
 	}
 	engine := hosts[5]
-	one.Sent(start, engine, draftRequest("plan-7", 0))
+	one.RecordSent(start, engine, draftRequest("plan-7", 0))
 	two.ReceiveLoad(start, 1, one.TakeLoad())
 	ho, _ := two.Pick(start.Add(3*time.Second), hosts, draftRequest("plan-7", 1), rnd.Float64)
 	assert.Equal(t, ho.ID, engine.ID, "the prompt is cached there, and the announced load there has expired")
@@ -328,21 +328,21 @@
 	ho, ok := pk.Pick(start.Add(time.Second), hosts, rq, rnd.Float64)
 	assert.Assert(t, ok)
 	assert.Equal(t, ho.ID, hosts[7].ID)
-	assert.Equal(t, pk.Sent(start, hosts[3], rq).Basis().CachedTokens, core.Tokens(0))
+	assert.Equal(t, pk.RecordSent(start, hosts[3], rq).Basis().CachedTokens, core.Tokens(0))
 }
 
-// TestNoPrefixHomeWithSiblingLoads guards against a prompt that waits at the engine which all
+// TestNoPreferredUpstreamWithSiblingLoads guards against a prompt that waits at the engine which all
 // entries prefer for it, though nobody has sent its prefix there.
-func TestNoPrefixHomeWithSiblingLoads(t *testing.T) {
+func TestNoPreferredUpstreamWithSiblingLoads(t *testing.T) {
 	rnd := rand.New(rand.NewPCG(5, 1))
 	hosts := poolHosts(8, 64)
 	rq := balance.Request{Service: "s", Model: "large", Engine: true, Prompt: 16_000, Parts: parts("plan", 1), Route: "draft"}
 	alone, informed := balance.New("muc-a", "muc"), balance.New("muc-a", "muc")
-	home, _ := alone.Pick(start, hosts, rq, rnd.Float64)
-	busy := balance.Load{Shares: []balance.Share{{Upstream: balance.Hash(home.ID), Own: 1, Pending: 200 * time.Millisecond}}}
+	preferred, _ := alone.Pick(start, hosts, rq, rnd.Float64)
+	busy := balance.Load{Upstreams: []balance.UpstreamLoad{{Upstream: balance.Hash(preferred.ID), Own: 1, Pending: 200 * time.Millisecond}}}
 	informed.ReceiveLoad(start, 7, busy)
 	for range 20 {
 		ho, _ := informed.Pick(start, hosts, rq, rnd.Float64)
-		assert.Assert(t, ho.ID != home.ID)
+		assert.Assert(t, ho.ID != preferred.ID)
 	}
 }
--- a/core/balance/bench_test.go
+++ b/core/balance/bench_test.go
@@ -18,7 +18,7 @@
 	announce := func(from uint64) {
 		var lo balance.Load
 		for range each {
-			lo.Shares = append(lo.Shares, balance.Share{Upstream: balance.Hash(hosts[rnd.IntN(engines)].ID), Own: 1})
+			lo.Upstreams = append(lo.Upstreams, balance.UpstreamLoad{Upstream: balance.Hash(hosts[rnd.IntN(engines)].ID), Own: 1})
 		}
 		pk.ReceiveLoad(start, from, lo)
 	}
@@ -31,6 +31,6 @@
 		announce(uint64(n % entries))
 		rq := draftRequest(fmt.Sprint("plan-", n%200), n)
 		ho, _ := pk.Pick(start, hosts, rq, rnd.Float64)
-		pk.Ended(start, pk.Sent(start, ho, rq), balance.Good)
+		pk.RecordEnd(start, pk.RecordSent(start, ho, rq), balance.Good)
 	}
 }
--- a/core/balance/cache.go
+++ b/core/balance/cache.go
@@ -37,10 +37,10 @@
 }
 
 // cachedTokens returns the tokens of a prompt that are assumed to be cached at an upstream.
-func (pe *peer) cachedTokens(now time.Time, rq Request) core.Tokens {
+func (us *upstreamState) cachedTokens(now time.Time, rq Request) core.Tokens {
 	var sum core.Tokens
 	for _, pa := range rq.Parts {
-		at, ok := pe.cache[partHash(rq.Model, pa.ID)]
+		at, ok := us.cache[partHash(rq.Model, pa.ID)]
 		if !ok || now.Sub(at) > cacheTTL {
 			break
 		}
@@ -49,36 +49,36 @@
 	return sum
 }
 
-// CachesWhole reports whether any engine is assumed to have a whole prompt cached.
-func (pk *Picker) CachesWhole(now time.Time, hosts []core.Host, rq Request) bool {
-	return slices.ContainsFunc(hosts, func(ho core.Host) bool { return pk.peer(&ho).cachedTokens(now, rq) >= rq.Prompt })
+// HasCompletePrompt reports whether any engine is assumed to have a complete prompt cached.
+func (pk *Picker) HasCompletePrompt(now time.Time, hosts []core.Host, rq Request) bool {
+	return slices.ContainsFunc(hosts, func(ho core.Host) bool { return pk.stateOf(&ho).cachedTokens(now, rq) >= rq.Prompt })
 }
 
 // recordPrompt records that an upstream processes a prompt, for this entry and, unless the prompt
 // may not be disclosed in this region, for the announcement to the others.
-func (pk *Picker) recordPrompt(now time.Time, pe *peer, rq Request) {
+func (pk *Picker) recordPrompt(now time.Time, us *upstreamState, rq Request) {
 	for _, pa := range rq.Parts {
 		hash := partHash(rq.Model, pa.ID)
-		pe.recordPart(now, hash)
+		us.recordPart(now, hash)
 		if !rq.RemoteOnly && len(pk.newParts) < maxUnannounced {
-			pk.newParts = append(pk.newParts, CachedPart{Upstream: pe.hash, Part: hash})
+			pk.newParts = append(pk.newParts, CachedPart{Upstream: us.hash, Part: hash})
 		}
 	}
 }
 
 // RecordCached records the parts that an engine reports as cached.
 func (pk *Picker) RecordCached(now time.Time, ho core.Host, held []core.CachedPart) {
-	pe := pk.peer(&ho)
+	us := pk.stateOf(&ho)
 	for _, pa := range held {
-		pe.recordPart(now, partHash(pa.Model, pa.Part.ID))
+		us.recordPart(now, partHash(pa.Model, pa.Part.ID))
 	}
 }
 
-func (pe *peer) recordPart(now time.Time, hash uint64) {
-	if len(pe.cache) >= maxCachedParts {
-		pe.cache.evict(now)
+func (us *upstreamState) recordPart(now time.Time, hash uint64) {
+	if len(us.cache) >= maxCachedParts {
+		us.cache.evict(now)
 	}
-	pe.cache[hash] = now
+	us.cache[hash] = now
 }
 
 // evict deletes the oldest parts until less than half of the maximum is left, in coarse steps of
@@ -107,12 +107,12 @@
 	return sum
 }
 
-// prefixHome returns the upstream that all entries of a region prefer for a prompt: by rendezvous
-// hashing of the model and the shared parts over the region's upstreams, or over all where the list
-// has none there. It returns none while other entries announce which parts engines have processed:
-// the assumption that the home has the prefix cached would then only hide how long the prefill
-// takes.
-func (pk *Picker) prefixHome(now time.Time, hosts []core.Host, rq Request) core.UpstreamID {
+// preferredUpstream returns the upstream that all entries of a region prefer for a prompt: by
+// rendezvous hashing of the model and the shared parts over the region's upstreams, or over all
+// where the list has none there. It returns none while other entries announce which parts engines
+// have processed: the assumption that this upstream has the prefix cached would then only hide how
+// long the prefill takes.
+func (pk *Picker) preferredUpstream(now time.Time, hosts []core.Host, rq Request) core.UpstreamID {
 	if len(rq.Parts) < 2 || pk.off.Has(mechanism.PrefixAffinity) || pk.hasSiblingLoads(now) {
 		return ""
 	}
--- a/core/balance/cost.go
+++ b/core/balance/cost.go
@@ -17,7 +17,7 @@
 	// is idle while this one is busy; assuming none of it would send all work there.
 	remoteWaitShare = 0.5
 	// batchCost is what one more request in an engine's batch adds to each of the others over a
-	// whole response.
+	// complete response.
 	batchCost = 14 * time.Millisecond
 	// slotTime is how long a call occupies a slot of a plain service, assumed until the first
 	// response.
@@ -25,9 +25,10 @@
 	// maxJitter keeps entries with the same information from selecting the same upstream; it is
 	// below every significant difference in cost.
 	maxJitter = 4 * time.Millisecond
-	// homeCachedShare is the share of a prompt's shared parts that is assumed to be cached at its
-	// home, while no other entry announces which parts engines have processed.
-	homeCachedShare = 0.4
+	// preferredCachedShare is the fraction of a prompt's reusable prefix that is assumed to be cached
+	// at its preferred upstream (see preferredUpstream), while no other entry announces which parts
+	// engines have processed.
+	preferredCachedShare = 0.4
 	// sharedCost is the cost of repeating the prefill of a thousand shared tokens that some engine
 	// has cached: they are billed once more, and their prefill delays the other streams of this
 	// engine.
@@ -43,8 +44,8 @@
 
 // decision holds the values that all candidates of a selection share.
 type decision struct {
-	latency *latency
-	home    core.UpstreamID
+	latency   *latency
+	preferred core.UpstreamID
 	// minFailureRate is the least failure rate of the candidates: a failure that affects all of
 	// them counts against none.
 	minFailureRate float64
@@ -54,40 +55,40 @@
 }
 
 func (pk *Picker) newDecision(now time.Time, hosts []core.Host, rq Request) decision {
-	fi := decision{latency: pk.latency(rq)}
+	de := decision{latency: pk.latency(rq)}
 	if rq.Engine {
-		fi.home = pk.prefixHome(now, hosts, rq)
-		fi.prefill = pk.prefill.perThousand(rq.Model)
-		fi.repeatedPrefill = pk.sharedPrefillCost(sharedTokens(rq.Parts))
+		de.preferred = pk.preferredUpstream(now, hosts, rq)
+		de.prefill = pk.prefill.perThousand(rq.Model)
+		de.repeatedPrefill = pk.sharedPrefillCost(sharedTokens(rq.Parts))
 		pk.updateLocalWait(now, hosts)
 	}
 	for i := range hosts {
-		rate := pk.peer(&hosts[i]).failureRate(now)
-		if i == 0 || rate < fi.minFailureRate {
-			fi.minFailureRate = rate
+		rate := pk.stateOf(&hosts[i]).failureRate(now)
+		if i == 0 || rate < de.minFailureRate {
+			de.minFailureRate = rate
 		}
 	}
-	return fi
+	return de
 }
 
 // cost returns the expected time to the first byte of a response from an upstream, plus penalties
 // expressed as time.
-func (pk *Picker) cost(now time.Time, ho *core.Host, rq Request, fi decision) time.Duration {
-	pe := pk.peer(ho)
-	cost := pk.distanceCost(ho) + pe.unavailableCost(now)
+func (pk *Picker) cost(now time.Time, ho *core.Host, rq Request, de decision) time.Duration {
+	us := pk.stateOf(ho)
+	cost := pk.distanceCost(ho) + us.unavailableCost(now)
 	if !pk.off.Has(mechanism.Avoidance) {
-		cost += pe.failurePenalty(now, fi, rq)
+		cost += us.failurePenalty(now, de, rq)
 	}
-	load, pending := pk.workAt(now, pe)
+	load, pending := pk.workAt(now, us)
 	if rq.Engine {
-		uncached := rq.Prompt - pe.cachedTokens(now, rq)
-		if ho.ID == fi.home {
-			uncached = min(uncached, rq.Prompt-core.Tokens(homeCachedShare*float64(sharedTokens(rq.Parts))))
+		uncached := rq.Prompt - us.cachedTokens(now, rq)
+		if ho.ID == de.preferred {
+			uncached = min(uncached, rq.Prompt-core.Tokens(preferredCachedShare*float64(sharedTokens(rq.Parts))))
 		}
-		first := pending + prefillTime(fi.prefill, uncached)
+		first := pending + prefillTime(de.prefill, uncached)
 		cost += first + pk.latenessCost(rq, first) + time.Duration(load*float64(batchCost)) + pk.repeatedPrefillCost(rq, uncached)
 	} else {
-		cost += time.Duration(load * float64(fi.latency.meanOr(slotTime)) / float64(max(ho.Slots, 1)))
+		cost += time.Duration(load * float64(de.latency.meanOr(slotTime)) / float64(max(ho.Slots, 1)))
 	}
 	if ho.Slots > 0 && load >= float64(ho.Slots) {
 		cost += fullCost
@@ -95,7 +96,7 @@
 	if pk.off.Has(mechanism.SlowUpstreamPenalty) {
 		return cost
 	}
-	return time.Duration(float64(cost) * pe.slowFactor())
+	return time.Duration(float64(cost) * us.slowFactor())
 }
 
 // latenessCost is the penalty for a response whose first event is expected after the given time.
@@ -124,13 +125,13 @@
 // there: this entry's own, and those of the others as they announced them, or else as the upstream
 // reported. At engines of another region that announced nothing lately, a share of the mean wait at
 // local engines is assumed.
-func (pk *Picker) workAt(now time.Time, pe *peer) (load float64, pending time.Duration) {
-	own, wait, known := pk.siblingWork(now, pe.hash)
-	remoteOwn, remoteWait, remoteKnown := pk.remoteWork(now, pe)
-	if known && !pe.remote || remoteKnown {
-		return float64(pe.own) + own + remoteOwn, pe.pending + wait + remoteWait
+func (pk *Picker) workAt(now time.Time, us *upstreamState) (load float64, pending time.Duration) {
+	own, wait, known := pk.siblingWork(now, us.hash)
+	remoteOwn, remoteWait, remoteKnown := pk.remoteWork(now, us)
+	if known && !us.remote || remoteKnown {
+		return float64(us.own) + own + remoteOwn, us.pending + wait + remoteWait
 	}
-	load, pending = pe.load(now), pe.pending+pe.reportedWait(now, pk.meanPrefillTime())
+	load, pending = us.load(now), us.pending+us.reportedWait(now, pk.meanPrefillTime())
 	if known {
 		pending = max(pending, time.Duration(remoteWaitShare*float64(pk.localWait)))
 	}
@@ -141,11 +142,11 @@
 func (pk *Picker) updateLocalWait(now time.Time, hosts []core.Host) {
 	sum, n := time.Duration(0), 0
 	for i := range hosts {
-		pe := pk.peer(&hosts[i])
-		if pe.remote || now.Before(pe.downUntil) {
+		us := pk.stateOf(&hosts[i])
+		if us.remote || now.Before(us.downUntil) {
 			continue
 		}
-		_, pending := pk.workAt(now, pe)
+		_, pending := pk.workAt(now, us)
 		sum += pending
 		n++
 	}
--- a/core/balance/doc.go
+++ b/core/balance/doc.go
@@ -1,8 +1,8 @@
 // Package balance selects the upstream of an attempt that an entry sends directly.
 //
 // It is designed for batching engines and for small pools of plain services behind several entries.
-// An entry sees its own attempts at once, and those of the others only through the load that
-// responses report and through what sibling entries announce. It selects the upstream with the
+// An entry counts its own attempts immediately. The load caused by other entries is taken from
+// response headers and from the announcements of sibling entries. It selects the upstream with the
 // earliest expected first byte, from the uncached part of the prompt, the prefill work that is
 // queued there, the size of the batch, the network distance and the recent failures. The prefill
 // rate is learned for each model, so that a short queue of long prompts is distinguished from a
@@ -20,7 +20,7 @@
 //
 //	pk := balance.New(zone, region)
 //	ho, ok := pk.Pick(now, hosts, balance.Request{Model: mo, Parts: parts, Prompt: 17_000}, rand.Float64)
-//	fl := pk.Sent(now, ho, rq)
-//	pk.Begun(now, fl, rq, load)          // at the response header
-//	pk.Ended(now, fl, balance.Good)
+//	fl := pk.RecordSent(now, ho, rq)
+//	pk.RecordHeader(now, fl, rq, load)          // at the response header
+//	pk.RecordEnd(now, fl, balance.Good)
 package balance
--- a/core/balance/fact.go
+++ b/core/balance/fact.go
@@ -14,8 +14,8 @@
 // It is made for many entries of which each sees few responses: a crashed upstream looks idle, and
 // without facts every entry would send requests there to find out.
 type Fact struct {
-	// Upstream is the hash of its id, see [Hash]; Start distinguishes one start of the process
-	// from another.
+	// Upstream is the hash of the upstream's id, see [Hash]; Start distinguishes one start of the
+	// process from another.
 	Upstream uint64
 	Start    uint16
 	// DownFor is how long nothing should be sent there; 0 means that it answers.
@@ -24,19 +24,19 @@
 	FailedConnects int
 }
 
-// addFact queues a peer's state for the next announcement.
-func (pk *Picker) addFact(pe *peer) { pk.newFacts[pe] = true }
+// addFact queues the fact about an upstream for the next announcement.
+func (pk *Picker) addFact(us *upstreamState) { pk.newFacts[us] = true }
 
-// TakeFacts returns the facts that this entry observed since the last invocation.
+// TakeFacts returns the facts that this entry observed since the last call, and clears them.
 func (pk *Picker) TakeFacts(now time.Time) []Fact {
 	var out []Fact
-	for pe := range pk.newFacts {
-		left := max(pe.downUntil.Sub(now), 0)
-		if left == 0 && !pe.downUntil.IsZero() {
+	for us := range pk.newFacts {
+		left := max(us.downUntil.Sub(now), 0)
+		if left == 0 && !us.downUntil.IsZero() {
 			continue // It may be used again, and nothing new was observed.
 		}
 		out = append(out, Fact{
-			Upstream: pe.hash, Start: uint16(pe.startedAt), DownFor: left, FailedConnects: pe.failedConnects, //nolint:gosec // The low bits do.
+			Upstream: us.hash, Start: uint16(us.startedAt), DownFor: left, FailedConnects: us.failedConnects, //nolint:gosec // The low bits do.
 		})
 	}
 	clear(pk.newFacts)
@@ -49,42 +49,42 @@
 		return
 	}
 	for _, fa := range facts {
-		pe := pk.byHash[fa.Upstream]
-		if pe == nil || uint16(pe.startedAt) != fa.Start { //nolint:gosec // As above.
+		us := pk.byHash[fa.Upstream]
+		if us == nil || uint16(us.startedAt) != fa.Start { //nolint:gosec // As above.
 			continue
 		}
 		if fa.DownFor <= 0 {
-			pe.markReachable(now)
+			us.markReachable(now)
 			continue
 		}
-		pe.failedConnects = max(pe.failedConnects, fa.FailedConnects)
-		if until := now.Add(min(fa.DownFor, replacedFor)); until.After(pe.downUntil) {
-			pe.downUntil = until
-			pe.unreachableUntil = until
+		us.failedConnects = max(us.failedConnects, fa.FailedConnects)
+		if until := now.Add(min(fa.DownFor, replacedFor)); until.After(us.downUntil) {
+			us.downUntil = until
+			us.unreachableUntil = until
 		}
 	}
 }
 
 // recordResponse records that a response came from an upstream.
-func (pk *Picker) recordResponse(now time.Time, pe *peer) {
-	pe.lastData = now
-	if pe.failedConnects > 0 {
-		pe.markReachable(now)
-		pk.addFact(pe)
+func (pk *Picker) recordResponse(now time.Time, us *upstreamState) {
+	us.lastData = now
+	if us.failedConnects > 0 {
+		us.markReachable(now)
+		pk.addFact(us)
 	}
 }
 
 // markReachable ends the unavailability of an upstream that answers.
-func (pe *peer) markReachable(now time.Time) {
-	pe.downUntil, pe.failedConnects = time.Time{}, 0
-	if pe.unreachableUntil.After(now) {
-		pe.unreachableUntil = now
+func (us *upstreamState) markReachable(now time.Time) {
+	us.downUntil, us.failedConnects = time.Time{}, 0
+	if us.unreachableUntil.After(now) {
+		us.unreachableUntil = now
 	}
 }
 
 // UnreachableWithin reports whether an upstream was unreachable within the given time before now,
 // as this entry or another one observed.
 func (pk *Picker) UnreachableWithin(now time.Time, ho *core.Host, span time.Duration) bool {
-	pe := pk.peers[ho.ID]
-	return pe != nil && pe.startedAt == ho.StartedAt && !pe.unreachableUntil.IsZero() && now.Before(pe.unreachableUntil.Add(span))
+	us := pk.states[ho.ID]
+	return us != nil && us.startedAt == ho.StartedAt && !us.unreachableUntil.IsZero() && now.Before(us.unreachableUntil.Add(span))
 }
--- a/core/balance/fact_test.go
+++ b/core/balance/fact_test.go
@@ -12,8 +12,8 @@
 	"skylarkstand/core/balance"
 )
 
-// Guards against requests of every entry that are sent to an upstream which another entry has found
-// crashed.
+// One entry finds an upstream crashed. Guards against every other entry sending requests there to
+// find out by itself.
 func TestEntriesAnnounceCrashedUpstream(t *testing.T) {
 	const entries, downtime = 33, 4 * time.Second
 	rnd := rand.New(rand.NewPCG(3, 1))
@@ -28,18 +28,18 @@
 		pk := pickers[rnd.IntN(entries)]
 		rq := draftRequest(fmt.Sprint("p", rnd.IntN(900)), n)
 		ho, _ := pk.Pick(now, hosts, rq, rnd.Float64)
-		fl := pk.Sent(now, ho, rq)
+		fl := pk.RecordSent(now, ho, rq)
 		switch {
 		case ho.ID != crashed:
-			pk.Begun(now, fl, rq, nil)
-			pk.Ended(now, fl, balance.Good)
+			pk.RecordHeader(now, fl, rq, nil)
+			pk.RecordEnd(now, fl, balance.Good)
 		case now.Sub(start) < downtime:
 			attempts++
-			pk.Ended(now, fl, balance.NotListening)
+			pk.RecordEnd(now, fl, balance.NotListening)
 		default:
 			recovered++
-			pk.Begun(now, fl, rq, nil)
-			pk.Ended(now, fl, balance.Good)
+			pk.RecordHeader(now, fl, rq, nil)
+			pk.RecordEnd(now, fl, balance.Good)
 		}
 		if n%40 != 0 {
 			continue
@@ -57,13 +57,13 @@
 	assert.Assert(t, recovered >= 10, "%d calls after the upstream answered again", recovered)
 }
 
-// Guards against a restarted upstream that gets no work because of facts about its previous start,
-// and against unavailability without an end.
+// Guards against withholding work from a restarted upstream because of facts about its previous
+// start, and against avoiding an upstream for an unlimited time.
 func TestFactsApplyToOneStart(t *testing.T) {
 	ho := core.Host{ID: "up-0", Service: "s", Zone: "muc-a", Region: "muc", Slots: 64, StartedAt: 1}
 	rnd := rand.New(rand.NewPCG(4, 1))
 	one, two := balance.New("muc-a", "muc"), balance.New("muc-a", "muc")
-	one.Ended(start, one.Sent(start, ho, draftRequest("p", 0)), balance.Replaced)
+	one.RecordEnd(start, one.RecordSent(start, ho, draftRequest("p", 0)), balance.Replaced)
 	facts := one.TakeFacts(start)
 	assert.Equal(t, len(facts), 1)
 	avoided := func(startedAt int64, at time.Time) bool {
@@ -79,31 +79,31 @@
 	assert.Equal(t, two.CountAvoided(start.Add(11*time.Second), []core.Host{ho}), 0)
 }
 
-// Guards against a crashed upstream that others assume to answer again, because the fact about it
-// is announced only after its unavailability has expired.
+// Guards against announcing a crash after the unavailability has expired: the other entries would
+// take it as news that the upstream answers again.
 func TestExpiredFactIsNotAnnounced(t *testing.T) {
 	ho := core.Host{ID: "up-0", Service: "s", Zone: "muc-a", Region: "muc", Slots: 64}
 	for _, out := range []balance.Outcome{balance.NotListening, balance.Replaced} {
 		pk := balance.New("muc-a", "muc")
-		pk.Ended(start, pk.Sent(start, ho, draftRequest("p", 0)), out)
+		pk.RecordEnd(start, pk.RecordSent(start, ho, draftRequest("p", 0)), out)
 		assert.Equal(t, len(pk.TakeFacts(start.Add(20*time.Second))), 0)
 	}
 }
 
-// Guards against an upstream that gets no work from the other entries although one of them has
-// received a response from it.
+// Guards against other entries withholding work from an upstream although one entry has received a
+// response from it.
 func TestRecoveredUpstreamIsAnnounced(t *testing.T) {
 	ho := core.Host{ID: "up-0", Service: "s", Zone: "muc-a", Region: "muc", Slots: 64}
 	one, two := balance.New("muc-a", "muc"), balance.New("muc-a", "muc")
 	rq := draftRequest("p", 0)
 	for range 4 {
-		one.Ended(start, one.Sent(start, ho, rq), balance.NotListening)
-		two.Ended(start, two.Sent(start, ho, rq), balance.NotListening)
+		one.RecordEnd(start, one.RecordSent(start, ho, rq), balance.NotListening)
+		two.RecordEnd(start, two.RecordSent(start, ho, rq), balance.NotListening)
 	}
 	one.TakeFacts(start)
 	now := start.Add(time.Second)
 	assert.Equal(t, two.CountAvoided(now, []core.Host{ho}), 1)
-	one.Begun(now, one.Sent(now, ho, rq), rq, nil)
+	one.RecordHeader(now, one.RecordSent(now, ho, rq), rq, nil)
 	two.ReceiveFacts(now, one.TakeFacts(now))
 	assert.Equal(t, two.CountAvoided(now, []core.Host{ho}), 0)
 	assert.Equal(t, len(two.TakeFacts(now)), 1, "own facts are announced, received ones are not")
--- a/core/balance/flight.go
+++ b/core/balance/flight.go
@@ -33,7 +33,7 @@
 
 // Flight is an attempt in flight.
 type Flight struct {
-	peer    *peer
+	state   *upstreamState
 	latency *latency
 	sent    time.Time
 	cost    time.Duration
@@ -42,7 +42,7 @@
 	// prefill rate.
 	uncached        core.Tokens
 	measuresPrefill bool
-	begun           bool
+	answered        bool
 	ended           bool
 	basis           Basis
 }
@@ -71,100 +71,102 @@
 // Basis returns the inputs of the selection of the flight's upstream.
 func (fl *Flight) Basis() Basis { return fl.basis }
 
-// Sent records that an attempt goes to an upstream.
-func (pk *Picker) Sent(now time.Time, ho core.Host, rq Request) *Flight {
-	pe := pk.peer(&ho)
-	fl := &Flight{peer: pe, latency: pk.latency(rq), sent: now, basis: pk.basis(now, pe)}
+// RecordSent records that an attempt goes to an upstream.
+func (pk *Picker) RecordSent(now time.Time, ho core.Host, rq Request) *Flight {
+	us := pk.stateOf(&ho)
+	fl := &Flight{state: us, latency: pk.latency(rq), sent: now, basis: pk.basis(now, us)}
 	if rq.Engine {
-		fl.basis.CachedTokens = pe.cachedTokens(now, rq)
+		fl.basis.CachedTokens = us.cachedTokens(now, rq)
 		fl.uncached = rq.Prompt - fl.basis.CachedTokens
 		fl.cost = prefillTime(pk.prefill.perThousand(rq.Model), fl.uncached)
 		fl.measuresPrefill = fl.basis.QueueTime == 0 && ho.Region == pk.region && !pk.off.Has(mechanism.PrefillRate)
-		pk.recordPrompt(now, pe, rq)
-		pe.pending += fl.cost
+		pk.recordPrompt(now, us, rq)
+		us.pending += fl.cost
 		pk.meanPrefill += (float64(fl.cost) - pk.meanPrefill) / 32
 	}
-	pe.own++
-	pe.unanswered++
-	pk.addCall(rq, pe, fl.cost)
+	us.own++
+	us.unanswered++
+	pk.addCall(rq, us, fl.cost)
 	return fl
 }
 
-func (pk *Picker) basis(now time.Time, pe *peer) Basis {
-	ba := Basis{Own: pe.own, LoadAge: NoLoad, FailureRate: pe.failureRate(now)}
-	load, wait := pk.workAt(now, pe)
-	ba.Others, ba.QueueTime = max(load-float64(pe.own), 0), wait
-	for _, to := range pk.siblings {
-		if age := now.Sub(to.at); ba.LoadAge == NoLoad || age < ba.LoadAge {
+func (pk *Picker) basis(now time.Time, us *upstreamState) Basis {
+	ba := Basis{Own: us.own, LoadAge: NoLoad, FailureRate: us.failureRate(now)}
+	load, wait := pk.workAt(now, us)
+	ba.Others, ba.QueueTime = max(load-float64(us.own), 0), wait
+	for _, sl := range pk.siblings {
+		if age := now.Sub(sl.at); ba.LoadAge == NoLoad || age < ba.LoadAge {
 			ba.LoadAge = age
 		}
 	}
-	if ba.LoadAge == NoLoad && !pe.reportedAt.IsZero() {
-		ba.LoadAge = now.Sub(pe.reportedAt)
+	if ba.LoadAge == NoLoad && !us.reportedAt.IsZero() {
+		ba.LoadAge = now.Sub(us.reportedAt)
 	}
 	return ba
 }
 
-// Begun records the header of a response, with the load that it reports or nil.
-func (pk *Picker) Begun(now time.Time, fl *Flight, rq Request, lo *core.Load) {
-	if fl.begun {
+// RecordHeader records the header of a response, with the load that it reports or nil.
+func (pk *Picker) RecordHeader(now time.Time, fl *Flight, rq Request, lo *core.Load) {
+	if fl.answered {
 		return
 	}
-	fl.begun = true
-	fl.peer.unanswered--
-	pk.recordResponse(now, fl.peer)
+	fl.answered = true
+	fl.state.unanswered--
+	pk.recordResponse(now, fl.state)
 	took := now.Sub(fl.sent)
 	if fl.measuresPrefill {
-		pk.prefill.learn(rq.Model, fl.uncached, took)
+		pk.prefill.observe(rq.Model, fl.uncached, took)
 	}
-	fl.peer.pending = max(fl.peer.pending-fl.cost, 0)
+	fl.state.pending = max(fl.state.pending-fl.cost, 0)
 	pk.addPrefill(fl)
-	fl.peer.recordLatency(fl.latency, took, fl.cost)
-	fl.latency.learn(took)
+	fl.state.recordLatency(fl.latency, took, fl.cost)
+	fl.latency.observe(took)
 	if lo != nil {
-		fl.peer.recordReport(now, *lo)
+		fl.state.recordReport(now, *lo)
 	}
 }
 
 // RecordReport records the load that a refusal reports.
 func (pk *Picker) RecordReport(now time.Time, fl *Flight, lo core.Load) {
-	fl.peer.recordReport(now, lo)
+	fl.state.recordReport(now, lo)
 }
 
 // RecordData records that a piece of a response arrived.
-func (pk *Picker) RecordData(now time.Time, fl *Flight) { fl.peer.lastData = now }
+func (pk *Picker) RecordData(now time.Time, fl *Flight) { fl.state.lastData = now }
 
 // ActiveSince reports whether any attempt received anything from the flight's upstream since a
 // time.
-func (pk *Picker) ActiveSince(fl *Flight, since time.Time) bool { return fl.peer.lastData.After(since) }
+func (pk *Picker) ActiveSince(fl *Flight, since time.Time) bool {
+	return fl.state.lastData.After(since)
+}
 
 // PendingPrefill returns the expected prefill time of this entry's prompts that are queued at the
 // upstream, including the flight's own.
-func (fl *Flight) PendingPrefill() time.Duration { return fl.peer.pending }
+func (fl *Flight) PendingPrefill() time.Duration { return fl.state.pending }
 
-// Ended records the end of an attempt. It returns how the upstream's avoidance changes, and the
+// RecordEnd records the end of an attempt. It returns how the upstream's avoidance changes, and the
 // upstream's recent failure rate.
-func (pk *Picker) Ended(now time.Time, fl *Flight, out Outcome) (AvoidanceChange, float64) {
+func (pk *Picker) RecordEnd(now time.Time, fl *Flight, out Outcome) (AvoidanceChange, float64) {
 	if fl.ended {
 		return Unchanged, 0
 	}
 	fl.ended = true
-	pe := fl.peer
-	pe.own--
-	if !fl.begun {
-		pe.unanswered--
-		pe.pending = max(pe.pending-fl.cost, 0)
+	us := fl.state
+	us.own--
+	if !fl.answered {
+		us.unanswered--
+		us.pending = max(us.pending-fl.cost, 0)
 	}
-	pe.recordOutcome(now, out)
+	us.recordOutcome(now, out)
 	if out == NotListening || out == Replaced {
-		pk.addFact(pe)
+		pk.addFact(us)
 	}
-	return pe.updateAvoided(now), pe.failureRate(now)
+	return us.updateAvoided(now), us.failureRate(now)
 }
 
 // RecordFailure counts a failure against an upstream that became known after the end of its
 // attempt.
 func (pk *Picker) RecordFailure(now time.Time, fl *Flight) (AvoidanceChange, float64) {
-	fl.peer.recordOutcome(now, Failed)
-	return fl.peer.updateAvoided(now), fl.peer.failureRate(now)
+	fl.state.recordOutcome(now, Failed)
+	return fl.state.updateAvoided(now), fl.state.failureRate(now)
 }
--- a/core/balance/herd_test.go
+++ b/core/balance/herd_test.go
@@ -95,7 +95,7 @@
 	}
 	rq.Slack = 2 * time.Second
 	ho, _ := pk.Pick(now, hosts, rq, rnd.Float64)
-	fl := pk.Sent(now, ho, rq)
+	fl := pk.RecordSent(now, ho, rq)
 	prefill := time.Duration(float64(herdPrefill) * float64(rq.Prompt-fl.Basis().CachedTokens) / 1000)
 	en := engines[ho.ID]
 	en.queue = append(en.queue, herdPrompt{pk, fl, rq, now, balance.Rank(0, fl.PrefillTime(), rnd.Float64()), prefill})
@@ -120,8 +120,8 @@
 func (en *engine) step(now time.Time) (wait time.Duration, short bool) {
 	if en.busy != nil && !now.Before(en.until) {
 		pr := en.busy
-		pr.entry.Begun(now, pr.flight, pr.rq, nil)
-		pr.entry.Ended(now, pr.flight, balance.Good)
+		pr.entry.RecordHeader(now, pr.flight, pr.rq, nil)
+		pr.entry.RecordEnd(now, pr.flight, balance.Good)
 		wait, short, en.busy = now.Sub(pr.sent), pr.rq.Prompt <= shortPrompt, nil
 	}
 	if en.busy == nil && len(en.queue) > 0 {
@@ -138,8 +138,8 @@
 	return wait, short
 }
 
-// Guards against many entries that all select the engine which looked idle in the last
-// announcement, where short prompts then wait behind a dozen others.
+// Guards against a herd: many entries select the same engine because it looked idle in the last
+// announcement, and short prompts then wait there behind a dozen others.
 func TestImmediateAnnouncementsShortenWaits(t *testing.T) {
 	const seeds = 16
 	var periodic, immediate time.Duration
@@ -152,20 +152,19 @@
 	assert.Assert(t, immediate < periodic*2/3, "19 in 20 waits within %s, and %s with periodic announcements only", immediate, periodic)
 }
 
-// Guards against engines that count as busy with prompts whose prefill has ended, until the next
-// periodic announcement.
+// Guards against counting ended prefills as load of an engine until the next periodic announcement.
 func TestEndedPrefillsAreAnnouncedWithNextCall(t *testing.T) {
 	hosts := poolHosts(2, 64)
 	one, two := balance.New("muc-a", "muc"), balance.New("muc-a", "muc")
 	now := start
 	announce := func() { two.ReceiveCalls(now, 1, one.TakeCalls()) }
 	waits := func(ho core.Host) time.Duration { return two.MinWait(now, []core.Host{ho}) }
-	first := one.Sent(now, hosts[0], draftRequest("plan-1", 1))
+	first := one.RecordSent(now, hosts[0], draftRequest("plan-1", 1))
 	announce()
 	assert.Assert(t, waits(hosts[0]) > 500*time.Millisecond)
 	now = now.Add(time.Second)
-	one.Begun(now, first, draftRequest("plan-1", 1), nil)
-	one.Sent(now, hosts[1], draftRequest("plan-2", 2))
+	one.RecordHeader(now, first, draftRequest("plan-1", 1), nil)
+	one.RecordSent(now, hosts[1], draftRequest("plan-2", 2))
 	announce()
 	assert.Assert(t, waits(hosts[0]) <= 10*time.Millisecond, "%s", waits(hosts[0]))
 	assert.Assert(t, waits(hosts[1]) > 500*time.Millisecond)
--- a/core/balance/latency.go
+++ b/core/balance/latency.go
@@ -31,27 +31,27 @@
 
 func (pk *Picker) latency(rq Request) *latency {
 	key := latencyKey{rq.Service, rq.Model, rq.Route}
-	pl := pk.latencies[key]
-	if pl == nil {
-		pl = new(latency)
-		pk.latencies[key] = pl
+	la := pk.latencies[key]
+	if la == nil {
+		la = new(latency)
+		pk.latencies[key] = la
 	}
-	return pl
+	return la
 }
 
-func (pl *latency) learn(took time.Duration) {
-	pl.count++
+func (la *latency) observe(took time.Duration) {
+	la.count++
 	val := took.Seconds()
-	if pl.count > 1 {
-		val = min(val, maxOutlier*pl.mean)
+	if la.count > 1 {
+		val = min(val, maxOutlier*la.mean)
 	}
-	pl.mean += max(latencyWeight, 1/float64(pl.count)) * (val - pl.mean)
+	la.mean += max(latencyWeight, 1/float64(la.count)) * (val - la.mean)
 }
 
 // meanOr returns the mean, or a default before the first response.
-func (pl *latency) meanOr(fallback time.Duration) time.Duration {
-	if pl.count == 0 {
+func (la *latency) meanOr(fallback time.Duration) time.Duration {
+	if la.count == 0 {
 		return fallback
 	}
-	return time.Duration(pl.mean * float64(time.Second))
+	return time.Duration(la.mean * float64(time.Second))
 }
--- a/core/balance/prefill.go
+++ b/core/balance/prefill.go
@@ -11,7 +11,7 @@
 //
 // The time to a header is the prompt's prefill, the prefill work queued before it and the network
 // and processing overhead. The first is wanted, and the other two are never negative: so the
-// estimator follows a low quantile, of attempts before which no queued work was known. A mean would
+// estimate is a low quantile, of attempts before which no queued work was known. A mean would
 // count the queueing of a busy pool as slow prefill.
 type prefillEstimator struct {
 	// overhead is the time to a header that doesn't depend on the prompt.
@@ -24,11 +24,11 @@
 	// defaultPrefill is the time for a thousand tokens before the first response of any model,
 	// about that of the largest model of a slow deployment.
 	defaultPrefill = 80 * time.Millisecond
-	// prefillQuantile is the quantile that is followed for prefill times: low, since unknown
+	// prefillQuantile is the quantile of the prefill times that is estimated: low, since unknown
 	// queueing only adds to them, but above the responses to prompts that were cached without this
 	// entry's knowledge.
 	prefillQuantile = 0.4
-	// overheadQuantile is the quantile that is followed for the overhead: the time of prompts that
+	// overheadQuantile is the quantile that is estimated for the overhead: the time of prompts that
 	// were fully cached.
 	overheadQuantile = 0.1
 	// fullWeightTokens is the length from which a prompt counts with full weight: the overhead
@@ -43,12 +43,12 @@
 // perThousand returns a model's prefill time for a thousand tokens. A model without samples is
 // assumed to be as slow as the slowest: too low an estimate sends many long prompts to one engine,
 // too high a one only distributes them.
-func (re *prefillEstimator) perThousand(mo core.ModelID) time.Duration {
-	if qu := re.models[mo]; qu != nil {
+func (est *prefillEstimator) perThousand(mo core.ModelID) time.Duration {
+	if qu := est.models[mo]; qu != nil {
 		return qu.estimate()
 	}
 	slowest := time.Duration(0)
-	for _, qu := range re.models {
+	for _, qu := range est.models {
 		slowest = max(slowest, qu.estimate())
 	}
 	if slowest == 0 {
@@ -57,21 +57,21 @@
 	return slowest
 }
 
-// learn records the time to the header of a response whose prompt had the given uncached tokens, at
-// an engine without known queued work. At least half of the time counts as prefill: the overhead is
-// unknown at first.
-func (re *prefillEstimator) learn(mo core.ModelID, uncached core.Tokens, took time.Duration) {
-	re.overhead.learn(took, overheadQuantile, 1)
+// observe records the time to the header of a response whose prompt had the given uncached tokens,
+// at an engine without known queued work. At least half of the time counts as prefill: the overhead
+// is unknown at first.
+func (est *prefillEstimator) observe(mo core.ModelID, uncached core.Tokens, took time.Duration) {
+	est.overhead.observe(took, overheadQuantile, 1)
 	if uncached <= 0 {
 		return
 	}
-	qu := re.models[mo]
+	qu := est.models[mo]
 	if qu == nil {
 		qu = new(quantile)
-		re.models[mo] = qu
+		est.models[mo] = qu
 	}
-	prefill := max(took-re.overhead.estimate(), took/2)
-	qu.learn(time.Duration(1000*float64(prefill)/float64(uncached)), prefillQuantile, min(float64(uncached)/fullWeightTokens, 1))
+	prefill := max(took-est.overhead.estimate(), took/2)
+	qu.observe(time.Duration(1000*float64(prefill)/float64(uncached)), prefillQuantile, min(float64(uncached)/fullWeightTokens, 1))
 }
 
 // quantile estimates a quantile of a series of times. Each sample moves the estimate by a share of
@@ -91,9 +91,9 @@
 
 func (qu *quantile) estimate() time.Duration { return time.Duration(qu.value) }
 
-// learn moves the estimate towards the target quantile, from 0 to 1, of the samples. The first sample
-// sets it, and the next few move it far.
-func (qu *quantile) learn(took time.Duration, target, weight float64) {
+// observe moves the estimate towards the target quantile, from 0 to 1, of the samples. The first
+// sample sets it, and the next few move it far.
+func (qu *quantile) observe(took time.Duration, target, weight float64) {
 	if qu.seen == 0 {
 		qu.value = max(float64(took), quantileMin)
 	}
--- a/core/balance/prefill_test.go
+++ b/core/balance/prefill_test.go
@@ -84,7 +84,7 @@
 			rq.Model = "large"
 		}
 		ho, _ := pk.Pick(now, en.hosts, rq, rnd.Float64)
-		fl := pk.Sent(now, ho, rq)
+		fl := pk.RecordSent(now, ho, rq)
 		inFlight = append(inFlight, response{fl, rq, en.send(now, ho, rq)})
 	}
 	finishResponses(pk, inFlight, start.Add(time.Hour))
@@ -94,13 +94,13 @@
 // finishResponses ends the responses whose header has arrived.
 func finishResponses(pk *balance.Picker, inFlight []response, now time.Time) []response {
 	var left []response
-	for _, an := range inFlight {
-		if an.headerAt.After(now) {
-			left = append(left, an)
+	for _, re := range inFlight {
+		if re.headerAt.After(now) {
+			left = append(left, re)
 			continue
 		}
-		pk.Begun(an.headerAt, an.fl, an.rq, nil)
-		pk.Ended(an.headerAt, an.fl, balance.Good)
+		pk.RecordHeader(re.headerAt, re.fl, re.rq, nil)
+		pk.RecordEnd(re.headerAt, re.fl, balance.Good)
 	}
 	return left
 }
@@ -128,7 +128,7 @@
 			for mo, thousand := range en.thousand {
 				rq := promptRequest(5000, 5000, 10_000)
 				rq.Model = mo
-				// Half of a shared part may be assumed to be cached at its home.
+				// Half of a shared part may be assumed to be cached at its preferred upstream.
 				got, want := float64(pk.ExpectedFirstByte(now, en.hosts, rq)), 8*float64(thousand)
 				assert.Assert(t, got > 0.6*want && got < 1.6*want, "%s: expected first byte after %v, want about %v", mo, time.Duration(got), time.Duration(want))
 			}
@@ -168,11 +168,11 @@
 	hosts := poolHosts(2, 64)
 	choose := func(slack time.Duration) core.UpstreamID {
 		pk := balance.New("muc-a", "muc")
-		fl := pk.Sent(start, hosts[0], draftRequest("plan", 0))
-		pk.Begun(start.Add(560*time.Millisecond), fl, draftRequest("plan", 0), nil)
-		pk.Ended(start.Add(time.Second), fl, balance.Good)
+		fl := pk.RecordSent(start, hosts[0], draftRequest("plan", 0))
+		pk.RecordHeader(start.Add(560*time.Millisecond), fl, draftRequest("plan", 0), nil)
+		pk.RecordEnd(start.Add(time.Second), fl, balance.Good)
 		for i := range 8 {
-			pk.Sent(start.Add(time.Second), hosts[0], draftRequest(fmt.Sprint("other-", i), 1+i))
+			pk.RecordSent(start.Add(time.Second), hosts[0], draftRequest(fmt.Sprint("other-", i), 1+i))
 		}
 		rq := draftRequest("plan", 99)
 		rq.Slack = slack
--- a/core/balance/rank_test.go
+++ b/core/balance/rank_test.go
@@ -29,11 +29,11 @@
 		if rn.Float64() < 0.05 {
 			prefill = 1600 * time.Millisecond
 		}
-		wt := rankedPrompt{prefill: prefill, arrived: at, seq: len(arrivals)}
+		rp := rankedPrompt{prefill: prefill, arrived: at, seq: len(arrivals)}
 		if ranked {
-			wt.rank = balance.Rank(0, prefill, rn.Float64())
+			rp.rank = balance.Rank(0, prefill, rn.Float64())
 		}
-		arrivals = append(arrivals, wt)
+		arrivals = append(arrivals, rp)
 	}
 	var queue []rankedPrompt
 	for now := time.Duration(0); now < duration; {
@@ -45,13 +45,13 @@
 			continue
 		}
 		slices.SortStableFunc(queue, func(a, b rankedPrompt) int { return a.rank - b.rank })
-		wt := queue[0]
+		rp := queue[0]
 		queue = queue[1:]
-		now += wt.prefill
+		now += rp.prefill
 		switch {
-		case wt.prefill > time.Second:
+		case rp.prefill > time.Second:
 			longDone++
-		case now-wt.arrived <= target:
+		case now-rp.arrived <= target:
 			short++
 		}
 	}
--- a/core/balance/remote.go
+++ b/core/balance/remote.go
@@ -16,11 +16,11 @@
 // entries report their queues to the entries here. If that load were derived from the local waits,
 // remote engines would look as busy as the local ones although they are idle.
 type RegionLoad struct {
-	// Region is the hash of its name, see [Hash].
+	// Region is the hash of the region's name, see [Hash].
 	Region uint64
-	// Shares are the upstreams with the most work, and Others the mean of the others that have any.
-	Shares []Share
-	Others Share
+	// Upstreams are the upstreams with the most work, and Others the mean of the others that have any.
+	Upstreams []UpstreamLoad
+	Others    UpstreamLoad
 }
 
 // remoteLoadTTL is how long a region's load counts; one entry or another announces it every
@@ -33,38 +33,38 @@
 
 // remoteLoad is the announced load of another region.
 type remoteLoad struct {
-	at     time.Time
-	shares map[uint64]Share
-	others Share
+	at        time.Time
+	upstreams map[uint64]UpstreamLoad
+	others    UpstreamLoad
 }
 
-// RegionLoad returns the known load of the local region, with at most the given number of upstreams
-// listed individually.
-func (pk *Picker) RegionLoad(now time.Time, most int) RegionLoad {
-	sum := maps.Clone(pk.siblingTotals(now).shares)
-	for _, pe := range pk.peers {
-		if pe.own > 0 {
-			addShare(sum, Share{pe.hash, pe.own, pe.pending})
+// RegionLoad returns the known load of the local region. It lists at most maxUpstreams upstreams
+// individually, and the mean of the others.
+func (pk *Picker) RegionLoad(now time.Time, maxUpstreams int) RegionLoad {
+	sum := maps.Clone(pk.siblingTotals(now).upstreams)
+	for _, us := range pk.states {
+		if us.own > 0 {
+			addLoad(sum, UpstreamLoad{us.hash, us.own, us.pending})
 		}
 	}
-	lo := RegionLoad{Region: Hash(pk.region), Shares: slices.Collect(maps.Values(sum))}
-	slices.SortFunc(lo.Shares, func(a, b Share) int {
+	lo := RegionLoad{Region: Hash(pk.region), Upstreams: slices.Collect(maps.Values(sum))}
+	slices.SortFunc(lo.Upstreams, func(a, b UpstreamLoad) int {
 		return cmp.Or(cmp.Compare(b.Pending, a.Pending), cmp.Compare(b.Own, a.Own), cmp.Compare(a.Upstream, b.Upstream))
 	})
-	if len(lo.Shares) > most {
-		lo.Others = meanShare(lo.Shares[most:])
-		lo.Shares = lo.Shares[:most]
+	if len(lo.Upstreams) > maxUpstreams {
+		lo.Others = meanLoad(lo.Upstreams[maxUpstreams:])
+		lo.Upstreams = lo.Upstreams[:maxUpstreams]
 	}
 	return lo
 }
 
-func meanShare(shares []Share) Share {
-	var sum Share
-	for _, sh := range shares {
-		sum.Own += sh.Own
-		sum.Pending += sh.Pending
+func meanLoad(loads []UpstreamLoad) UpstreamLoad {
+	var sum UpstreamLoad
+	for _, ul := range loads {
+		sum.Own += ul.Own
+		sum.Pending += ul.Pending
 	}
-	return Share{Own: sum.Own / len(shares), Pending: sum.Pending / time.Duration(len(shares))}
+	return UpstreamLoad{Own: sum.Own / len(loads), Pending: sum.Pending / time.Duration(len(loads))}
 }
 
 // ReceiveRegionLoad applies the load that another region announced.
@@ -72,34 +72,34 @@
 	if pk.off.Has(mechanism.RegionLoads) || lo.Region == Hash(pk.region) {
 		return
 	}
-	rl := remoteLoad{at: now, shares: make(map[uint64]Share, len(lo.Shares)), others: lo.Others}
-	for _, sh := range lo.Shares {
-		rl.shares[sh.Upstream] = sh
+	rl := remoteLoad{at: now, upstreams: make(map[uint64]UpstreamLoad, len(lo.Upstreams)), others: lo.Others}
+	for _, ul := range lo.Upstreams {
+		rl.upstreams[ul.Upstream] = ul
 	}
 	pk.remote[lo.Region] = rl
 }
 
 // RemoteCalls are the calls to upstreams of another region.
 type RemoteCalls struct {
-	// To is the hash of that region's name, and From that of the sender's.
+	// To is the hash of the name of that region, and From of the sender's region.
 	To, From uint64
-	Shares   []Share
+	Calls    []UpstreamLoad
 }
 
 // addRemoteCall queues a call for the announcement to the entries of its upstream's region.
-func (pk *Picker) addRemoteCall(pe *peer, sh Share) {
-	if pe.remote && len(pk.newRemoteCalls[pe.region]) < maxUnannounced {
-		pk.newRemoteCalls[pe.region] = append(pk.newRemoteCalls[pe.region], sh)
+func (pk *Picker) addRemoteCall(us *upstreamState, ul UpstreamLoad) {
+	if us.remote && len(pk.newRemoteCalls[us.region]) < maxUnannounced {
+		pk.newRemoteCalls[us.region] = append(pk.newRemoteCalls[us.region], ul)
 	}
 }
 
-// TakeRemoteCalls returns the calls to other regions since its last invocation. A long prompt there
-// delays all that come after it, and the load that a region announces once a second comes too late
-// for them.
+// TakeRemoteCalls returns the calls to other regions since the last call of TakeRemoteCalls, and
+// clears them. A long prompt there delays all that come after it, and the load that a region
+// announces once a second comes too late for them.
 func (pk *Picker) TakeRemoteCalls() []RemoteCalls {
 	var out []RemoteCalls
-	for region, shares := range pk.newRemoteCalls {
-		out = append(out, RemoteCalls{To: region, From: Hash(pk.region), Shares: shares})
+	for region, calls := range pk.newRemoteCalls {
+		out = append(out, RemoteCalls{To: region, From: Hash(pk.region), Calls: calls})
 	}
 	clear(pk.newRemoteCalls)
 	return out
@@ -112,25 +112,25 @@
 	if !known || now.Sub(rl.at) > remoteLoadTTL {
 		return
 	}
-	for _, sh := range sent.Shares {
-		addShare(rl.shares, sh)
+	for _, ul := range sent.Calls {
+		addLoad(rl.upstreams, ul)
 	}
 }
 
 // remoteWork returns the work that entries of other regions have at an upstream, and reports
 // whether the entries of its own region announced their load.
-func (pk *Picker) remoteWork(now time.Time, pe *peer) (own float64, pending time.Duration, known bool) {
+func (pk *Picker) remoteWork(now time.Time, us *upstreamState) (own float64, pending time.Duration, known bool) {
 	for region, rl := range pk.remote {
 		if now.Sub(rl.at) > remoteLoadTTL {
 			continue
 		}
-		sh, listed := rl.shares[pe.hash]
-		if !listed && region == pe.region {
-			sh = rl.others
+		ul, listed := rl.upstreams[us.hash]
+		if !listed && region == us.region {
+			ul = rl.others
 		}
-		own += float64(sh.Own)
-		pending += sh.Pending
-		known = known || region == pe.region
+		own += float64(ul.Own)
+		pending += ul.Pending
+		known = known || region == us.region
 	}
 	return own, pending, known
 }
--- a/core/balance/remote_test.go
+++ b/core/balance/remote_test.go
@@ -26,13 +26,13 @@
 func announceLocalWait(pk *balance.Picker, wait time.Duration) {
 	var lo balance.Load
 	for _, ho := range poolHosts(4, 64) {
-		lo.Shares = append(lo.Shares, balance.Share{Upstream: balance.Hash(ho.ID), Own: 2, Pending: wait})
+		lo.Upstreams = append(lo.Upstreams, balance.UpstreamLoad{Upstream: balance.Hash(ho.ID), Own: 2, Pending: wait})
 	}
 	pk.ReceiveLoad(start, 7, lo)
 }
 
-// Guards against many entries that move to another region at once, whose engines look idle since
-// its entries announce no load here.
+// The entries of another region announce no load here. Guards against taking the engines there as
+// idle: many entries would send their work there at once.
 func TestRemoteEnginesAreNotAssumedIdle(t *testing.T) {
 	rnd := rand.New(rand.NewPCG(5, 1))
 	pk := balance.New("muc-a", "muc")
@@ -45,8 +45,7 @@
 	}
 }
 
-// Guards against an admission control that admits everything while engines of another region look
-// idle.
+// Guards against admitting everything because engines of another region look idle.
 func TestMinWaitUsesLocalRegion(t *testing.T) {
 	pk := balance.New("muc-a", "muc")
 	announceLocalWait(pk, 900*time.Millisecond)
@@ -65,7 +64,7 @@
 	lo := balance.RegionLoad{Region: balance.Hash(region)}
 	for i := range 4 {
 		id := core.UpstreamID(fmt.Sprint("far-", i))
-		lo.Shares = append(lo.Shares, balance.Share{Upstream: balance.Hash(id), Own: 2, Pending: wait})
+		lo.Upstreams = append(lo.Upstreams, balance.UpstreamLoad{Upstream: balance.Hash(id), Own: 2, Pending: wait})
 	}
 	return lo
 }
@@ -105,19 +104,19 @@
 	pk := balance.New("muc-a", "muc")
 	hosts := poolHosts(4, 64)
 	for i := range hosts {
-		_ = pk.Sent(start, hosts[i], unsharedRequest)
+		_ = pk.RecordSent(start, hosts[i], unsharedRequest)
 	}
 	announceLocalWait(pk, 400*time.Millisecond)
 	lo := pk.RegionLoad(start, 3)
 	assert.Equal(t, lo.Region, balance.Hash(core.Region("muc")))
-	assert.Equal(t, len(lo.Shares), 3)
-	for _, sh := range append(lo.Shares, lo.Others) {
-		assert.Equal(t, sh.Own, 3)
-		assert.Assert(t, sh.Pending > 400*time.Millisecond)
+	assert.Equal(t, len(lo.Upstreams), 3)
+	for _, ul := range append(lo.Upstreams, lo.Others) {
+		assert.Equal(t, ul.Own, 3)
+		assert.Assert(t, ul.Pending > 400*time.Millisecond)
 	}
 	lo = pk.RegionLoad(start.Add(time.Minute), 64)
-	for _, sh := range lo.Shares {
-		assert.Equal(t, sh.Own, 1, "the announced loads have expired")
+	for _, ul := range lo.Upstreams {
+		assert.Equal(t, ul.Own, 1, "the announced loads have expired")
 	}
 }
 
@@ -127,12 +126,12 @@
 	here, there := balance.New("muc-a", "muc"), balance.New("nue-a", "nue")
 	hosts := twoRegions()
 	far := hosts[len(hosts)-1]
-	_ = here.Sent(start, far, draftRequest("plan-1", 1))
-	_ = here.Sent(start, hosts[0], draftRequest("plan-2", 2))
+	_ = here.RecordSent(start, far, draftRequest("plan-1", 1))
+	_ = here.RecordSent(start, hosts[0], draftRequest("plan-2", 2))
 	sent := here.TakeRemoteCalls()
 	assert.Equal(t, len(sent), 1)
 	assert.Equal(t, sent[0].To, balance.Hash(core.Region("nue")))
-	assert.Equal(t, len(sent[0].Shares), 1)
+	assert.Equal(t, len(sent[0].Calls), 1)
 	assert.Equal(t, len(here.TakeRemoteCalls()), 0, "calls are announced once")
 
 	wait := func() time.Duration { return there.MinWait(start, []core.Host{far}) }
@@ -142,8 +141,8 @@
 	there.ReceiveRegionLoad(start, balance.RegionLoad{Region: sent[0].From})
 	there.ReceiveRemoteCalls(start, sent[0])
 	assert.Assert(t, wait() > 500*time.Millisecond, "%s", wait())
-	there.ReceiveRegionLoad(start, balance.RegionLoad{Region: sent[0].From, Shares: sent[0].Shares})
-	assert.Equal(t, wait(), sent[0].Shares[0].Pending, "the call counts once")
+	there.ReceiveRegionLoad(start, balance.RegionLoad{Region: sent[0].From, Upstreams: sent[0].Calls})
+	assert.Equal(t, wait(), sent[0].Calls[0].Pending, "the call counts once")
 }
 
 // TestRemoteOnlyPromptsAreNotAnnounced guards against hashes of a prompt that are sent to entries of
@@ -152,9 +151,9 @@
 	pk := balance.New("muc-a", "muc")
 	rq := draftRequest("plan-1", 1)
 	rq.RemoteOnly = true
-	_ = pk.Sent(start, twoRegions()[5], rq)
+	_ = pk.RecordSent(start, twoRegions()[5], rq)
 	assert.Equal(t, len(pk.TakeLoad().CachedParts), 0)
 	rq.RemoteOnly = false
-	_ = pk.Sent(start, twoRegions()[0], rq)
+	_ = pk.RecordSent(start, twoRegions()[0], rq)
 	assert.Assert(t, len(pk.TakeLoad().CachedParts) > 0)
 }
--- a/core/balance/peer.go
+++ b/core/balance/upstream_state.go
@@ -7,8 +7,8 @@
 	"skylarkstand/core"
 )
 
-// peer is the state of one upstream.
-type peer struct {
+// upstreamState is the state of one upstream.
+type upstreamState struct {
 	startedAt int64
 	hash      uint64
 	// remote is set for an upstream of another region; region is the hash of its region.
@@ -64,18 +64,18 @@
 const avoidedFailureRate = failureWeight
 
 // isAvoided reports whether work is kept from the upstream.
-func (pe *peer) isAvoided(now time.Time) bool {
-	return now.Before(pe.downUntil) || pe.failureRate(now) >= avoidedFailureRate
+func (us *upstreamState) isAvoided(now time.Time) bool {
+	return now.Before(us.downUntil) || us.failureRate(now) >= avoidedFailureRate
 }
 
 // updateAvoided updates after an outcome whether the upstream is avoided, and returns the change.
-func (pe *peer) updateAvoided(now time.Time) AvoidanceChange {
-	was := pe.avoided
-	pe.avoided = pe.isAvoided(now)
+func (us *upstreamState) updateAvoided(now time.Time) AvoidanceChange {
+	was := us.avoided
+	us.avoided = us.isAvoided(now)
 	switch {
-	case pe.avoided == was:
+	case us.avoided == was:
 		return Unchanged
-	case pe.avoided:
+	case us.avoided:
 		return Avoided
 	default:
 		return Restored
@@ -122,27 +122,27 @@
 	ratioMargin = 1.5
 )
 
-// peer returns the state of an upstream. An upstream that restarts under the same id gets a new
+// stateOf returns the state of an upstream. An upstream that restarts under the same id gets a new
 // state.
-func (pk *Picker) peer(ho *core.Host) *peer {
-	pe := pk.peers[ho.ID]
-	if pe == nil || pe.startedAt != ho.StartedAt {
-		pe = &peer{startedAt: ho.StartedAt, hash: Hash(ho.ID), remote: ho.Region != pk.region, region: Hash(ho.Region), slowRatio: 1, cache: newPrefixCache()}
-		pk.peers[ho.ID], pk.byHash[pe.hash] = pe, pe
+func (pk *Picker) stateOf(ho *core.Host) *upstreamState {
+	us := pk.states[ho.ID]
+	if us == nil || us.startedAt != ho.StartedAt {
+		us = &upstreamState{startedAt: ho.StartedAt, hash: Hash(ho.ID), remote: ho.Region != pk.region, region: Hash(ho.Region), slowRatio: 1, cache: newPrefixCache()}
+		pk.states[ho.ID], pk.byHash[us.hash] = us, us
 	}
-	return pe
+	return us
 }
 
 // Forget deletes the state of an upstream that is gone.
 func (pk *Picker) Forget(id core.UpstreamID) {
-	delete(pk.peers, id)
+	delete(pk.states, id)
 	delete(pk.byHash, Hash(id))
 }
 
 // load returns the calls at the upstream: this entry's own, and the others' as they were reported,
 // decaying with age.
-func (pe *peer) load(now time.Time) float64 {
-	return float64(pe.own) + pe.reportedOthers*decay(now.Sub(pe.reportedAt), reportHalfLife)
+func (us *upstreamState) load(now time.Time) float64 {
+	return float64(us.own) + us.reportedOthers*decay(now.Sub(us.reportedAt), reportHalfLife)
 }
 
 // decay is the weight of a value of the given age that halves with each half-life.
@@ -150,87 +150,87 @@
 	return math.Exp2(-float64(max(age, 0)) / float64(halfLife))
 }
 
-func (pe *peer) recordReport(now time.Time, lo core.Load) {
-	pe.reportedOthers = max(float64(lo.Running+lo.Queued-pe.own), 0)
-	pe.reportedQueue = max(float64(lo.Queued-pe.unanswered), 0)
-	pe.reportedAt = now
+func (us *upstreamState) recordReport(now time.Time, lo core.Load) {
+	us.reportedOthers = max(float64(lo.Running+lo.Queued-us.own), 0)
+	us.reportedQueue = max(float64(lo.Queued-us.unanswered), 0)
+	us.reportedAt = now
 }
 
 // reportedWait returns the prefill time of the other entries' queued prompts, each taken as the
 // usual one. A report of a queue is outdated as soon as the engine has finished a prefill.
-func (pe *peer) reportedWait(now time.Time, usual time.Duration) time.Duration {
-	return time.Duration(pe.reportedQueue * decay(now.Sub(pe.reportedAt), queueHalfLife) * float64(usual))
+func (us *upstreamState) reportedWait(now time.Time, usual time.Duration) time.Duration {
+	return time.Duration(us.reportedQueue * decay(now.Sub(us.reportedAt), queueHalfLife) * float64(usual))
 }
 
-func (pe *peer) failureRate(now time.Time) float64 {
-	return pe.failures * decay(now.Sub(pe.lastOutcome), failureHalfLife)
+func (us *upstreamState) failureRate(now time.Time) float64 {
+	return us.failures * decay(now.Sub(us.lastOutcome), failureHalfLife)
 }
 
 // unavailableCost is the penalty, as time, for an upstream that could not be reached or had no
 // capacity a moment ago.
-func (pe *peer) unavailableCost(now time.Time) time.Duration {
+func (us *upstreamState) unavailableCost(now time.Time) time.Duration {
 	var cost time.Duration
-	if now.Before(pe.downUntil) {
+	if now.Before(us.downUntil) {
 		cost += downCost
 	}
-	if now.Before(pe.fullUntil) {
+	if now.Before(us.fullUntil) {
 		cost += fullCost
 	}
 	return cost
 }
 
 // failurePenalty is the penalty, as time, for an upstream's failure rate.
-func (pe *peer) failurePenalty(now time.Time, fi decision, rq Request) time.Duration {
-	excess := max(pe.failureRate(now)-fi.minFailureRate-failureMargin, 0)
+func (us *upstreamState) failurePenalty(now time.Time, de decision, rq Request) time.Duration {
+	excess := max(us.failureRate(now)-de.minFailureRate-failureMargin, 0)
 	// A failed request needs prefill again elsewhere, whatever was cached here.
-	cost := failureCost + prefillTime(fi.prefill, rq.Prompt) + fi.repeatedPrefill
+	cost := failureCost + prefillTime(de.prefill, rq.Prompt) + de.repeatedPrefill
 	if rq.AtMostOnce {
 		cost = failureCostOnce
 	}
 	return time.Duration(excess * float64(cost))
 }
 
-func (pe *peer) recordOutcome(now time.Time, out Outcome) {
+func (us *upstreamState) recordOutcome(now time.Time, out Outcome) {
 	failed := 0.0
 	switch out {
 	case Abandoned:
 		return
 	case Refused:
-		pe.fullUntil = now.Add(fullFor)
+		us.fullUntil = now.Add(fullFor)
 		return
 	case Unreachable, NotListening:
-		pe.failedConnects++
+		us.failedConnects++
 		most := maxDown
 		if out == NotListening {
 			most = maxDownNotListening
 		}
-		pe.downUntil = now.Add(min(minDown<<min(pe.failedConnects-1, 4), most))
-		pe.unreachableUntil = pe.downUntil
+		us.downUntil = now.Add(min(minDown<<min(us.failedConnects-1, 4), most))
+		us.unreachableUntil = us.downUntil
 		return
 	case Replaced:
-		pe.downUntil = now.Add(replacedFor)
+		us.downUntil = now.Add(replacedFor)
 		return
 	case Failed, Overdue:
 		failed = 1
 	case Good:
-		pe.failedConnects = 0
+		us.failedConnects = 0
 	}
-	pe.failures = pe.failureRate(now)
-	pe.failures += failureWeight * (failed - pe.failures)
-	pe.lastOutcome = now
+	us.failures = us.failureRate(now)
+	us.failures += failureWeight * (failed - us.failures)
+	us.lastOutcome = now
 }
 
 // recordLatency updates the slow ratio with the time that a response took to begin, as a multiple of
 // the mean of its route and model or of the prefill time of its own prompt, whichever is longer.
-func (pe *peer) recordLatency(pl *latency, took, prefill time.Duration) {
-	if pl.count < minSamples {
+func (us *upstreamState) recordLatency(la *latency, took, prefill time.Duration) {
+	if la.count < minSamples {
 		return
 	}
-	ratio := float64(took) / float64(max(pl.meanOr(0), prefill, time.Millisecond))
-	pe.slowRatio += ratioWeight * (min(ratio, maxRatio) - pe.slowRatio)
+	ratio := float64(took) / float64(max(la.meanOr(0), prefill, time.Millisecond))
+	us.slowRatio += ratioWeight * (min(ratio, maxRatio) - us.slowRatio)
 }
 
 // slowFactor is the factor on an upstream's expected time.
-func (pe *peer) slowFactor() float64 {
-	return max(pe.slowRatio/ratioMargin, 1)
+func (us *upstreamState) slowFactor() float64 {
+	return max(us.slowRatio/ratioMargin, 1)
 }
--- a/core/forward/answer.go
+++ b/core/forward/answer.go
@@ -38,7 +38,7 @@
 
 const (
 	// bufferLimit is the size in bytes up to which an answer that is not a stream is buffered
-	// until it is whole, so that one that breaks off can be retried and no truncated answer
+	// until it is complete, so that one that breaks off can be retried and no truncated answer
 	// reaches the caller.
 	bufferLimit = 256 << 10
 	// chunkSize is the size in bytes of the pieces in which larger answers are passed on.
@@ -56,7 +56,7 @@
 		ans.ev = newEvents(at.reply.Body)
 		ans.pending, ans.err = ans.nextEvent()
 	} else {
-		ans.pending, ans.err = ans.readWhole()
+		ans.pending, ans.err = ans.readBuffered()
 	}
 	if ans.err == nil || errors.Is(ans.err, io.EOF) {
 		ans.recordFirstEvent()
@@ -91,7 +91,7 @@
 // Stream reports whether the answer is an event stream, which is passed on event by event.
 func (ans *Answer) Stream() bool { return ans.ev != nil }
 
-// Length returns the length in bytes of an answer that is whole already, or -1.
+// Length returns the length in bytes of an answer that is complete already, or -1.
 func (ans *Answer) Length() int {
 	if ans.ev == nil && errors.Is(ans.err, io.EOF) {
 		return len(ans.pending)
@@ -132,8 +132,8 @@
 	}
 }
 
-// readWhole reads an answer that is not a stream, up to bufferLimit.
-func (ans *Answer) readWhole() ([]byte, error) {
+// readBuffered reads an answer that is not a stream, up to bufferLimit.
+func (ans *Answer) readBuffered() ([]byte, error) {
 	data, err := io.ReadAll(io.LimitReader(ans.at.reply.Body, bufferLimit))
 	switch {
 	case err != nil:
@@ -162,7 +162,7 @@
 	}
 }
 
-// nextEvent returns the next whole event. When the stream breaks, it resumes at another upstream
+// nextEvent returns the next complete event. When the stream breaks, it resumes at another upstream
 // if that is allowed.
 func (ans *Answer) nextEvent() ([]byte, error) {
 	for {
@@ -270,7 +270,7 @@
 	return err
 }
 
-// errCallerGone ends an answer that its caller did not receive whole.
+// errCallerGone ends an answer that its caller did not receive completely.
 var errCallerGone = errors.New("the caller left before the end")
 
 // Close cancels the answer if it has not ended, and frees its resources.
--- a/core/forward/attempt.go
+++ b/core/forward/attempt.go
@@ -158,7 +158,7 @@
 	return unreached
 }
 
-// recordFailure records why the attempt returned no whole answer. If its context was canceled,
+// recordFailure records why the attempt returned no complete answer. If its context was canceled,
 // the cause is more specific than the resulting connection error.
 func (at *attempt) recordFailure(err error) {
 	at.reason = err.Error()
@@ -181,7 +181,7 @@
 		}
 		return
 	}
-	fw.picker.Begun(at.began, at.flight, at.rq, at.reply.Load)
+	fw.picker.RecordHeader(at.began, at.flight, at.rq, at.reply.Load)
 }
 
 // discard ends an attempt whose answer is not used.
@@ -226,7 +226,7 @@
 	case errors.Is(context.Cause(at.ctx), errHeaderTimeout):
 		out = balance.Overdue
 	}
-	change, failureRate := fw.picker.Ended(now, at.flight, out)
+	change, failureRate := fw.picker.RecordEnd(now, at.flight, out)
 	fw.mu.Unlock()
 	at.reportOutcome(at.canaryOutcome(ve, neutral))
 	fw.components.Canary.AttemptEnded(now, jb.ex.Session, at.to)
--- a/core/forward/doc.go
+++ b/core/forward/doc.go
@@ -5,7 +5,7 @@
 // The order of events limits what may be reported to the caller. "Not run" is reported only when
 // every attempt was refused by its upstream or was never sent. Work that may run at most once is
 // not sent again once it may have run. An answer may be replaced by another one while the caller
-// has received nothing of it; a partly delivered answer may only be resumed after its last whole
+// has received nothing of it; a partly delivered answer may only be resumed after its last complete
 // event.
 //
 // The decisions do no I/O: they are made in [route], [balance], [canary] and [retry], and by this
--- a/core/forward/events.go
+++ b/core/forward/events.go
@@ -8,7 +8,7 @@
 	"strings"
 )
 
-// events splits a stream into whole events. An incomplete event at the end is withheld: an
+// events splits a stream into complete events. An incomplete event at the end is withheld: an
 // upstream that breaks off may cut an event in the middle.
 type events struct {
 	br  *bufio.Reader
@@ -27,8 +27,8 @@
 func newEvents(rd io.Reader) *events { return &events{br: bufio.NewReaderSize(rd, eventBufferSize)} }
 
 // next returns the next event with the blank line that ends it. Its bytes are valid until the
-// next call. The end of a whole stream is io.EOF; a last part without a blank line belongs to
-// the answer and is returned as a last piece.
+// next call. Bytes at the end of the stream without a blank line are returned as one more event.
+// After the last event it returns io.EOF.
 func (ev *events) next() ([]byte, error) {
 	ev.buf = ev.buf[:0]
 	if ev.err != nil {
--- a/core/forward/fault.go
+++ b/core/forward/fault.go
@@ -46,9 +46,9 @@
 	at.logAvoidanceChange(change, failed, failureRate)
 }
 
-// timeLimitTooShort reports whether the upstream reported a timeout after a time limit that is short
-// for this route. While the usual time of the route is unknown, the time limit is taken to be
-// the cause.
+// timeLimitTooShort reports whether the upstream's timeout (504) was probably caused by the time
+// limit that the attempt gave it: a limit that is short for this route. While the usual time of the
+// route is unknown, the limit is taken to be the cause.
 func (at *attempt) timeLimitTooShort() bool {
 	if at.reply == nil || at.reply.Status != http.StatusGatewayTimeout || !at.bounded {
 		return false
--- a/core/forward/fixture_test.go
+++ b/core/forward/fixture_test.go
@@ -64,15 +64,15 @@
 // newFixture returns a fixture. It must be called inside a synctest bubble.
 func newFixture(t *testing.T, behaviors ...behavior) *fixture {
 	t.Helper()
-	wo := newUnconfiguredFixture(t, behaviors...)
-	wo.inf.Adopt(wo.tb)
-	return wo
+	fx := newUnconfiguredFixture(t, behaviors...)
+	fx.inf.Adopt(fx.tb)
+	return fx
 }
 
 // newUnconfiguredFixture returns a fixture whose entry has no configuration yet.
 func newUnconfiguredFixture(t *testing.T, behaviors ...behavior) *fixture {
 	t.Helper()
-	wo := &fixture{t: t, behaviors: behaviors, inf: route.NewInForce(), fl: fleet.New(), key: "key"}
+	fx := &fixture{t: t, behaviors: behaviors, inf: route.NewInForce(), fl: fleet.New(), key: "key"}
 	doc := route.Document{
 		Version:  3,
 		Services: []route.Service{{ID: "pool"}},
@@ -86,38 +86,38 @@
 		doc.Routes = append(doc.Routes, rt)
 	}
 	var err error
-	wo.tb, err = route.New(doc)
+	fx.tb, err = route.New(doc)
 	assert.NilError(t, err)
 	for i := range 4 {
-		wo.fl.Put(core.Host{ID: core.UpstreamID(fmt.Sprint("up-", i)), Service: "pool", Version: "v1", Slots: 8})
+		fx.fl.Put(core.Host{ID: core.UpstreamID(fmt.Sprint("up-", i)), Service: "pool", Version: "v1", Slots: 8})
 	}
 	deps := core.NewDeps()
-	deps.Log = slog.New(slog.NewJSONHandler(&wo.log, nil))
-	wo.fw = forward.New(deps, wo, forward.Components{
-		InForce: wo.inf, Fleet: wo.fl, Warmup: warmup.New("self"), Canary: canary.New(),
-		ConfigAge:      func() time.Duration { return wo.age },
+	deps.Log = slog.New(slog.NewJSONHandler(&fx.log, nil))
+	fx.fw = forward.New(deps, fx, forward.Components{
+		InForce: fx.inf, Fleet: fx.fl, Warmup: warmup.New("self"), Canary: canary.New(),
+		ConfigAge:      func() time.Duration { return fx.age },
 		NewRetryWindow: func() *retry.Window { return retry.NewWindow(10*time.Second, 1, func() float64 { return 20 }) },
-		Stopping:       func() (time.Duration, bool) { return wo.left, wo.left > 0 },
+		Stopping:       func() (time.Duration, bool) { return fx.left, fx.left > 0 },
 	}, forward.RandomSource(func() float64 { return 0.5 }))
-	return wo
+	return fx
 }
 
 // Call implements core.UpstreamClient.
-func (wo *fixture) Call(ctx context.Context, ca *core.Call) (*core.Reply, error) {
-	wo.mu.Lock()
-	n := len(wo.calls)
-	wo.calls = append(wo.calls, *ca)
-	wo.mu.Unlock()
-	return wo.behaviors[min(n, len(wo.behaviors)-1)](ctx, ca)
+func (fx *fixture) Call(ctx context.Context, ca *core.Call) (*core.Reply, error) {
+	fx.mu.Lock()
+	n := len(fx.calls)
+	fx.calls = append(fx.calls, *ca)
+	fx.mu.Unlock()
+	return fx.behaviors[min(n, len(fx.behaviors)-1)](ctx, ca)
 }
 
-// send sends a request and returns the whole answer, or the failure.
-func (wo *fixture) send(ctx context.Context, path string) (int, string, error) {
+// send sends a request and returns the complete answer, or the failure.
+func (fx *fixture) send(ctx context.Context, path string) (int, string, error) {
 	ex := &core.Exchange{
-		ID: "r1", Host: "a.example", Path: path, Target: path, Method: http.MethodPost, Key: wo.key,
+		ID: "r1", Host: "a.example", Path: path, Target: path, Method: http.MethodPost, Key: fx.key,
 		Header: http.Header{}, Arrived: time.Now(), Deadline: 10 * time.Second, AnyModel: true,
 	}
-	ans, err := wo.fw.Forward(ctx, ex)
+	ans, err := fx.fw.Forward(ctx, ex)
 	if err != nil {
 		return 0, "", err
 	}
@@ -169,7 +169,7 @@
 	}
 }
 
-// answers replies with a whole answer.
+// answers replies with a complete answer.
 func answers(status int, text string) behavior {
 	return func(context.Context, *core.Call) (*core.Reply, error) { return reply(status, text), nil }
 }
@@ -253,11 +253,11 @@
 }
 
 // logLines returns the logged lines of the given events.
-func (wo *fixture) logLines(events ...string) []logLine {
+func (fx *fixture) logLines(events ...string) []logLine {
 	var out []logLine
-	for row := range bytes.Lines(wo.log.Bytes()) {
+	for row := range bytes.Lines(fx.log.Bytes()) {
 		var li logLine
-		assert.NilError(wo.t, json.Unmarshal(row, &li))
+		assert.NilError(fx.t, json.Unmarshal(row, &li))
 		if slices.Contains(events, li.Msg) {
 			out = append(out, li)
 		}
@@ -266,14 +266,14 @@
 }
 
 // adoptWith puts a newer configuration in force, with the given workspace.
-func (wo *fixture) adoptWith(version route.Version, ws route.Workspace) {
-	wo.t.Helper()
+func (fx *fixture) adoptWith(version route.Version, ws route.Workspace) {
+	fx.t.Helper()
 	doc := route.Document{Version: version, Services: []route.Service{{ID: "pool"}}, Workspaces: []route.Workspace{ws}}
 	for _, rt := range routes {
 		rt.Host, rt.Splits = "a.example", []route.Split{{Service: "pool", Weight: 1}}
 		doc.Routes = append(doc.Routes, rt)
 	}
 	tb, err := route.New(doc)
-	assert.NilError(wo.t, err)
-	wo.inf.Adopt(tb)
+	assert.NilError(fx.t, err)
+	fx.inf.Adopt(tb)
 }
--- a/core/forward/forward.go
+++ b/core/forward/forward.go
@@ -77,9 +77,8 @@
 	return fw
 }
 
-// staleConfigAge is the age of the configuration above which an unknown key or route may simply
-// not have been received yet. It is well above the interval between two confirmations of a quiet
-// store.
+// staleConfigAge is the age from which a configuration may lack a key or route that the store has
+// already. It is well above the interval between two confirmations by a store without changes.
 const staleConfigAge = 7 * time.Second
 
 // noConfigRetryAfter is the Retry-After of a process without any configuration. Only the store,
--- a/core/forward/forward_test.go
+++ b/core/forward/forward_test.go
@@ -48,9 +48,9 @@
 	for _, sc := range scenarios {
 		t.Run(sc.testName, func(t *testing.T) {
 			runInBubble(t, func(t *testing.T) {
-				wo := newFixture(t, sc.behaviors...)
-				status, text, err := wo.send(t.Context(), sc.path)
-				assert.Equal(t, len(wo.calls), sc.calls)
+				fx := newFixture(t, sc.behaviors...)
+				status, text, err := fx.send(t.Context(), sc.path)
+				assert.Equal(t, len(fx.calls), sc.calls)
 				if sc.status != 0 {
 					assert.NilError(t, err)
 					assert.Equal(t, status, sc.status)
@@ -93,12 +93,12 @@
 	for _, sc := range scenarios {
 		t.Run(sc.testName, func(t *testing.T) {
 			runInBubble(t, func(t *testing.T) {
-				wo := newFixture(t, sc.behaviors...)
-				_, text, err := wo.send(t.Context(), sc.path)
+				fx := newFixture(t, sc.behaviors...)
+				_, text, err := fx.send(t.Context(), sc.path)
 				assert.Equal(t, text, sc.text)
 				assert.Equal(t, err == nil, sc.whole, "%v", err)
 				var after []string
-				for _, ca := range wo.calls {
+				for _, ca := range fx.calls {
 					after = append(after, ca.ResumeAfter)
 				}
 				assert.DeepEqual(t, after, sc.after)
@@ -125,12 +125,12 @@
 	for _, sc := range scenarios {
 		t.Run(sc.testName, func(t *testing.T) {
 			runInBubble(t, func(t *testing.T) {
-				wo := newFixture(t, sc.behaviors...)
-				_, text, err := wo.send(t.Context(), "/draft/1")
+				fx := newFixture(t, sc.behaviors...)
+				_, text, err := fx.send(t.Context(), "/draft/1")
 				assert.NilError(t, err)
 				assert.Equal(t, text, sc.text)
 				var models []core.ModelID
-				for _, ca := range wo.calls {
+				for _, ca := range fx.calls {
 					models = append(models, ca.Model)
 				}
 				assert.DeepEqual(t, models, sc.models)
@@ -143,11 +143,11 @@
 // low-confidence answer: the largest model must run it from the start.
 func TestAtMostOnceWorkStartsAtTheLargestModel(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
-		wo := newFixture(t, withConfidence(2, "data: hm\n\n"))
-		_, _, err := wo.send(t.Context(), "/chat/1")
+		fx := newFixture(t, withConfidence(2, "data: hm\n\n"))
+		_, _, err := fx.send(t.Context(), "/chat/1")
 		assert.NilError(t, err)
-		assert.Equal(t, len(wo.calls), 1)
-		assert.Equal(t, wo.calls[0].Model, core.ModelID("large"))
+		assert.Equal(t, len(fx.calls), 1)
+		assert.Equal(t, fx.calls[0].Model, core.ModelID("large"))
 	})
 }
 
@@ -156,18 +156,18 @@
 // route's timeout, and against upstreams that get more time than is left.
 func TestUnresponsiveUpstream(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
-		wo := newFixture(t, hangs, answers(http.StatusOK, "done"))
+		fx := newFixture(t, hangs, answers(http.StatusOK, "done"))
 		began := time.Now()
-		_, text, err := wo.send(t.Context(), "/lookup/1")
+		_, text, err := fx.send(t.Context(), "/lookup/1")
 		assert.NilError(t, err)
 		assert.Equal(t, text, "done")
 		assert.Assert(t, time.Since(began) < 400*time.Millisecond, "took %s", time.Since(began))
-		assert.Assert(t, wo.calls[1].Timeout <= wo.calls[0].Timeout-time.Since(began), "%s, then %s", wo.calls[0].Timeout, wo.calls[1].Timeout)
+		assert.Assert(t, fx.calls[1].Timeout <= fx.calls[0].Timeout-time.Since(began), "%s, then %s", fx.calls[0].Timeout, fx.calls[1].Timeout)
 	})
 	runInBubble(t, func(t *testing.T) {
-		wo := newFixture(t, hangs)
+		fx := newFixture(t, hangs)
 		began := time.Now()
-		_, _, err := wo.send(t.Context(), "/claim/1")
+		_, _, err := fx.send(t.Context(), "/claim/1")
 		var fl *core.Failure
 		assert.Assert(t, errors.As(err, &fl))
 		assert.Equal(t, fl.Ran, core.RanUnknown)
@@ -181,7 +181,7 @@
 func TestCallerDisconnects(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
 		var canceledAt time.Time
-		wo := newFixture(t, func(ctx context.Context, ca *core.Call) (*core.Reply, error) {
+		fx := newFixture(t, func(ctx context.Context, ca *core.Call) (*core.Reply, error) {
 			<-ctx.Done()
 			canceledAt = time.Now()
 			return hangs(ctx, ca)
@@ -189,10 +189,10 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		time.AfterFunc(100*time.Millisecond, cancel)
 		began := time.Now()
-		_, _, err := wo.send(ctx, "/lookup/1")
+		_, _, err := fx.send(ctx, "/lookup/1")
 		assert.ErrorContains(t, err, string(core.CodeCallerGone))
 		assert.Equal(t, canceledAt.Sub(began), 100*time.Millisecond)
-		assert.Equal(t, len(wo.calls), 1)
+		assert.Equal(t, len(fx.calls), 1)
 	})
 }
 
@@ -205,14 +205,14 @@
 		code core.Code
 	}{{time.Second, core.CodeUnauthorized}, {time.Minute, core.CodeStaleConfig}} {
 		runInBubble(t, func(t *testing.T) {
-			wo := newFixture(t, answers(http.StatusOK, "done"))
-			wo.age = sc.age
-			_, err := wo.fw.Forward(t.Context(), &core.Exchange{Host: "a.example", Path: "/claim/1", Key: "new", Arrived: time.Now()})
+			fx := newFixture(t, answers(http.StatusOK, "done"))
+			fx.age = sc.age
+			_, err := fx.fw.Forward(t.Context(), &core.Exchange{Host: "a.example", Path: "/claim/1", Key: "new", Arrived: time.Now()})
 			var fl *core.Failure
 			assert.Assert(t, errors.As(err, &fl))
 			assert.Equal(t, fl.Code, sc.code)
 			assert.Equal(t, fl.Ran, core.NotRun)
-			assert.Equal(t, len(wo.calls), 0)
+			assert.Equal(t, len(fx.calls), 0)
 		})
 	}
 }
@@ -235,15 +235,15 @@
 	} {
 		t.Run(sc.testName, func(t *testing.T) {
 			runInBubble(t, func(t *testing.T) {
-				wo := newFixture(t, answers(http.StatusOK, "done"))
-				wo.left = sc.left
-				_, _, err := wo.send(t.Context(), sc.path)
+				fx := newFixture(t, answers(http.StatusOK, "done"))
+				fx.left = sc.left
+				_, _, err := fx.send(t.Context(), sc.path)
 				assert.Equal(t, err == nil, sc.served, "%v", err)
 				var fl *core.Failure
 				if errors.As(err, &fl) {
 					assert.Equal(t, fl.Ran, core.NotRun)
 					assert.Assert(t, fl.RetryAfter > sc.left, "the Retry-After ends after the process has stopped")
-					assert.Equal(t, len(wo.calls), 0)
+					assert.Equal(t, len(fx.calls), 0)
 				}
 			})
 		})
--- a/core/forward/gossip.go
+++ b/core/forward/gossip.go
@@ -7,7 +7,8 @@
 	"skylarkstand/core/mechanism"
 )
 
-// TakeFacts returns the facts about upstreams that this entry has observed since the last call.
+// TakeFacts returns the facts about upstreams that this entry has observed since the last call, and
+// clears them.
 func (fw *Forwarder) TakeFacts() []balance.Fact {
 	fw.mu.Lock()
 	defer fw.mu.Unlock()
@@ -24,29 +25,30 @@
 // SentSignal returns a channel that receives whenever TakeCalls has something to return.
 func (fw *Forwarder) SentSignal() <-chan struct{} { return fw.sentSignal }
 
-// TakeCalls returns the work that was sent to upstreams since the last call.
-func (fw *Forwarder) TakeCalls() []balance.Share {
+// TakeCalls returns the work that was sent to upstreams since the last call, and clears it.
+func (fw *Forwarder) TakeCalls() []balance.UpstreamLoad {
 	fw.mu.Lock()
 	defer fw.mu.Unlock()
 	return fw.picker.TakeCalls()
 }
 
 // ReceiveCalls processes the work that a sibling entry has just sent.
-func (fw *Forwarder) ReceiveCalls(from uint64, sent []balance.Share) {
+func (fw *Forwarder) ReceiveCalls(from uint64, sent []balance.UpstreamLoad) {
 	fw.mu.Lock()
 	defer fw.mu.Unlock()
 	fw.picker.ReceiveCalls(time.Now(), from, sent)
 }
 
-// RegionLoad returns the load report for entries of other regions, which lists at most the given
-// number of upstreams individually.
-func (fw *Forwarder) RegionLoad(most int) balance.RegionLoad {
+// RegionLoad returns the load report for entries of other regions, which lists at most maxUpstreams
+// upstreams individually.
+func (fw *Forwarder) RegionLoad(maxUpstreams int) balance.RegionLoad {
 	fw.mu.Lock()
 	defer fw.mu.Unlock()
-	return fw.picker.RegionLoad(time.Now(), most)
+	return fw.picker.RegionLoad(time.Now(), maxUpstreams)
 }
 
-// TakeRemoteCalls returns the work that was sent to other regions since the last call.
+// TakeRemoteCalls returns the work that was sent to other regions since the last call, and clears
+// it.
 func (fw *Forwarder) TakeRemoteCalls() []balance.RemoteCalls {
 	fw.mu.Lock()
 	defer fw.mu.Unlock()
@@ -68,8 +70,8 @@
 	fw.picker.ReceiveRegionLoad(time.Now(), lo)
 }
 
-// TakeLoad returns this entry's load report for sibling entries: its work at upstreams and its
-// retries left.
+// TakeLoad returns this entry's load report for sibling entries: its work at upstreams, its retries
+// left, and the prompt parts sent to upstreams since the last call, which it clears.
 func (fw *Forwarder) TakeLoad() balance.Load {
 	fw.mu.Lock()
 	defer fw.mu.Unlock()
--- a/core/forward/job.go
+++ b/core/forward/job.go
@@ -188,8 +188,8 @@
 	}
 }
 
-// slack is the time left to the target latency of the first event, or 0 without a target. It is
-// at least minTimeLeft, also for a request that is already late.
+// slack returns the time left to the target latency of the first event, and at least minTimeLeft
+// even for a late request. Without a target it returns 0.
 func (jb *job) slack() time.Duration {
 	if jb.rt.TargetLatency <= 0 {
 		return 0
@@ -213,7 +213,7 @@
 		return nil, jb.failure(core.CodeNoUpstream, jb.backoff(), "no upstream takes this work now")
 	}
 	at := &attempt{jb: jb, to: ho, rq: rq, sent: now, after: after, left: left, bounded: bounded, permit: pe}
-	at.flight = fw.picker.Sent(now, ho, rq)
+	at.flight = fw.picker.RecordSent(now, ho, rq)
 	at.prefillWait = at.flight.PendingPrefill()
 	jb.prefillTime += at.flight.PrefillTime()
 	at.headerTimeout = headerTimeout(jb.rt, fw.picker.MeanHeaderTime(rq), at.prefillWait, left)
--- a/core/forward/log_test.go
+++ b/core/forward/log_test.go
@@ -39,20 +39,20 @@
 	for _, sc := range scenarios {
 		t.Run(sc.testName, func(t *testing.T) {
 			runInBubble(t, func(t *testing.T) {
-				wo := newFixture(t, sc.behaviors...)
-				_, _, _ = wo.send(t.Context(), sc.path) // The test checks only the log.
-				begun := wo.logLines("attempt-begun")
+				fx := newFixture(t, sc.behaviors...)
+				_, _, _ = fx.send(t.Context(), sc.path) // The test checks only the log.
+				begun := fx.logLines("attempt-begun")
 				assert.Equal(t, len(begun), sc.begun)
 				for i, li := range begun {
 					assert.Equal(t, li.Attempt, i+1)
 					assert.Equal(t, li.Candidates, 4)
 				}
 				var verdicts []string
-				for _, li := range wo.logLines("attempt-ended") {
+				for _, li := range fx.logLines("attempt-ended") {
 					verdicts = append(verdicts, li.Verdict)
 				}
 				assert.DeepEqual(t, verdicts, sc.verdicts)
-				ends := wo.logLines("exchange-ended", "exchange-cut", "exchange-failed", "exchange-refused")
+				ends := fx.logLines("exchange-ended", "exchange-cut", "exchange-failed", "exchange-refused")
 				assert.Equal(t, len(ends), 1)
 				end := ends[0]
 				assert.Equal(t, end.Request, "r1")
@@ -73,15 +73,15 @@
 func TestLogOfAvoidedUpstreams(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
 		bad := true
-		wo := newFixture(t, nil)
-		wo.behaviors[0] = func(ctx context.Context, ca *core.Call) (*core.Reply, error) {
+		fx := newFixture(t, nil)
+		fx.behaviors[0] = func(ctx context.Context, ca *core.Call) (*core.Reply, error) {
 			if bad && ca.To.ID == "up-0" {
 				return losesConnection(ctx, ca)
 			}
 			return answers(http.StatusOK, "done")(ctx, ca)
 		}
 		send := func() {
-			_, _, err := wo.send(t.Context(), "/lookup/1")
+			_, _, err := fx.send(t.Context(), "/lookup/1")
 			assert.NilError(t, err)
 			time.Sleep(200 * time.Millisecond)
 		}
@@ -93,7 +93,7 @@
 			send()
 		}
 		var events []string
-		for _, li := range wo.logLines("upstream-avoided", "upstream-trusted") {
+		for _, li := range fx.logLines("upstream-avoided", "upstream-trusted") {
 			assert.Equal(t, li.Upstream, "up-0")
 			events = append(events, li.Msg)
 		}
@@ -107,19 +107,19 @@
 // and a version under roll-out would be rolled back.
 func TestCallerDisconnectIsNoUpstreamFailure(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
-		wo := newFixture(t, stalls("id: 1\ndata: a\n\n"))
+		fx := newFixture(t, stalls("id: 1\ndata: a\n\n"))
 		for range 12 {
-			ans, err := wo.fw.Forward(t.Context(), &core.Exchange{
+			ans, err := fx.fw.Forward(t.Context(), &core.Exchange{
 				ID: "r1", Host: "a.example", Path: "/draft/1", Key: "key", Header: http.Header{}, Arrived: time.Now(),
 			})
 			assert.NilError(t, err)
 			ans.Close()
 		}
-		assert.Equal(t, len(wo.logLines("upstream-avoided")), 0)
-		for _, li := range wo.logLines("exchange-cut") {
+		assert.Equal(t, len(fx.logLines("upstream-avoided")), 0)
+		for _, li := range fx.logLines("exchange-cut") {
 			assert.Equal(t, li.Code, "caller-gone")
 		}
-		assert.Equal(t, len(wo.logLines("exchange-cut")), 12)
+		assert.Equal(t, len(fx.logLines("exchange-cut")), 12)
 	})
 }
 
@@ -127,13 +127,13 @@
 // as a failure of their upstreams, in the log too.
 func TestShutdownIsNoUpstreamFailure(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
-		wo := newFixture(t, stalls("id: 1\ndata: a\n\n"))
+		fx := newFixture(t, stalls("id: 1\ndata: a\n\n"))
 		ctx, stop := context.WithCancelCause(t.Context())
 		time.AfterFunc(300*time.Millisecond, func() { stop(forward.ErrStopping) })
-		_, _, err := wo.send(ctx, "/draft/1")
+		_, _, err := fx.send(ctx, "/draft/1")
 		assert.Assert(t, err != nil)
-		assert.Equal(t, len(wo.logLines("upstream-avoided")), 0)
-		cuts := wo.logLines("exchange-cut")
+		assert.Equal(t, len(fx.logLines("upstream-avoided")), 0)
+		cuts := fx.logLines("exchange-cut")
 		assert.Equal(t, len(cuts), 1)
 		assert.Equal(t, cuts[0].Code, "leaving")
 	})
@@ -142,15 +142,15 @@
 // Some lookups fail at every upstream that runs them, and their callers get the error. Guards
 // against avoiding healthy upstreams because of it: claims would be sent over the link to another
 // region.
-func TestErrorAtEveryUpstreamIsNoUpstreamFailure(t *testing.T) {
+func TestErrorOfTheRequestDoesNotAvoidUpstreams(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
-		wo := newFixture(t, answers(http.StatusInternalServerError, "no such case"))
+		fx := newFixture(t, answers(http.StatusInternalServerError, "no such case"))
 		for range 12 {
-			status, _, err := wo.send(t.Context(), "/lookup/1")
+			status, _, err := fx.send(t.Context(), "/lookup/1")
 			assert.NilError(t, err)
 			assert.Equal(t, status, http.StatusInternalServerError)
 		}
-		assert.Equal(t, len(wo.logLines("upstream-avoided")), 0)
+		assert.Equal(t, len(fx.logLines("upstream-avoided")), 0)
 	})
 }
 
@@ -159,25 +159,25 @@
 // after a few failures.
 func TestFailingUpstreamIsAvoided(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
-		wo := newFixture(t, nil)
-		wo.behaviors[0] = func(ctx context.Context, ca *core.Call) (*core.Reply, error) {
+		fx := newFixture(t, nil)
+		fx.behaviors[0] = func(ctx context.Context, ca *core.Call) (*core.Reply, error) {
 			if ca.To.ID == "up-0" {
 				return answers(http.StatusInternalServerError, "broken")(ctx, ca)
 			}
 			return answers(http.StatusOK, "done")(ctx, ca)
 		}
 		for range 60 {
-			status, _, err := wo.send(t.Context(), "/lookup/1")
+			status, _, err := fx.send(t.Context(), "/lookup/1")
 			assert.NilError(t, err)
 			assert.Equal(t, status, http.StatusOK)
 			time.Sleep(100 * time.Millisecond)
 		}
-		avoided := wo.logLines("upstream-avoided")
+		avoided := fx.logLines("upstream-avoided")
 		assert.Assert(t, len(avoided) > 0)
 		for _, li := range avoided {
 			assert.Equal(t, li.Upstream, "up-0")
 		}
-		assert.Assert(t, len(wo.calls) < 60+20, "%d calls for 60 requests", len(wo.calls))
+		assert.Assert(t, len(fx.calls) < 60+20, "%d calls for 60 requests", len(fx.calls))
 	})
 }
 
@@ -185,14 +185,14 @@
 // against counting these timeouts against upstreams that other routes share.
 func TestTooShortTimeoutIsNoUpstreamFailure(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
-		wo := newFixture(t, func(ctx context.Context, ca *core.Call) (*core.Reply, error) {
+		fx := newFixture(t, func(ctx context.Context, ca *core.Call) (*core.Reply, error) {
 			time.Sleep(ca.Timeout)
 			return answers(http.StatusGatewayTimeout, "out of time")(ctx, ca)
 		})
 		for range 20 {
-			_, _, err := wo.send(t.Context(), "/claim/1")
+			_, _, err := fx.send(t.Context(), "/claim/1")
 			assert.NilError(t, err)
 		}
-		assert.Equal(t, len(wo.logLines("upstream-avoided")), 0)
+		assert.Equal(t, len(fx.logLines("upstream-avoided")), 0)
 	})
 }
--- a/core/forward/meters.go
+++ b/core/forward/meters.go
@@ -34,8 +34,8 @@
 	}
 }
 
-// answered records how long after its arrival a request's last attempt was sent, and its answer
-// began.
+// answered records two times since a request's arrival: until the last attempt was sent, and until
+// the answer began.
 func (me meters) answered(sv core.ServiceID, wait, first time.Duration) {
 	meter.WaitTime.Record(me.scope, wait, string(sv))
 	meter.FirstByteTime.Record(me.scope, first, string(sv))
--- a/core/forward/model.go
+++ b/core/forward/model.go
@@ -26,7 +26,7 @@
 }
 
 // selectResumeStage resumes a partly delivered stream with the model that generated it: the
-// largest one for which an engine has the whole prompt in its prefix cache.
+// largest one for which an engine has the complete prompt in its prefix cache.
 //
 // The entry that began the stream has already chosen its model. Started with the smallest model,
 // the resumed stream would escalate once more before the caller receives anything, and the pause
@@ -42,7 +42,7 @@
 	for stage := len(jb.rt.Cascade) - 1; stage > jb.stage; stage-- {
 		rq := jb.request()
 		rq.Model = jb.rt.Cascade[stage]
-		if fw.picker.CachesWhole(now, hosts, rq) {
+		if fw.picker.HasCompletePrompt(now, hosts, rq) {
 			jb.stage = stage
 			return
 		}
--- a/core/forward/pressure_test.go
+++ b/core/forward/pressure_test.go
@@ -34,26 +34,26 @@
 func escalates(t *testing.T, prompt core.Tokens, perThousand, wait time.Duration, lastConfidence int) bool {
 	t.Helper()
 	confidence := 90
-	wo := newFixture(t, respondsAfter(perThousand, wait, &confidence))
+	fx := newFixture(t, respondsAfter(perThousand, wait, &confidence))
 	for i := range 60 {
-		wo.sendPrompt(t, fmt.Sprint("short", i), 100) // The entry estimates the round-trip time from these.
-		wo.sendPrompt(t, fmt.Sprint("long", i), prompt)
+		fx.sendPrompt(t, fmt.Sprint("short", i), 100) // The entry estimates the round-trip time from these.
+		fx.sendPrompt(t, fmt.Sprint("long", i), prompt)
 	}
-	before := len(wo.calls)
+	before := len(fx.calls)
 	confidence = lastConfidence
-	wo.sendPrompt(t, "last", 100)
-	return len(wo.calls) > before+1
+	fx.sendPrompt(t, "last", 100)
+	return len(fx.calls) > before+1
 }
 
 // sendPrompt sends a prompt that has no prefix in common with another one.
-func (wo *fixture) sendPrompt(t *testing.T, id string, prompt core.Tokens) {
+func (fx *fixture) sendPrompt(t *testing.T, id string, prompt core.Tokens) {
 	t.Helper()
 	ex := &core.Exchange{
 		ID: core.RequestID(id), Host: "a.example", Path: "/draft/x", Target: "/draft/x", Method: http.MethodPost, Key: "key",
 		Header: http.Header{}, Arrived: time.Now(), Deadline: 20 * time.Second, AnyModel: true,
 		Prompt: prompt, Parts: []core.Part{{ID: strings.Repeat(id, 2), Tokens: prompt}},
 	}
-	ans, err := wo.fw.Forward(t.Context(), ex)
+	ans, err := fx.fw.Forward(t.Context(), ex)
 	assert.NilError(t, err)
 	defer ans.Close()
 	for {
@@ -63,7 +63,7 @@
 	}
 }
 
-// Guards against low-confidence answers whose log line doesn't say why they were returned.
+// Guards against logging a low-confidence answer without the reason why it was returned.
 func TestLogOfAnswerReason(t *testing.T) {
 	scenarios := []struct {
 		testName   string
@@ -79,21 +79,21 @@
 		t.Run(sc.testName, func(t *testing.T) {
 			runInBubble(t, func(t *testing.T) {
 				confidence := 5
-				wo := newFixture(t, respondsAfter(time.Millisecond, 0, &confidence))
+				fx := newFixture(t, respondsAfter(time.Millisecond, 0, &confidence))
 				for i := 0; sc.spent && i < 100; i++ {
-					wo.sendPrompt(t, fmt.Sprint("r", i), 100)
+					fx.sendPrompt(t, fmt.Sprint("r", i), 100)
 				}
 				confidence = sc.confidence
-				wo.sendPrompt(t, "last", 100)
-				ended := wo.logLines("exchange-ended")
+				fx.sendPrompt(t, "last", 100)
+				ended := fx.logLines("exchange-ended")
 				assert.Equal(t, ended[len(ended)-1].AnswerReason, sc.want)
 			})
 		})
 	}
 }
 
-// Guards against long prompts and slow engines that count as load: low-confidence answers are
-// then returned although the engines are idle.
+// Guards against counting prefill time as load: with long prompts or slow engines, low-confidence
+// answers would be returned although the engines are idle.
 func TestPrefillTimeIsNoPressure(t *testing.T) {
 	const usual = 35 * time.Millisecond
 	for _, times := range []float64{0.2, 1, 5} {
@@ -108,8 +108,8 @@
 	}
 }
 
-// Guards against engines kept busy with escalations while callers wait for most of the target
-// latency.
+// Guards against escalating while requests queue at the engines: callers would wait for most of the
+// target latency.
 func TestQueueingTimeIsPressure(t *testing.T) {
 	for _, prompt := range []core.Tokens{1_000, 10_000} {
 		t.Run(fmt.Sprint(prompt, " tokens"), func(t *testing.T) {
--- a/core/forward/region_test.go
+++ b/core/forward/region_test.go
@@ -23,11 +23,11 @@
 )
 
 // addRegions adds upstreams in two availability zones of each region.
-func (wo *fixture) addRegions() {
+func (fx *fixture) addRegions() {
 	for _, re := range []core.Region{north, south} {
 		for _, zo := range []core.Zone{"a", "b"} {
 			id := core.UpstreamID(fmt.Sprint(re, "-", zo))
-			wo.fl.Put(core.Host{ID: id, Service: "pool", Version: "v1", Slots: 8, Region: re, Zone: core.Zone(re) + "-" + zo})
+			fx.fl.Put(core.Host{ID: id, Service: "pool", Version: "v1", Slots: 8, Region: re, Zone: core.Zone(re) + "-" + zo})
 		}
 	}
 }
@@ -57,12 +57,12 @@
 	for _, sc := range attemptKinds {
 		t.Run(sc.testName, func(t *testing.T) {
 			runInBubble(t, func(t *testing.T) {
-				wo := newFixture(t, sc.behaviors...)
-				wo.addRegions()
-				prepare(wo)
-				_, _, _ = wo.send(t.Context(), sc.path)
-				assert.Assert(t, len(wo.calls) >= sc.attempts, "%d attempts", len(wo.calls))
-				for _, ca := range wo.calls {
+				fx := newFixture(t, sc.behaviors...)
+				fx.addRegions()
+				prepare(fx)
+				_, _, _ = fx.send(t.Context(), sc.path)
+				assert.Assert(t, len(fx.calls) >= sc.attempts, "%d attempts", len(fx.calls))
+				for _, ca := range fx.calls {
 					check(t, ca.To)
 				}
 			})
@@ -73,7 +73,7 @@
 // TestAttemptsStayInAllowedRegions guards against an attempt of any kind at an upstream outside
 // the regions of its workspace.
 func TestAttemptsStayInAllowedRegions(t *testing.T) {
-	checkAttempts(t, func(wo *fixture) { wo.key = "bound" }, func(t *testing.T, ho core.Host) {
+	checkAttempts(t, func(fx *fixture) { fx.key = "bound" }, func(t *testing.T, ho core.Host) {
 		assert.Equal(t, ho.Region, north, "%s", ho.ID)
 	})
 }
@@ -81,9 +81,9 @@
 // TestAttemptsAvoidEvacuatedZones guards against an attempt of any kind in an evacuated
 // availability zone.
 func TestAttemptsAvoidEvacuatedZones(t *testing.T) {
-	evacuate := func(wo *fixture) {
-		wo.fl.Evacuate("")
-		wo.fl.Evacuate("north-a")
+	evacuate := func(fx *fixture) {
+		fx.fl.Evacuate("")
+		fx.fl.Evacuate("north-a")
 	}
 	checkAttempts(t, evacuate, func(t *testing.T, ho core.Host) {
 		assert.Assert(t, ho.Zone != "" && ho.Zone != "north-a", "%s", ho.ID)
@@ -94,18 +94,18 @@
 // after its request arrived.
 func TestEvacuationDuringARequest(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
-		var wo *fixture
+		var fx *fixture
 		evacuates := func(ctx context.Context, ca *core.Call) (*core.Reply, error) {
-			wo.fl.Evacuate("north-a")
-			wo.fl.Evacuate("north-b")
+			fx.fl.Evacuate("north-a")
+			fx.fl.Evacuate("north-b")
 			return losesConnection(ctx, ca)
 		}
-		wo = newFixture(t, evacuates, answers(200, "ok"))
-		wo.addRegions()
-		wo.key = "bound"
-		_, _, err := wo.send(t.Context(), "/lookup/x")
+		fx = newFixture(t, evacuates, answers(200, "ok"))
+		fx.addRegions()
+		fx.key = "bound"
+		_, _, err := fx.send(t.Context(), "/lookup/x")
 		assert.Assert(t, err != nil)
-		assert.Equal(t, len(wo.calls), 1)
+		assert.Equal(t, len(fx.calls), 1)
 	})
 }
 
@@ -113,19 +113,19 @@
 // configuration.
 func TestRegionChangeDuringARequest(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
-		var wo *fixture
+		var fx *fixture
 		changes := func(ctx context.Context, ca *core.Call) (*core.Reply, error) {
-			wo.adoptWith(4, route.Workspace{ID: "court", Keys: []core.APIKey{"bound"}, Regions: core.OnlyRegions(south)})
+			fx.adoptWith(4, route.Workspace{ID: "court", Keys: []core.APIKey{"bound"}, Regions: core.OnlyRegions(south)})
 			return losesConnection(ctx, ca)
 		}
-		wo = newFixture(t, changes, answers(200, "ok"))
-		wo.addRegions()
-		wo.key = "bound"
-		_, text, err := wo.send(t.Context(), "/lookup/x")
+		fx = newFixture(t, changes, answers(200, "ok"))
+		fx.addRegions()
+		fx.key = "bound"
+		_, text, err := fx.send(t.Context(), "/lookup/x")
 		assert.NilError(t, err)
 		assert.Equal(t, text, "ok")
-		assert.Equal(t, wo.calls[0].To.Region, north)
-		assert.Equal(t, wo.calls[1].To.Region, south)
+		assert.Equal(t, fx.calls[0].To.Region, north)
+		assert.Equal(t, fx.calls[1].To.Region, south)
 	})
 }
 
@@ -146,21 +146,21 @@
 	for _, sc := range scenarios {
 		t.Run(sc.testName, func(t *testing.T) {
 			runInBubble(t, func(t *testing.T) {
-				wo := newFixture(t, answers(200, "ok"))
-				wo.addRegions()
-				wo.key = "bound"
+				fx := newFixture(t, answers(200, "ok"))
+				fx.addRegions()
+				fx.key = "bound"
 				for _, zo := range sc.evacuate {
-					wo.fl.Evacuate(zo)
+					fx.fl.Evacuate(zo)
 				}
 				began := time.Now()
-				_, _, err := wo.send(t.Context(), sc.path)
+				_, _, err := fx.send(t.Context(), sc.path)
 				var fl *core.Failure
 				assert.Assert(t, errors.As(err, &fl))
 				assert.Equal(t, fl.Code, sc.code)
 				assert.Equal(t, fl.Ran, core.NotRun)
 				assert.Equal(t, fl.RetryAfter > 0, sc.retryAfter)
 				assert.Assert(t, strings.Contains(fl.Message, sc.message), fl.Message)
-				assert.Equal(t, len(wo.calls), 0)
+				assert.Equal(t, len(fx.calls), 0)
 				assert.Equal(t, time.Since(began), time.Duration(0), "it is refused at once")
 			})
 		})
--- a/core/forward/startup_test.go
+++ b/core/forward/startup_test.go
@@ -17,10 +17,10 @@
 // have used up their only retry and get no answer at all.
 func TestRequestDuringStartup(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
-		wo := newUnconfiguredFixture(t, answers(http.StatusOK, "done"))
-		time.AfterFunc(160*time.Millisecond, func() { wo.inf.Adopt(wo.tb) })
+		fx := newUnconfiguredFixture(t, answers(http.StatusOK, "done"))
+		time.AfterFunc(160*time.Millisecond, func() { fx.inf.Adopt(fx.tb) })
 		began := time.Now()
-		status, text, err := wo.send(t.Context(), "/claim/1")
+		status, text, err := fx.send(t.Context(), "/claim/1")
 		assert.NilError(t, err)
 		assert.Equal(t, status, http.StatusOK)
 		assert.Equal(t, text, "done")
@@ -33,10 +33,10 @@
 // waiting wouldn't help.
 func TestStartupWithoutConfiguration(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
-		wo := newUnconfiguredFixture(t, answers(http.StatusOK, "done"))
+		fx := newUnconfiguredFixture(t, answers(http.StatusOK, "done"))
 		for _, limit := range []time.Duration{time.Second, time.Millisecond} {
 			began := time.Now()
-			_, _, err := wo.send(t.Context(), "/claim/1")
+			_, _, err := fx.send(t.Context(), "/claim/1")
 			var fl *core.Failure
 			assert.Assert(t, errors.As(err, &fl), "%v", err)
 			assert.Equal(t, fl.Code, core.CodeNoConfig)
@@ -69,7 +69,7 @@
 	for _, sc := range scenarios {
 		t.Run(sc.testName, func(t *testing.T) {
 			runInBubble(t, func(t *testing.T) {
-				wo := newFixture(t, func(_ context.Context, ca *core.Call) (*core.Reply, error) {
+				fx := newFixture(t, func(_ context.Context, ca *core.Call) (*core.Reply, error) {
 					if ca.Model == "small" {
 						return withConfidence(5, small)(nil, ca)
 					}
@@ -77,22 +77,22 @@
 				})
 				engine := core.Host{ID: "up-2"}
 				for _, mo := range sc.held {
-					wo.fw.RecordCached(engine, []core.CachedPart{{Model: mo, Part: parts[0]}, {Model: mo, Part: parts[1]}})
+					fx.fw.RecordCached(engine, []core.CachedPart{{Model: mo, Part: parts[0]}, {Model: mo, Part: parts[1]}})
 				}
-				ans, err := wo.fw.Forward(t.Context(), &core.Exchange{
+				ans, err := fx.fw.Forward(t.Context(), &core.Exchange{
 					ID: "r1", Host: "a.example", Path: "/draft/1", Method: http.MethodPost, Key: "key", Header: http.Header{},
 					Arrived: time.Now(), Deadline: 10 * time.Second, AnyModel: true, Prompt: 4900, Parts: parts, LastEventID: sc.resume,
 				})
 				assert.NilError(t, err)
 				defer ans.Close()
 				var models []core.ModelID
-				for _, ca := range wo.calls {
+				for _, ca := range fx.calls {
 					models = append(models, ca.Model)
 					assert.Equal(t, ca.ResumeAfter, sc.resume)
 				}
 				assert.DeepEqual(t, models, sc.models)
 				if len(sc.held) > 0 {
-					assert.Equal(t, wo.calls[0].To.ID, engine.ID)
+					assert.Equal(t, fx.calls[0].To.ID, engine.ID)
 				}
 			})
 		})
--- a/core/prefixsync/prefixsync.go
+++ b/core/prefixsync/prefixsync.go
@@ -50,15 +50,15 @@
 type Option func(*Syncer)
 
 // Without disables mechanisms.
-func Without(off mechanism.Disabled) Option { return func(re *Syncer) { re.off = off } }
+func Without(off mechanism.Disabled) Option { return func(sy *Syncer) { sy.off = off } }
 
 // New returns a Syncer that reads cached prefixes from mem and passes them to le.
 func New(deps core.Deps, inf *route.InForce, fl *fleet.Fleet, mem core.PrefixCaches, le Learner, opts ...Option) *Syncer {
-	re := &Syncer{deps: deps, inf: inf, fl: fl, mem: mem, le: le}
+	sy := &Syncer{deps: deps, inf: inf, fl: fl, mem: mem, le: le}
 	for _, opt := range opts {
-		opt(re)
+		opt(sy)
 	}
-	return re
+	return sy
 }
 
 const (
@@ -73,27 +73,27 @@
 )
 
 // Serve implements suture.Service.
-func (re *Syncer) Serve(ctx context.Context) error {
-	if re.off.Has(mechanism.PrefixSync) {
+func (sy *Syncer) Serve(ctx context.Context) error {
+	if sy.off.Has(mechanism.PrefixSync) {
 		return suture.ErrDoNotRestart
 	}
 	select {
 	case <-ctx.Done():
 		return ctx.Err()
-	case <-re.inf.Loaded():
+	case <-sy.inf.Loaded():
 	}
-	re.queryAll(ctx)
+	sy.queryAll(ctx)
 	return suture.ErrDoNotRestart
 }
 
-func (re *Syncer) queryAll(ctx context.Context) {
+func (sy *Syncer) queryAll(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
 	var wg sync.WaitGroup
 	sem := make(chan struct{}, maxConcurrent)
-	for _, sv := range re.inf.Current().EngineServices() {
-		for _, ho := range re.fl.Serving(sv, time.Now(), core.Regions{}) {
-			if ho.Region != re.deps.Region {
+	for _, sv := range sy.inf.Current().EngineServices() {
+		for _, ho := range sy.fl.Serving(sv, time.Now(), core.Regions{}) {
+			if ho.Region != sy.deps.Region {
 				continue
 			}
 			select {
@@ -104,20 +104,20 @@
 			}
 			wg.Go(func() {
 				defer func() { <-sem }()
-				re.query(ctx, ho)
+				sy.query(ctx, ho)
 			})
 		}
 	}
 	wg.Wait()
 }
 
-func (re *Syncer) query(ctx context.Context, ho core.Host) {
+func (sy *Syncer) query(ctx context.Context, ho core.Host) {
 	startedAt := time.Now()
-	cached, err := re.mem.CachedParts(ctx, ho)
+	cached, err := sy.mem.CachedParts(ctx, ho)
 	if err != nil {
-		event.Log(re.deps.Log, event.MemoryUnknown, "upstream", ho.ID, "error", err)
+		event.Log(sy.deps.Log, event.MemoryUnknown, "upstream", ho.ID, "error", err)
 		return
 	}
-	re.le.RecordCached(ho, cached)
-	event.Log(re.deps.Log, event.MemoryRecalled, "upstream", ho.ID, "parts", len(cached), "took", time.Since(startedAt))
+	sy.le.RecordCached(ho, cached)
+	event.Log(sy.deps.Log, event.MemoryRecalled, "upstream", ho.ID, "parts", len(cached), "took", time.Since(startedAt))
 }
--- a/core/prefixsync/prefixsync_test.go
+++ b/core/prefixsync/prefixsync_test.go
@@ -44,8 +44,8 @@
 	en.learned[ho.ID] = cached
 }
 
-// Guards against an entry that starts, after all entries were lost, without the list of the
-// engines' cached prefixes: each retry of a broken stream would then wait up to seconds for
+// An entry starts after all entries were lost. Guards against serving without the list of
+// the engines' cached prefixes: each retry of a broken stream would then wait up to seconds for
 // a new prefill. An engine that does not respond must not delay the responses of the others.
 func TestStartingEntryLearnsCachedPrefixes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
--- a/core/retry/borrow.go
+++ b/core/retry/borrow.go
@@ -3,10 +3,10 @@
 import "time"
 
 const (
-	// borrowPart is the part of the bound by which an entry may exceed its own part while the
-	// siblings together have budget left. With it, the parts of all entries still add up to less
+	// borrowShare is the fraction of the bound by which an entry may exceed its own share while the
+	// siblings together have budget left. With it, the shares of all entries still add up to less
 	// than the bound, so the bound also holds when reports are outdated or their sender is gone.
-	borrowPart = 0.1
+	borrowShare = 0.1
 	// reportTTL is how long a sibling's report of its remaining budget counts.
 	reportTTL = time.Second
 	// minReports is the number of siblings whose reports are needed to borrow anything, and
@@ -22,7 +22,7 @@
 }
 
 // Report returns the remaining budget that this entry reports to its siblings. It is negative
-// after the entry has exceeded its part.
+// after the entry has exceeded its share.
 func (wi *Window) Report(now time.Time) float64 {
 	wi.mu.Lock()
 	defer wi.mu.Unlock()
@@ -42,10 +42,10 @@
 	}
 }
 
-// mayBorrow reports whether a retry beyond this entry's part may be made.
+// mayBorrow reports whether a retry beyond this entry's share may be made.
 func (wi *Window) mayBorrow(now time.Time, pu Purpose) bool {
 	allowed, retries := wi.allowedAndUsed()
-	if (pu.part()+borrowPart)*allowed-retries < 1 {
+	if (pu.share()+borrowShare)*allowed-retries < 1 {
 		return false
 	}
 	all, entries := wi.left(pu), 0
--- a/core/retry/borrow_test.go
+++ b/core/retry/borrow_test.go
@@ -32,13 +32,13 @@
 
 // run returns the retries that were refused and those that were requested. It fails the test
 // when all entries together made more retries in some interval than the budget allows.
-func (le simulation) run(t *testing.T) (refused, requested int) {
+func (si simulation) run(t *testing.T) (refused, requested int) {
 	t.Helper()
-	rnd := rand.New(rand.NewPCG(le.seed, 9))
+	rnd := rand.New(rand.NewPCG(si.seed, 9))
 	start := func() *retry.Window {
-		return retry.NewWindow(simWindow, simRatio, func() float64 { return retry.SlackShare(simSlack, le.entries) })
+		return retry.NewWindow(simWindow, simRatio, func() float64 { return retry.BurstShare(simSlack, si.entries) })
 	}
-	windows := make([]*retry.Window, le.entries)
+	windows := make([]*retry.Window, si.entries)
 	for i := range windows {
 		windows[i] = start()
 	}
@@ -47,10 +47,10 @@
 	for n := range 6_000 { // Half a minute at 200 requests a second.
 		now = now.Add(5 * time.Millisecond)
 
-		wi := windows[rnd.IntN(le.entries)]
+		wi := windows[rnd.IntN(si.entries)]
 		wi.Arrived(now)
 		requests = append(requests, now)
-		for p := le.retriesPerRequest; p > 0; p-- {
+		for p := si.retriesPerRequest; p > 0; p-- {
 			if rnd.Float64() >= p {
 				continue
 			}
@@ -61,48 +61,47 @@
 				refused++
 			}
 		}
-		if n%50 == 0 && !le.isolated {
-			le.gossip(rnd, now, windows)
+		if n%50 == 0 && !si.isolated {
+			si.gossip(rnd, now, windows)
 		}
-		if le.restarts && n%400 == 0 {
-			windows[rnd.IntN(le.entries)] = start()
+		if si.restarts && n%400 == 0 {
+			windows[rnd.IntN(si.entries)] = start()
 		}
 	}
 	for i := 0; i < len(retries); i += 211 {
 		from := retries[i]
 		got := float64(between(retries, from, from.Add(simWindow)))
 		most := simRatio*float64(between(requests, from.Add(-simWindow/2), from.Add(simWindow))) + simSlack
-		assert.Assert(t, got <= most, "seed %d: %v retries, bound %v", le.seed, got, most)
+		assert.Assert(t, got <= most, "seed %d: %v retries, bound %v", si.seed, got, most)
 	}
 	return refused, requested
 }
 
-func (le simulation) gossip(rnd *rand.Rand, now time.Time, windows []*retry.Window) {
+func (si simulation) gossip(rnd *rand.Rand, now time.Time, windows []*retry.Window) {
 	for i, wi := range windows {
 		left := wi.Report(now)
 		for j, other := range windows {
-			if i != j && rnd.Float64() >= le.lossRate {
+			if i != j && rnd.Float64() >= si.lossRate {
 				other.ReceiveReport(now, uint64(i), left)
 			}
 		}
 	}
 }
 
-// Guards against entries that together exceed the shared bound by borrowing, with any loss of
-// reports and with entries that are killed.
+// Reports are lost at any rate, and entries are killed. Guards against borrowing by which all entries
+// together exceed the shared bound.
 func TestBorrowingKeepsToTheSharedBound(t *testing.T) {
 	for seed := range uint64(4) {
 		for _, perRequest := range []float64{0.7, 3} {
 			for _, lossRate := range []float64{0, 0.4, 1} {
-				le := simulation{seed: seed, entries: 33, retriesPerRequest: perRequest, lossRate: lossRate, restarts: seed%2 == 1}
-				le.run(t)
+				si := simulation{seed: seed, entries: 33, retriesPerRequest: perRequest, lossRate: lossRate, restarts: seed%2 == 1}
+				si.run(t)
 			}
 		}
 	}
 }
 
-// Guards against an entry that exceeds its part although its siblings have used theirs, or have
-// not reported lately.
+// Guards against borrowing when the siblings have used their shares, or have not reported lately.
 func TestNoBorrowingWithoutSiblingBudget(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	scenarios := []struct {
@@ -118,7 +117,7 @@
 	}
 	for _, sc := range scenarios {
 		t.Run(sc.testName, func(t *testing.T) {
-			wi := retry.NewWindow(simWindow, 0.5, fixedSlack(0))
+			wi := retry.NewWindow(simWindow, 0.5, fixedBurst(0))
 			for range 40 {
 				wi.Arrived(now)
 			}
@@ -132,13 +131,13 @@
 	}
 }
 
-// Guards against callers that get a low-confidence answer because one entry has no budget left
-// while its siblings have plenty.
+// One entry has no budget left while its siblings have plenty. Guards against returning
+// low-confidence answers to its callers.
 func TestBorrowingUsesSiblingBudget(t *testing.T) {
-	le := simulation{entries: 33, retriesPerRequest: 0.66}
-	refused, requested := le.run(t)
-	le.isolated = true
-	isolated, _ := le.run(t)
+	si := simulation{entries: 33, retriesPerRequest: 0.66}
+	refused, requested := si.run(t)
+	si.isolated = true
+	isolated, _ := si.run(t)
 	assert.Assert(t, refused < isolated/2, "%d of %d retries were refused, %d without borrowing", refused, requested, isolated)
 	assert.Assert(t, refused < requested/50)
 }
--- a/core/retry/retry.go
+++ b/core/retry/retry.go
@@ -10,8 +10,8 @@
 //
 //	bu := retry.NewBudget()
 //	bu.Succeeded()
-//	tr := retry.NewAttempts(bu)
-//	for { fl := attempt(); if fl == nil || !tr.MayRetry(fl, repeatable) { break } }
+//	at := retry.NewAttempts(bu)
+//	for { fl := attempt(); if fl == nil || !at.MayRetry(fl, repeatable) { break } }
 package retry
 
 import (
@@ -76,24 +76,24 @@
 // A call that was not run because the link was down or the upstream is leaving costs the pool
 // nothing, so its retry needs no budget. A refusal for overload is retried elsewhere once: a
 // second one shows that the pool is full, and more attempts would only load it with refusals.
-func (tr *Attempts) MayRetry(fl *core.Failure, repeatable bool) bool {
-	tr.attempts++
-	if tr.attempts >= maxAttempts {
+func (at *Attempts) MayRetry(fl *core.Failure, repeatable bool) bool {
+	at.attempts++
+	if at.attempts >= maxAttempts {
 		return false
 	}
 	switch fl.Code {
 	case core.CodeLeaving, core.CodeNoUpstream, core.CodeStaleConfig, core.CodeEvacuated, core.CodeNoRegion:
 		return fl.Ran == core.NotRun
 	case core.CodeOverloaded:
-		if fl.Ran != core.NotRun || tr.overloaded {
+		if fl.Ran != core.NotRun || at.overloaded {
 			return false
 		}
-		tr.overloaded = true
-		return tr.budget.spend()
+		at.overloaded = true
+		return at.budget.spend()
 	case core.CodeStoreDown:
-		return fl.Ran == core.NotRun && tr.budget.spend()
+		return fl.Ran == core.NotRun && at.budget.spend()
 	case core.CodeOutcomeLost, core.CodeUpstream, core.CodeCrashed:
-		return (fl.Ran == core.NotRun || repeatable) && tr.budget.spend()
+		return (fl.Ran == core.NotRun || repeatable) && at.budget.spend()
 	default:
 		return false
 	}
--- a/core/retry/retry_test.go
+++ b/core/retry/retry_test.go
@@ -27,9 +27,9 @@
 	}
 	for _, sc := range scenarios {
 		t.Run(sc.testName, func(t *testing.T) {
-			tr := retry.NewAttempts(retry.NewBudget())
+			at := retry.NewAttempts(retry.NewBudget())
 			for ix, fl := range sc.failures {
-				assert.Equal(t, tr.MayRetry(fl, sc.repeatable), sc.want[ix])
+				assert.Equal(t, at.MayRetry(fl, sc.repeatable), sc.want[ix])
 			}
 		})
 	}
@@ -42,8 +42,8 @@
 	bu := retry.NewBudget()
 	retries := func(requests int) (sum int) {
 		for range requests {
-			tr := retry.NewAttempts(bu)
-			if tr.MayRetry(core.OutcomeUnknown("lost"), true) {
+			at := retry.NewAttempts(bu)
+			if at.MayRetry(core.OutcomeUnknown("lost"), true) {
 				sum++
 			}
 		}
--- a/core/retry/window.go
+++ b/core/retry/window.go
@@ -10,13 +10,15 @@
 // concurrent use.
 //
 // All entries share one bound and cannot coordinate each retry. Each keeps to the ratio of its
-// own requests and to its part of the slack, so that the sum keeps to the bound whatever the
+// own requests and to its share of the burst, so that the sum keeps to the bound whatever the
 // others do. With few requests each, some entries have no retries left while most have plenty.
-// So entries report their remaining budget to their siblings, and one may exceed its own part by
-// [borrowPart] while all together have some left.
+// So entries report their remaining budget to their siblings, and one may exceed its own share by
+// [borrowShare] while all together have some left.
 type Window struct {
-	ratio        float64
-	slack        func() float64
+	ratio float64
+	// burst returns this entry's share of the retries that are allowed beyond the ratio (the
+	// setting `slack`).
+	burst        func() float64
 	bucketLength time.Duration
 
 	mu sync.Mutex
@@ -49,15 +51,15 @@
 func (pu Purpose) String() string { return [...]string{"retry", "climb"}[pu] }
 
 const (
-	// retryPart and escalationPart are the parts of the bound that are used for each purpose.
+	// retryShare and escalationShare are the fractions of the bound that each purpose may use.
 	// The rest allows for requests that still count here but have just left the sliding window
 	// of the bound.
-	retryPart      = 0.85
-	escalationPart = 0.8
+	retryShare      = 0.85
+	escalationShare = 0.8
 )
 
 const (
-	// minParts is the least number of parts that a shared slack is divided into: an entry that
+	// minParts is the least number of parts that a shared burst is divided into: an entry that
 	// has just started may not have discovered its siblings yet. Twenty of them would use 1.06
 	// of it together, which the unused rest of the ratio makes up for.
 	minParts = 16
@@ -66,15 +68,16 @@
 	partsPerEntry = 1.2
 )
 
-// SlackShare returns an entry's part of a slack that the given number of entries share.
-func SlackShare(slack float64, entries int) float64 {
-	return slack / max(minParts, partsPerEntry*float64(entries))
+// BurstShare returns an entry's share of a burst, the retries allowed beyond the ratio, that the
+// given number of entries share.
+func BurstShare(burst float64, entries int) float64 {
+	return burst / max(minParts, partsPerEntry*float64(entries))
 }
 
-// NewWindow returns a window of the given length, with a ratio of retries to requests. slack
-// returns this entry's current part of the slack.
-func NewWindow(length time.Duration, ratio float64, slack func() float64) *Window {
-	return &Window{ratio: ratio, slack: slack, bucketLength: length / bucketCount, reports: map[uint64]siblingReport{}}
+// NewWindow returns a window of the given length, with a ratio of retries to requests. burst
+// returns this entry's current share of the burst, see [BurstShare].
+func NewWindow(length time.Duration, ratio float64, burst func() float64) *Window {
+	return &Window{ratio: ratio, burst: burst, bucketLength: length / bucketCount, reports: map[uint64]siblingReport{}}
 }
 
 // Arrived counts a request.
@@ -106,25 +109,25 @@
 
 func (wi *Window) left(pu Purpose) float64 {
 	allowed, retries := wi.allowedAndUsed()
-	return pu.part()*allowed - retries
+	return pu.share()*allowed - retries
 }
 
-// allowedAndUsed returns the entry's part of the bound, and its retries in the window.
+// allowedAndUsed returns the entry's share of the bound, and its retries in the window.
 func (wi *Window) allowedAndUsed() (allowed, retries float64) {
 	requests := 0.0
 	for _, bu := range wi.buckets {
 		requests += bu.requests
 		retries += bu.retries
 	}
-	return wi.ratio*requests + wi.slack(), retries
+	return wi.ratio*requests + wi.burst(), retries
 }
 
-// part is the part of the bound that is used for a purpose.
-func (pu Purpose) part() float64 {
+// share returns the fraction of the bound that retries for this purpose may use.
+func (pu Purpose) share() float64 {
 	if pu == Escalation {
-		return escalationPart
+		return escalationShare
 	}
-	return retryPart
+	return retryShare
 }
 
 // bucketAt returns the bucket of a time, and clears the buckets that were skipped since the last
--- a/core/rollout/figures_test.go
+++ b/core/rollout/figures_test.go
@@ -11,10 +11,10 @@
 // exposure simulates a roll-out many times and returns the number of callers that were assigned the
 // candidate before its halt, at the median and at p95. A run that was never halted counts with all
 // its callers.
-func exposure(t *testing.T, tr simulation, runs int) (median, p95 float64) {
+func exposure(t *testing.T, si simulation, runs int) (median, p95 float64) {
 	var all []int
 	for seed := range runs {
-		exposed, _ := tr.simulate(t, uint64(seed))
+		exposed, _ := si.simulate(t, uint64(seed))
 		all = append(all, exposed)
 	}
 	slices.Sort(all)
@@ -22,10 +22,10 @@
 }
 
 // falseHalts simulates harmless roll-outs and returns the fraction that was halted.
-func falseHalts(t *testing.T, tr simulation, runs int) float64 {
+func falseHalts(t *testing.T, si simulation, runs int) float64 {
 	halts := 0
 	for seed := range runs {
-		if _, halted := tr.simulate(t, uint64(10_000+seed)); halted {
+		if _, halted := si.simulate(t, uint64(10_000+seed)); halted {
 			halts++
 		}
 	}
--- a/core/rollout/guard.go
+++ b/core/rollout/guard.go
@@ -88,8 +88,8 @@
 		if gu.haltInForce(mv, ro.Halted != "") || ro.Halted != "" {
 			continue
 		}
-		if te := newComparison(sn, mv, ro.Percent); te != nil {
-			own[ro.Model] = gu.ownTests[ro.Model].continueAs(te)
+		if co := newComparison(sn, mv, ro.Percent); co != nil {
+			own[ro.Model] = gu.ownTests[ro.Model].continueAs(co)
 			pooled[ro.Model] = gu.pooledTests[ro.Model].continueAs(newComparison(sn, mv, ro.Percent))
 		}
 	}
@@ -133,24 +133,24 @@
 
 // continueAs returns the comparison to continue with under a newer configuration: the current one
 // if it is of the same two versions. A change of the percentage keeps the evidence so far.
-func (te *comparison) continueAs(next *comparison) *comparison {
-	if te == nil || te.candidate != next.candidate || te.stable != next.stable {
+func (co *comparison) continueAs(next *comparison) *comparison {
+	if co == nil || co.candidate != next.candidate || co.stable != next.stable {
 		return next
 	}
-	te.percent = next.percent
-	for ki, tr := range te.tests {
-		tr.controls = next.tests[ki].controls
+	co.percent = next.percent
+	for ki, st := range co.tests {
+		st.controls = next.tests[ki].controls
 	}
-	return te
+	return co
 }
 
 // CountExposed records that a new caller was assigned a version.
 func (gu *Guard) CountExposed(mv core.ModelVersion) {
 	gu.mu.Lock()
 	defer gu.mu.Unlock()
-	if te := gu.ownTests[mv.Model]; te != nil && te.candidate == mv {
-		te.exposed++
-		te.nextBatch.Exposed++
+	if co := gu.ownTests[mv.Model]; co != nil && co.candidate == mv {
+		co.exposed++
+		co.nextBatch.Exposed++
 	}
 }
 
@@ -159,15 +159,15 @@
 func (gu *Guard) RateShare(mv core.ModelVersion) float64 {
 	gu.mu.Lock()
 	defer gu.mu.Unlock()
-	te := gu.ownTests[mv.Model]
+	co := gu.ownTests[mv.Model]
 	switch {
-	case te == nil:
+	case co == nil:
 		return 0
-	case te.candidate == mv:
+	case co.candidate == mv:
 		return 1
-	case te.stable == mv:
+	case co.stable == mv:
 		// 1.5 times as many as a block needs, since their number varies.
-		return min(1, 1.5*float64(controlsFor(te.percent)*te.percent)/float64(max(100-te.percent, 1)))
+		return min(1, 1.5*float64(controlsFor(co.percent)*co.percent)/float64(max(100-co.percent, 1)))
 	}
 	return 0
 }
@@ -176,23 +176,23 @@
 func (gu *Guard) Observe(ou Outcome) {
 	gu.mu.Lock()
 	defer gu.mu.Unlock()
-	te := gu.ownTests[ou.Version.Model]
-	if te == nil || (te.candidate != ou.Version && te.stable != ou.Version) || gu.ownLosses.deduplicate(ou) {
+	co := gu.ownTests[ou.Version.Model]
+	if co == nil || (co.candidate != ou.Version && co.stable != ou.Version) || gu.ownLosses.deduplicate(ou) {
 		return
 	}
-	if len(te.nextBatch.Outcomes) < maxBatch {
-		te.nextBatch.Outcomes = append(te.nextBatch.Outcomes, ou)
+	if len(co.nextBatch.Outcomes) < maxBatch {
+		co.nextBatch.Outcomes = append(co.nextBatch.Outcomes, ou)
 	}
-	changed := te.tests[ou.Kind].observe(te.candidate == ou.Version, ou.Bad)
-	if changed && !te.decidedByHome && te.evidence() >= 1/MaxFalseHaltChance {
-		gu.decideHalt(te)
+	changed := co.tests[ou.Kind].observe(co.candidate == ou.Version, ou.Bad)
+	if changed && !co.decidedByHome && co.evidence() >= 1/MaxFalseHaltChance {
+		gu.decideHalt(co)
 	}
 }
 
 // decideHalt halts the candidate of a comparison.
-func (gu *Guard) decideHalt(te *comparison) {
-	gu.halts[te.candidate] = &haltRecord{Halt: Halt{Version: te.candidate, Evidence: te.describe(), Exposed: te.exposed}}
-	gu.endTests(te.candidate.Model)
+func (gu *Guard) decideHalt(co *comparison) {
+	gu.halts[co.candidate] = &haltRecord{Halt: Halt{Version: co.candidate, Evidence: co.describe(), Exposed: co.exposed}}
+	gu.endTests(co.candidate.Model)
 }
 
 // endTests ends the tests of a model and signals a new halt.
@@ -258,23 +258,23 @@
 func (gu *Guard) HaltSignal() <-chan struct{} { return gu.haltSignal }
 
 // evidence returns the weighted mean over the kinds, which is itself an e-process.
-func (te *comparison) evidence() float64 {
+func (co *comparison) evidence() float64 {
 	sum := 0.0
-	for ki, tr := range te.tests {
-		sum += kindWeights[ki] * tr.evidence()
+	for ki, st := range co.tests {
+		sum += kindWeights[ki] * st.evidence()
 	}
 	return sum
 }
 
 // describe returns the evidence of the kind with the largest weighted evidence.
-func (te *comparison) describe() string {
+func (co *comparison) describe() string {
 	strongest := Rating
 	for ki := range kinds {
-		if kindWeights[ki]*te.tests[ki].evidence() > kindWeights[strongest]*te.tests[strongest].evidence() {
+		if kindWeights[ki]*co.tests[ki].evidence() > kindWeights[strongest]*co.tests[strongest].evidence() {
 			strongest = ki
 		}
 	}
-	seen := te.tests[strongest].seen
+	seen := co.tests[strongest].seen
 	return fmt.Sprintf("%d of %d answers of %s were %s, against %d of %d of %s; %d new callers were given it",
-		seen[1].bad, seen[1].all, te.candidate, strongest, seen[0].bad, seen[0].all, te.stable, te.exposed)
+		seen[1].bad, seen[1].all, co.candidate, strongest, seen[0].bad, seen[0].all, co.stable, co.exposed)
 }
--- a/core/rollout/guard_test.go
+++ b/core/rollout/guard_test.go
@@ -132,11 +132,11 @@
 	err, next error
 }
 
-func (at *fakeUpstreams) Dispatch(context.Context, core.UpstreamID, *core.Attempt) (core.Answer, error) {
-	if at.err != nil {
-		return nil, at.err
+func (fu *fakeUpstreams) Dispatch(context.Context, core.UpstreamID, *core.Attempt) (core.Answer, error) {
+	if fu.err != nil {
+		return nil, fu.err
 	}
-	return &fakeAnswer{err: at.next}, nil
+	return &fakeAnswer{err: fu.next}, nil
 }
 
 type fakeAnswer struct {
--- a/core/rollout/observe.go
+++ b/core/rollout/observe.go
@@ -22,21 +22,21 @@
 }
 
 // Dispatch implements [core.Upstreams].
-func (wa *observedUpstreams) Dispatch(ctx context.Context, id core.UpstreamID, at *core.Attempt) (core.Answer, error) {
-	ans, err := wa.Upstreams.Dispatch(ctx, id, at)
+func (ou *observedUpstreams) Dispatch(ctx context.Context, id core.UpstreamID, at *core.Attempt) (core.Answer, error) {
+	ans, err := ou.Upstreams.Dispatch(ctx, id, at)
 	if at.Target.Model == "" {
 		return ans, err
 	}
 	if err != nil {
-		wa.recordEnd(ctx, id, at.Target, err)
+		ou.recordEnd(ctx, id, at.Target, err)
 		return nil, err
 	}
-	return &observedAnswer{Answer: ans, ups: wa, ctx: ctx, id: id, mv: at.Target}, nil
+	return &observedAnswer{Answer: ans, ups: ou, ctx: ctx, id: id, mv: at.Target}, nil
 }
 
 // recordEnd records how an attempt ended. A refusal before it ran is no evidence about the version,
 // nor is an end caused by the caller.
-func (wa *observedUpstreams) recordEnd(ctx context.Context, id core.UpstreamID, mv core.ModelVersion, err error) {
+func (ou *observedUpstreams) recordEnd(ctx context.Context, id core.UpstreamID, mv core.ModelVersion, err error) {
 	var fl *core.Failure
 	failed, lost := false, false
 	if err != nil {
@@ -53,8 +53,8 @@
 		}
 	}
 	now := time.Now()
-	wa.gu.Observe(Outcome{Version: mv, Kind: Error, Bad: failed, At: now, Upstream: id})
-	wa.gu.Observe(Outcome{Version: mv, Kind: Crash, Bad: lost, At: now, Upstream: id})
+	ou.gu.Observe(Outcome{Version: mv, Kind: Error, Bad: failed, At: now, Upstream: id})
+	ou.gu.Observe(Outcome{Version: mv, Kind: Crash, Bad: lost, At: now, Upstream: id})
 }
 
 type observedAnswer struct {
--- a/core/rollout/pool.go
+++ b/core/rollout/pool.go
@@ -46,9 +46,9 @@
 	gu.mu.Lock()
 	defer gu.mu.Unlock()
 	var out []Batch
-	for mo, te := range gu.ownTests {
-		out = append(out, Batch{Model: mo, Exposed: te.nextBatch.Exposed, Outcomes: te.nextBatch.Outcomes})
-		te.nextBatch = Batch{}
+	for mo, co := range gu.ownTests {
+		out = append(out, Batch{Model: mo, Exposed: co.nextBatch.Exposed, Outcomes: co.nextBatch.Outcomes})
+		co.nextBatch = Batch{}
 	}
 	return out
 }
@@ -60,37 +60,37 @@
 func (gu *Guard) MergeBatch(ba Batch) bool {
 	gu.mu.Lock()
 	defer gu.mu.Unlock()
-	te := gu.pooledTests[ba.Model]
-	if te == nil {
+	co := gu.pooledTests[ba.Model]
+	if co == nil {
 		return false
 	}
-	te.exposed += ba.Exposed
-	for _, mv := range []core.ModelVersion{te.stable, te.candidate} {
+	co.exposed += ba.Exposed
+	for _, mv := range []core.ModelVersion{co.stable, co.candidate} {
 		for _, ou := range ba.Outcomes {
 			if ou.Version == mv && !gu.pooledLosses.deduplicate(ou) {
-				te.tests[ou.Kind].observe(mv == te.candidate, ou.Bad)
+				co.tests[ou.Kind].observe(mv == co.candidate, ou.Bad)
 			}
 		}
 	}
-	if te.evidence() >= 1/MaxFalseHaltChance {
-		gu.decideHalt(te)
+	if co.evidence() >= 1/MaxFalseHaltChance {
+		gu.decideHalt(co)
 	}
 	return true
 }
 
-// DecideLocally sets whether this entry must decide on a model's roll-out by its own evidence
-// because the home is unreachable. An entry that waited for an unreachable home would keep
+// SetDecideLocally sets whether this entry decides on a model's roll-out by its own evidence, which
+// it must while the home is unreachable. An entry that waited for an unreachable home would keep
 // assigning callers to a bad version.
-func (gu *Guard) DecideLocally(mo core.ModelID, alone bool) {
+func (gu *Guard) SetDecideLocally(mo core.ModelID, locally bool) {
 	gu.mu.Lock()
 	defer gu.mu.Unlock()
-	te := gu.ownTests[mo]
-	if te == nil {
+	co := gu.ownTests[mo]
+	if co == nil {
 		return
 	}
-	te.decidedByHome = !alone
-	if alone && te.evidence() >= 1/MaxFalseHaltChance {
-		gu.decideHalt(te)
+	co.decidedByHome = !locally
+	if locally && co.evidence() >= 1/MaxFalseHaltChance {
+		gu.decideHalt(co)
 	}
 }
 
@@ -103,8 +103,8 @@
 func (gu *Guard) AdoptHalt(ha Halt, decided core.Generation) bool {
 	gu.mu.Lock()
 	defer gu.mu.Unlock()
-	te := gu.ownTests[ha.Version.Model]
-	if te == nil || te.candidate != ha.Version || gu.generation > decided {
+	co := gu.ownTests[ha.Version.Model]
+	if co == nil || co.candidate != ha.Version || gu.generation > decided {
 		return false
 	}
 	gu.halts[ha.Version] = &haltRecord{Halt: ha}
--- a/core/rollout/sequential.go
+++ b/core/rollout/sequential.go
@@ -6,8 +6,8 @@
 	"skylarkstand/core"
 )
 
-// MaxFalseHaltChance bounds the chance that a version that is no worse is halted, over the whole of
-// its roll-out.
+// MaxFalseHaltChance bounds the chance that a version that is no worse is halted, over its
+// complete roll-out.
 const MaxFalseHaltChance = 0.01
 
 // Kind is the kind of evidence that an outcome provides.
@@ -24,7 +24,7 @@
 	kinds
 )
 
-// Valid reports whether a kind is one of these: a peer of another release may send others.
+// Valid reports whether a kind is one of these: an entry of another release may send others.
 func (ki Kind) Valid() bool { return ki >= Rating && ki < kinds }
 
 // String returns the text for a kind in the evidence that operators read.
@@ -106,37 +106,38 @@
 func clamp(rate float64) float64 { return min(max(rate, minRate), maxRate) }
 
 // observe records one outcome and reports whether the products have changed.
-func (tr *sequentialTest) observe(candidate, bad bool) bool {
-	tr.count(candidate, bad)
+func (st *sequentialTest) observe(candidate, bad bool) bool {
+	st.recordOutcome(candidate, bad)
 	if candidate {
-		tr.waiting = append(tr.waiting, bad)
-		tr.uncontrolled++
+		st.waiting = append(st.waiting, bad)
+		st.uncontrolled++
 	} else {
-		tr.stable = append(tr.stable, bad)
-		tr.uncontrolled = 0
-		if tr.controls == 0 {
-			tr.updateRate(tr.stable)
-			tr.stable = nil
+		st.stable = append(st.stable, bad)
+		st.uncontrolled = 0
+		if st.controls == 0 {
+			st.updateRate(st.stable)
+			st.stable = nil
 		}
 	}
-	if len(tr.stable) > maxStable {
-		tr.stable = tr.stable[1:]
+	if len(st.stable) > maxStable {
+		st.stable = st.stable[1:]
 	}
 	changed := false
-	for len(tr.waiting) > 0 && tr.blockReady() {
-		tr.testBlock()
+	for len(st.waiting) > 0 && st.blockReady() {
+		st.testOldest()
 		changed = true
 	}
-	if len(tr.waiting) > maxUncontrolled {
-		tr.waiting = tr.waiting[1:]
+	if len(st.waiting) > maxUncontrolled {
+		st.waiting = st.waiting[1:]
 	}
 	return changed
 }
 
-func (tr *sequentialTest) count(candidate, bad bool) {
-	ta := &tr.seen[0]
+// recordOutcome counts an outcome of the candidate version or of the stable one.
+func (st *sequentialTest) recordOutcome(candidate, bad bool) {
+	ta := &st.seen[0]
 	if candidate {
-		ta = &tr.seen[1]
+		ta = &st.seen[1]
 	}
 	ta.all++
 	if bad {
@@ -146,42 +147,42 @@
 
 // blockReady depends on the number of outcomes only, never on whether they are bad: blocks cut
 // according to their content would invalidate the test.
-func (tr *sequentialTest) blockReady() bool {
+func (st *sequentialTest) blockReady() bool {
 	switch {
-	case tr.controls == 0 || tr.uncontrolled > maxUncontrolled:
+	case st.controls == 0 || st.uncontrolled > maxUncontrolled:
 		return true
-	case len(tr.stable) == 0:
+	case len(st.stable) == 0:
 		return false
 	default:
-		return len(tr.stable) >= tr.controls || len(tr.waiting) > maxWaiting
+		return len(st.stable) >= st.controls || len(st.waiting) > maxWaiting
 	}
 }
 
-// testBlock tests the oldest waiting outcome against the newest stable ones. It uses the stable
-// version's rate from before the block.
-func (tr *sequentialTest) testBlock() {
-	bad := tr.waiting[0]
-	tr.waiting = tr.waiting[1:]
-	from := max(len(tr.stable)-tr.controls, 0)
-	controls := tr.stable[from:]
+// testOldest tests the oldest waiting outcome of the candidate against a block of the newest stable
+// ones. It uses the stable version's rate from before the block.
+func (st *sequentialTest) testOldest() {
+	bad := st.waiting[0]
+	st.waiting = st.waiting[1:]
+	from := max(len(st.stable)-st.controls, 0)
+	controls := st.stable[from:]
 	if len(controls) == 0 {
-		tr.updateProducts(tr.referenceRate(), bad, nil)
+		st.updateProducts(st.referenceRate(), bad, nil)
 		return
 	}
-	tr.updateProducts(clamp(tr.bad/tr.all), bad, controls)
-	tr.updateRate(controls)
-	tr.stable = tr.stable[:from]
+	st.updateProducts(clamp(st.bad/st.all), bad, controls)
+	st.updateRate(controls)
+	st.stable = st.stable[:from]
 }
 
 // referenceRate is the rate that an outcome without controls is tested against: the observed rate
 // of the stable version plus its uncertainty. A version must not be halted because the stable one
 // was observed too rarely.
-func (tr *sequentialTest) referenceRate() float64 {
-	if tr.declaredOnly {
-		return tr.declared
+func (st *sequentialTest) referenceRate() float64 {
+	if st.declaredOnly {
+		return st.declared
 	}
-	rate := clamp(tr.bad / tr.all)
-	return clamp(rate + math.Sqrt(rate*(1-rate)/tr.all))
+	rate := clamp(st.bad / st.all)
+	return clamp(rate + math.Sqrt(rate*(1-rate)/st.all))
 }
 
 func countBad(outcomes []bool) int {
@@ -194,7 +195,7 @@
 	return bad
 }
 
-func (tr *sequentialTest) updateProducts(rate float64, bad bool, controls []bool) {
+func (st *sequentialTest) updateProducts(rate float64, bad bool, controls []bool) {
 	badControls, all := float64(countBad(controls)), float64(len(controls))
 	for i, ef := range effects {
 		worse := min(rate+ef.diff, 0.99)
@@ -202,33 +203,34 @@
 		if all > 0 {
 			both = (rate*all + worse) / (all + 1)
 		}
-		tr.logProducts[i] += logRatio(worse, both, bad)
-		tr.logProducts[i] += badControls*logRatio(rate, both, true) + (all-badControls)*logRatio(rate, both, false)
+		st.logProducts[i] += logLikelihoodRatio(worse, both, bad)
+		st.logProducts[i] += badControls*logLikelihoodRatio(rate, both, true) + (all-badControls)*logLikelihoodRatio(rate, both, false)
 	}
 }
 
-// logRatio returns the logarithm of the likelihood ratio of an outcome between two rates.
-func logRatio(rate, other float64, bad bool) float64 {
+// logLikelihoodRatio returns the logarithm of the likelihood of an outcome at the failure rate p1,
+// divided by that at p0.
+func logLikelihoodRatio(p1, p0 float64, bad bool) float64 {
 	if bad {
-		return math.Log(rate / other)
+		return math.Log(p1 / p0)
 	}
-	return math.Log((1 - rate) / (1 - other))
+	return math.Log((1 - p1) / (1 - p0))
 }
 
-func (tr *sequentialTest) updateRate(outcomes []bool) {
-	tr.bad += float64(countBad(outcomes))
-	tr.all += float64(len(outcomes))
-	if tr.all > rateWindow {
-		tr.bad *= rateWindow / tr.all
-		tr.all = rateWindow
+func (st *sequentialTest) updateRate(outcomes []bool) {
+	st.bad += float64(countBad(outcomes))
+	st.all += float64(len(outcomes))
+	if st.all > rateWindow {
+		st.bad *= rateWindow / st.all
+		st.all = rateWindow
 	}
 }
 
 // evidence returns the weighted mean of the products.
-func (tr *sequentialTest) evidence() float64 {
+func (st *sequentialTest) evidence() float64 {
 	sum := 0.0
 	for i, ef := range effects {
-		sum += ef.weight * math.Exp(tr.logProducts[i])
+		sum += ef.weight * math.Exp(st.logProducts[i])
 	}
 	return sum
 }
--- a/core/rollout/sim_test.go
+++ b/core/rollout/sim_test.go
@@ -79,17 +79,17 @@
 }
 
 // simulate returns how many callers were assigned the candidate and whether it was halted.
-func (tr simulation) simulate(t testing.TB, seed uint64) (exposed int, halted bool) {
+func (si simulation) simulate(t testing.TB, seed uint64) (exposed int, halted bool) {
 	rnd := rand.New(rand.NewPCG(seed, 11))
-	guards := make([]*rollout.Guard, max(tr.entries, 1))
+	guards := make([]*rollout.Guard, max(si.entries, 1))
 	for i := range guards {
 		guards[i] = rollout.New()
 		quality := core.Quality(0.9)
-		if tr.cheaper {
+		if si.cheaper {
 			quality = 0.8
 		}
-		guards[i].Apply(configurationWithQuality(t, 1, tr.percent, "", quality))
-		guards[i].DecideLocally("desk", tr.noHome)
+		guards[i].Apply(configurationWithQuality(t, 1, si.percent, "", quality))
+		guards[i].SetDecideLocally("desk", si.noHome)
 	}
 	var qu eventqueue.Queue
 	var seen [2][2]int
@@ -100,22 +100,22 @@
 			halted, stop = true, at.Add(haltPropagation)
 		}
 	}
-	for exposed < tr.callers && (stop.IsZero() || now.Before(stop)) {
+	for exposed < si.callers && (stop.IsZero() || now.Before(stop)) {
 		now = now.Add(time.Duration(rnd.ExpFloat64() * float64(time.Second/callersPerSecond)))
 		qu.RunBefore(now)
-		if !tr.noHome && now.Sub(sent) >= batchInterval {
+		if !si.noHome && now.Sub(sent) >= batchInterval {
 			sent = now
-			if exchangeBatches(guards) && tr.decide == nil {
+			if exchangeBatches(guards) && si.decide == nil {
 				end(now)
 			}
 		}
 		gu := guards[rnd.IntN(len(guards))]
-		mv, good, side := desk1, rnd.Float64() < tr.stable, 0
-		if rnd.IntN(100) < tr.percent {
-			if tr.decide == nil && gu.Halted(desk2) {
+		mv, good, side := desk1, rnd.Float64() < si.stable, 0
+		if rnd.IntN(100) < si.percent {
+			if si.decide == nil && gu.Halted(desk2) {
 				continue
 			}
-			mv, good, side = desk2, rnd.Float64() < tr.candidate, 1
+			mv, good, side = desk2, rnd.Float64() < si.candidate, 1
 			exposed++
 		}
 		if rnd.Float64() >= gu.RateShare(mv) {
@@ -128,7 +128,7 @@
 				seen[side][1]++
 			}
 			gu.Observe(rollout.Outcome{Version: mv, Kind: rollout.Rating, Bad: !good, At: at})
-			if (tr.decide == nil && gu.Halted(desk2)) || (tr.decide != nil && tr.decide(seen)) {
+			if (si.decide == nil && gu.Halted(desk2)) || (si.decide != nil && si.decide(seen)) {
 				end(at)
 			}
 		})
@@ -136,6 +136,6 @@
 	return exposed, halted
 }
 
-func (tr simulation) String() string {
-	return fmt.Sprintf("%.2f to %.2f at %d%%", tr.stable, tr.candidate, tr.percent)
+func (si simulation) String() string {
+	return fmt.Sprintf("%.2f to %.2f at %d%%", si.stable, si.candidate, si.percent)
 }
--- a/core/route/route.go
+++ b/core/route/route.go
@@ -47,7 +47,7 @@
 	// Stream is set when responses are event streams.
 	Stream bool
 	Retry  core.RetrySafety
-	// Timeout bounds the time until a caller has its whole response; TargetLatency is the target
+	// Timeout bounds the time until a caller has its complete response; TargetLatency is the target
 	// time of a response, or of a stream's first event.
 	Timeout, TargetLatency time.Duration
 	// MaxEventGap is the target for the longest pause between two events of a stream.
--- a/core/route/route_test.go
+++ b/core/route/route_test.go
@@ -23,7 +23,7 @@
 	return tb
 }
 
-func TestFind(t *testing.T) {
+func TestFindPrefersLongestPrefix(t *testing.T) {
 	tb := table(t, 1,
 		route.Route{ID: "all", Host: "a", Prefix: "/"}, route.Route{ID: "claims", Host: "a", Prefix: "/claims/"},
 		route.Route{ID: "old", Host: "a", Prefix: "/claims/old/"}, route.Route{ID: "other", Host: "b", Prefix: "/claims/"})
--- a/core/shed/shed.go
+++ b/core/shed/shed.go
@@ -32,11 +32,11 @@
 	// since the longest targets are twice the tightest: what is refused here would hardly be in
 	// time at any upstream.
 	maxWaitFactor = 3.0
-	// lessUrgentPart is the part of that bound for requests that are not among the most urgent,
-	// and noisyPart for those of a workspace that sends more than its share. Waits fluctuate
+	// lessUrgentShare is the fraction of that bound for requests that are not among the most urgent,
+	// and noisyShare for those of a workspace that sends more than its share. Waits fluctuate
 	// around the bound under load, so a slightly lower bound admits far fewer requests.
-	lessUrgentPart = 0.85
-	noisyPart      = 0.6
+	lessUrgentShare = 0.85
+	noisyShare      = 0.6
 	// exemptShare is the share of those requests to which the full bound applies, so that no route
 	// and no workspace is starved.
 	exemptShare = 0.3
@@ -121,10 +121,10 @@
 	part := maxWaitFactor
 	if rq.Draw >= exemptShare {
 		if !rq.Urgent {
-			part *= lessUrgentPart
+			part *= lessUrgentShare
 		}
 		if ga.isNoisy(rq.Workspace) && !ga.off.Has(mechanism.NoisyWorkspaceLimit) {
-			part *= noisyPart
+			part *= noisyShare
 		}
 	}
 	return time.Duration(part * float64(rq.Target))
--- a/io/sibling/gossip.go
+++ b/io/sibling/gossip.go
@@ -25,9 +25,9 @@
 	// immediately.
 	SentSignal() <-chan struct{}
 	// TakeCalls returns the calls sent to upstreams since the previous call of TakeCalls.
-	TakeCalls() []balance.Share
+	TakeCalls() []balance.UpstreamLoad
 	// ReceiveCalls records calls that another entry has just sent.
-	ReceiveCalls(from uint64, sent []balance.Share)
+	ReceiveCalls(from uint64, sent []balance.UpstreamLoad)
 	// RegionLoad returns the load announced to entries of other regions, with at most
 	// the given number of individual upstreams. ReceiveRegionLoad records such a load.
 	RegionLoad(maxUpstreams int) balance.RegionLoad
@@ -143,7 +143,7 @@
 	}
 	defer context.AfterFunc(ctx, func() { pc.Close() })()
 	go sh.receive(pc)
-	ti := time.NewTicker(balance.ShareInterval)
+	ti := time.NewTicker(balance.AnnounceInterval)
 	defer ti.Stop()
 	remoteTicker := time.NewTicker(balance.RemoteInterval)
 	defer remoteTicker.Stop()
@@ -170,12 +170,12 @@
 // nothing when it has no load: its last load expires at the others within seconds.
 func (sh *Gossiper) sendLoad(pc net.PacketConn) {
 	lo := sh.ld.TakeLoad()
-	if len(lo.Shares) == 0 && len(lo.CachedParts) == 0 && !sh.isReader() {
+	if len(lo.Upstreams) == 0 && len(lo.CachedParts) == 0 && !sh.isReader() {
 		return
 	}
 	sh.rotation.beginRound(sh.addrs(), lo.CachedParts)
 	for _, addr := range sh.rotation.next(siblingsPerRound) {
-		sh.sendTo(pc, []string{addr}, balance.Load{Shares: lo.Shares, CachedParts: sh.rotation.takePending(addr), Budgets: lo.Budgets})
+		sh.sendTo(pc, []string{addr}, balance.Load{Upstreams: lo.Upstreams, CachedParts: sh.rotation.takePending(addr), Budgets: lo.Budgets})
 	}
 }
 
@@ -229,7 +229,7 @@
 }
 
 func encodeLoad(self uint64, di replica.Digest, lo balance.Load) []byte {
-	shares, cached := lo.Shares[:min(len(lo.Shares), maxShares)], lo.CachedParts[:min(len(lo.CachedParts), maxCachedParts)]
+	shares, cached := lo.Upstreams[:min(len(lo.Upstreams), maxShares)], lo.CachedParts[:min(len(lo.CachedParts), maxCachedParts)]
 	data := make([]byte, 0, loadHeadSize+len(shares)*shareSize+len(cached)*cachedPartSize)
 	data = append(data, loadFormat)
 	data = binary.BigEndian.AppendUint64(data, self)
@@ -283,7 +283,7 @@
 	if len(payload) < shares+budgets || (len(payload)-shares-budgets)%cachedPartSize != 0 {
 		return 0, di, lo, false
 	}
-	lo.Shares = decodeShares(payload[:shares])
+	lo.Upstreams = decodeShares(payload[:shares])
 	lo.Budgets = decodeBudgets(payload[shares : shares+budgets])
 	for row := payload[shares+budgets:]; len(row) > 0; row = row[cachedPartSize:] {
 		lo.CachedParts = append(lo.CachedParts, balance.CachedPart{Upstream: binary.BigEndian.Uint64(row), Part: binary.BigEndian.Uint64(row[8:])})
--- a/io/sibling/gossip_test.go
+++ b/io/sibling/gossip_test.go
@@ -16,7 +16,7 @@
 // from an idle upstream.
 func TestLoadDatagram(t *testing.T) {
 	lo := balance.Load{
-		Shares:      []balance.Share{{Upstream: 1 << 60, Own: 3, Pending: 250 * time.Millisecond}, {Upstream: 7, Own: 70_000, Pending: time.Hour}},
+		Upstreams:   []balance.UpstreamLoad{{Upstream: 1 << 60, Own: 3, Pending: 250 * time.Millisecond}, {Upstream: 7, Own: 70_000, Pending: time.Hour}},
 		CachedParts: []balance.CachedPart{{Upstream: 7, Part: 1 << 63}},
 		Budgets:     []balance.RetryBudget{{Service: 1 << 61, Left: -3}, {Service: 2, Left: 40}},
 	}
@@ -26,7 +26,7 @@
 	assert.Assert(t, ok)
 	assert.Equal(t, digest, wo)
 	assert.Equal(t, from, uint64(42))
-	lo.Shares[1].Own, lo.Shares[1].Pending = maxUnits, maxUnits*pendingUnit
+	lo.Upstreams[1].Own, lo.Upstreams[1].Pending = maxUnits, maxUnits*pendingUnit
 	assert.DeepEqual(t, got, lo)
 	for n := range data {
 		_, _, _, ok := decodeLoad(data[:n])
@@ -45,7 +45,7 @@
 func TestLoadDatagramFitsPacket(t *testing.T) {
 	var lo balance.Load
 	for i := range 500 {
-		lo.Shares = append(lo.Shares, balance.Share{Upstream: balance.Hash("x"), Own: i})
+		lo.Upstreams = append(lo.Upstreams, balance.UpstreamLoad{Upstream: balance.Hash("x"), Own: i})
 		lo.CachedParts = append(lo.CachedParts, balance.CachedPart{Part: uint64(i)})
 		lo.Budgets = append(lo.Budgets, balance.RetryBudget{Left: 1e9})
 	}
@@ -53,7 +53,7 @@
 	assert.Assert(t, len(data) <= 1472, "%d", len(data))
 	_, _, got, ok := decodeLoad(data)
 	assert.Assert(t, ok)
-	assert.Equal(t, fmt.Sprint(len(got.Shares), " ", len(got.CachedParts)), "64 36")
+	assert.Equal(t, fmt.Sprint(len(got.Upstreams), " ", len(got.CachedParts)), "64 36")
 }
 
 // Guards against facts that are altered by encoding, and against decoding other bytes as
@@ -77,7 +77,7 @@
 
 // Guards against sent calls that are altered by encoding.
 func TestSentCallsDatagram(t *testing.T) {
-	sent := []balance.Share{{Upstream: 1 << 62, Own: 1, Pending: 700 * time.Millisecond}, {Upstream: 5, Own: 1}}
+	sent := []balance.UpstreamLoad{{Upstream: 1 << 62, Own: 1, Pending: 700 * time.Millisecond}, {Upstream: 5, Own: 1}}
 	data := encodeSent(42, sent)
 	from, got, ok := decodeSent(data)
 	assert.Assert(t, ok)
@@ -87,5 +87,5 @@
 	assert.Assert(t, !ok)
 	_, _, ok = decodeSent(encodeFacts([]balance.Fact{{}}))
 	assert.Assert(t, !ok)
-	assert.Assert(t, len(encodeSent(1, make([]balance.Share, 500))) <= 1472)
+	assert.Assert(t, len(encodeSent(1, make([]balance.UpstreamLoad, 500))) <= 1472)
 }
--- a/io/sibling/remote.go
+++ b/io/sibling/remote.go
@@ -26,7 +26,7 @@
 		return
 	}
 	lo := sh.ld.RegionLoad(maxShares)
-	if len(lo.Shares) == 0 {
+	if len(lo.Upstreams) == 0 {
 		return
 	}
 	data := encodeRegion(lo)
@@ -61,7 +61,7 @@
 )
 
 func encodeRemoteCalls(se balance.RemoteCalls) []byte {
-	shares := se.Shares[:min(len(se.Shares), maxShares)]
+	shares := se.Calls[:min(len(se.Calls), maxShares)]
 	data := make([]byte, 0, callsHeadSize+len(shares)*shareSize)
 	data = append(data, callsFormat)
 	data = binary.BigEndian.AppendUint64(data, se.From)
@@ -73,15 +73,15 @@
 	if len(data) < callsHeadSize || data[0] != callsFormat || (len(data)-callsHeadSize)%shareSize != 0 {
 		return balance.RemoteCalls{}, false
 	}
-	return balance.RemoteCalls{From: binary.BigEndian.Uint64(data[1:]), Shares: decodeShares(data[callsHeadSize:])}, true
+	return balance.RemoteCalls{From: binary.BigEndian.Uint64(data[1:]), Calls: decodeShares(data[callsHeadSize:])}, true
 }
 
 func encodeRegion(lo balance.RegionLoad) []byte {
-	shares := lo.Shares[:min(len(lo.Shares), maxShares)]
+	shares := lo.Upstreams[:min(len(lo.Upstreams), maxShares)]
 	data := make([]byte, 0, regionHeadSize+len(shares)*shareSize)
 	data = append(data, regionFormat)
 	data = binary.BigEndian.AppendUint64(data, lo.Region)
-	data = appendShares(data, []balance.Share{lo.Others})
+	data = appendShares(data, []balance.UpstreamLoad{lo.Others})
 	return appendShares(data, shares)
 }
 
@@ -91,8 +91,8 @@
 		return balance.RegionLoad{}, false
 	}
 	return balance.RegionLoad{
-		Region: binary.BigEndian.Uint64(data[1:]),
-		Others: decodeShares(data[1+8 : regionHeadSize])[0],
-		Shares: decodeShares(data[regionHeadSize:]),
+		Region:    binary.BigEndian.Uint64(data[1:]),
+		Others:    decodeShares(data[1+8 : regionHeadSize])[0],
+		Upstreams: decodeShares(data[regionHeadSize:]),
 	}, true
 }
--- a/io/sibling/remote_test.go
+++ b/io/sibling/remote_test.go
@@ -13,8 +13,8 @@
 // as another kind of datagram, or exceeds the packet size.
 func TestRegionDatagram(t *testing.T) {
 	lo := balance.RegionLoad{
-		Region: 1 << 60, Others: balance.Share{Own: 1, Pending: 30 * time.Millisecond},
-		Shares: []balance.Share{{Upstream: 9, Own: 3, Pending: 250 * time.Millisecond}},
+		Region: 1 << 60, Others: balance.UpstreamLoad{Own: 1, Pending: 30 * time.Millisecond},
+		Upstreams: []balance.UpstreamLoad{{Upstream: 9, Own: 3, Pending: 250 * time.Millisecond}},
 	}
 	data := encodeRegion(lo)
 	got, ok := decodeRegion(data)
@@ -31,7 +31,7 @@
 	_, _, ok = decodeSent(data)
 	assert.Assert(t, !ok)
 	for range 500 {
-		lo.Shares = append(lo.Shares, balance.Share{Upstream: 7})
+		lo.Upstreams = append(lo.Upstreams, balance.UpstreamLoad{Upstream: 7})
 	}
 	data = encodeRegion(lo)
 	assert.Assert(t, len(data) <= 1472, "%d", len(data))
--- a/io/sibling/sent.go
+++ b/io/sibling/sent.go
@@ -19,7 +19,7 @@
 	sentBurst = 160
 )
 
-func encodeSent(self uint64, sent []balance.Share) []byte {
+func encodeSent(self uint64, sent []balance.UpstreamLoad) []byte {
 	sent = sent[:min(len(sent), maxShares)]
 	data := make([]byte, 0, sentHeadSize+len(sent)*shareSize)
 	data = append(data, sentFormat)
@@ -28,14 +28,14 @@
 }
 
 // decodeSent decodes a sent-calls datagram. It returns false for any other datagram.
-func decodeSent(data []byte) (from uint64, sent []balance.Share, ok bool) {
+func decodeSent(data []byte) (from uint64, sent []balance.UpstreamLoad, ok bool) {
 	if len(data) < sentHeadSize || data[0] != sentFormat || (len(data)-sentHeadSize)%shareSize != 0 {
 		return 0, nil, false
 	}
 	return binary.BigEndian.Uint64(data[1:]), decodeShares(data[sentHeadSize:]), true
 }
 
-func appendShares(data []byte, shares []balance.Share) []byte {
+func appendShares(data []byte, shares []balance.UpstreamLoad) []byte {
 	for _, sr := range shares {
 		data = binary.BigEndian.AppendUint64(data, sr.Upstream)
 		data = binary.BigEndian.AppendUint16(data, uint16(min(sr.Own, maxUnits)))
@@ -44,10 +44,10 @@
 	return data
 }
 
-func decodeShares(data []byte) []balance.Share {
-	var out []balance.Share
+func decodeShares(data []byte) []balance.UpstreamLoad {
+	var out []balance.UpstreamLoad
 	for row := data; len(row) > 0; row = row[shareSize:] {
-		out = append(out, balance.Share{
+		out = append(out, balance.UpstreamLoad{
 			Upstream: binary.BigEndian.Uint64(row),
 			Own:      int(binary.BigEndian.Uint16(row[8:])),
 			Pending:  time.Duration(binary.BigEndian.Uint16(row[10:])) * pendingUnit,
