--- a/core/admission/bookkeeping.go
+++ b/core/admission/bookkeeping.go
@@ -6,103 +6,103 @@
 // never deleted: the configuration bounds the number of workspaces, and keeping
 // them preserves their estimates.
 func (con *Controller) workspace(wo Work) *workspaceState {
-	sp := con.workspaces[wo.Workspace]
+	ws := con.workspaces[wo.Workspace]
 	weight := float64(max(wo.Share, 1))
-	if sp == nil {
-		sp = &workspaceState{weight: weight, output: initialOutput, heapIndex: -1}
-		con.workspaces[wo.Workspace] = sp
+	if ws == nil {
+		ws = &workspaceState{weight: weight, output: initialOutput, heapIndex: -1}
+		con.workspaces[wo.Workspace] = ws
 	}
-	if sp.weight != weight {
-		if sp.active {
-			con.activeWeight += weight - sp.weight
+	if ws.weight != weight {
+		if ws.active {
+			con.activeWeight += weight - ws.weight
 		}
-		if sp.count > 0 {
-			con.waitingWeight += weight - sp.weight
+		if ws.count > 0 {
+			con.waitingWeight += weight - ws.weight
 		}
-		sp.weight = weight
+		ws.weight = weight
 	}
-	return sp
+	return ws
 }
 
 // updateActive adds a workspace's weight to the sum of the active workspaces
 // when it has work, and removes it when it has none.
-func (con *Controller) updateActive(sp *workspaceState) {
-	active := sp.count > 0 || sp.running > 0
-	if active == sp.active {
+func (con *Controller) updateActive(ws *workspaceState) {
+	active := ws.count > 0 || ws.running > 0
+	if active == ws.active {
 		return
 	}
-	sp.active = active
+	ws.active = active
 	if active {
-		con.activeWeight += sp.weight
+		con.activeWeight += ws.weight
 	} else {
-		con.activeWeight = max(con.activeWeight-sp.weight, 0)
+		con.activeWeight = max(con.activeWeight-ws.weight, 0)
 	}
 }
 
-func (con *Controller) activeWeightWith(sp *workspaceState) float64 {
-	if sp.active {
+func (con *Controller) activeWeightWith(ws *workspaceState) float64 {
+	if ws.active {
 		return con.activeWeight
 	}
-	return con.activeWeight + sp.weight
+	return con.activeWeight + ws.weight
 }
 
 func (con *Controller) enqueue(ti *Ticket) {
-	sp := ti.workspace
-	if sp.count == 0 {
-		con.unqueuedRunning -= sp.running
-		con.waitingWeight += sp.weight
+	ws := ti.workspace
+	if ws.count == 0 {
+		con.unqueuedRunning -= ws.running
+		con.waitingWeight += ws.weight
 	}
-	sp.push(ti)
+	ws.push(ti)
 	con.queued++
-	if sp.heapIndex < 0 {
+	if ws.heapIndex < 0 {
 		// An idle workspace does not accumulate credit.
-		sp.tag = max(sp.tag, con.virtualTime)
-		con.waiting.push(sp)
+		ws.tag = max(ws.tag, con.virtualTime)
+		con.waiting.push(ws)
 	}
-	con.updateActive(sp)
+	con.updateActive(ws)
 }
 
 func (con *Controller) dequeue(ti *Ticket) {
-	sp := ti.workspace
-	sp.remove(ti)
+	ws := ti.workspace
+	ws.remove(ti)
 	con.queued--
-	if sp.count == 0 {
-		con.waiting.remove(sp.heapIndex)
-		con.unqueuedRunning += sp.running
-		con.waitingWeight -= sp.weight
+	if ws.count == 0 {
+		con.waiting.remove(ws.heapIndex)
+		con.unqueuedRunning += ws.running
+		con.waitingWeight -= ws.weight
 	}
-	con.updateActive(sp)
+	con.updateActive(ws)
 }
 
 // start charges a request to its workspace and advances virtual time.
 func (con *Controller) start(now time.Time, ti *Ticket) {
-	sp := ti.workspace
+	ws := ti.workspace
 	ti.started = now
-	sp.tag = max(sp.tag, con.virtualTime)
-	con.virtualTime = sp.tag
-	sp.tag += ti.units / sp.weight
-	if sp.heapIndex >= 0 {
-		con.waiting.fix(sp.heapIndex)
+	ws.tag = max(ws.tag, con.virtualTime)
+	con.virtualTime = ws.tag
+	ws.tag += ti.units / ws.weight
+	if ws.heapIndex >= 0 {
+		con.waiting.fix(ws.heapIndex)
 	}
 	if con.epoch.IsZero() {
 		con.epoch = now
 	}
 	con.addRunning(ti, 1)
-	con.updateActive(sp)
+	con.updateActive(ws)
 }
 
 // addRunning updates the totals of the running requests when one starts (by is
 // 1) or ends (by is -1).
 func (con *Controller) addRunning(ti *Ticket, by int) {
-	sp := ti.workspace
+	ws := ti.workspace
 	con.startSum += float64(by) * ti.started.Sub(con.epoch).Seconds()
 	con.chargedUnits += float64(by) * ti.units
 	con.running += by
 	if con.running == 0 {
 		con.startSum, con.chargedUnits = 0, 0 // Discards accumulated rounding errors.
 	}
-	sp.running += by
-	if sp.count == 0 {
+	ws.running += by
+	if ws.count == 0 {
 		con.unqueuedRunning += by
 	}
 }
--- a/core/admission/controller.go
+++ b/core/admission/controller.go
@@ -68,15 +68,15 @@
 }
 
 // New returns a controller for a pool of the given capacity.
-func New(ro Capacity, opts ...Option) *Controller {
+func New(ca Capacity, opts ...Option) *Controller {
 	return &Controller{
-		lim: newLimits(opts), capacity: ro, workspaces: map[core.WorkspaceID]*workspaceState{},
+		lim: newLimits(opts), capacity: ca, workspaces: map[core.WorkspaceID]*workspaceState{},
 		meanSeconds: initialSecondsPerUnit * initialOutput, meanUnits: initialOutput,
 	}
 }
 
 // Resize sets the pool's capacity. With zero EntrySlots, no request starts.
-func (con *Controller) Resize(ro Capacity) { con.capacity = ro }
+func (con *Controller) Resize(ca Capacity) { con.capacity = ca }
 
 // Offer decides on an arriving request. It returns the request's ticket and
 // whether it starts now, or a refusal. A ticket that does not start now is
@@ -87,22 +87,22 @@
 // caller the time to try elsewhere, and running it too late would waste capacity
 // that other requests need to meet their deadlines.
 func (con *Controller) Offer(now time.Time, wo Work) (*Ticket, bool, *core.Failure) {
-	sp := con.workspace(wo)
+	ws := con.workspace(wo)
 	prompt := float64(wo.Prompt) / promptTokensPerUnit
 	la := levelOf(wo.Priority)
-	if fl := con.refuse(now, sp, la, prompt, wo); fl != nil {
+	if fl := con.refuse(now, ws, la, prompt, wo); fl != nil {
 		return nil, false, fl
 	}
 	ti := con.newTicket()
-	*ti = Ticket{workspace: sp, level: la, prompt: prompt, units: prompt + sp.output, arrived: now}
+	*ti = Ticket{workspace: ws, level: la, prompt: prompt, units: prompt + ws.output, arrived: now}
 	if wo.Deadline > 0 {
 		ti.deadline = now.Add(wo.Deadline)
 	}
-	if con.startsNow(sp) {
+	if con.startsNow(ws) {
 		con.start(now, ti)
 		return ti, true, nil
 	}
-	ti.expected = con.estimateWait(now, sp, la)
+	ti.expected = con.estimateWait(now, ws, la)
 	con.enqueue(ti)
 	return ti, false, nil
 }
@@ -117,25 +117,25 @@
 
 // startsNow reports whether a workspace's new request can start at once. It does
 // not overtake other workspaces: those that wait cannot start.
-func (con *Controller) startsNow(sp *workspaceState) bool { return sp.count == 0 && con.mayStart(sp) }
+func (con *Controller) startsNow(ws *workspaceState) bool { return ws.count == 0 && con.mayStart(ws) }
 
 // refuse returns the refusal of a request that cannot finish in time, or nil.
-func (con *Controller) refuse(now time.Time, sp *workspaceState, la int, prompt float64, wo Work) *core.Failure {
-	service := con.serviceTime(prompt + sp.output)
-	if con.startsNow(sp) {
+func (con *Controller) refuse(now time.Time, ws *workspaceState, la int, prompt float64, wo Work) *core.Failure {
+	service := con.serviceTime(prompt + ws.output)
+	if con.startsNow(ws) {
 		return con.refuseInfeasible(service, wo)
 	}
-	wait := con.estimateWait(now, sp, la)
+	wait := con.estimateWait(now, ws, la)
 	if wo.NoWait {
 		return core.Refuse(core.CodeOverloaded, retryAfter(wait, wo.Jitter), "the pool has no room")
 	}
-	if con.queued >= con.lim.MaxQueue || sp.count >= con.lim.MaxQueuePerWorkspace {
+	if con.queued >= con.lim.MaxQueue || ws.count >= con.lim.MaxQueuePerWorkspace {
 		return core.Refuse(core.CodeOverloaded, retryAfter(wait/2, wo.Jitter), "the queue of the workspace or the pool is full")
 	}
 	limit, need := con.lim.MaxWait.Seconds(), wait
 	if wo.Deadline > 0 {
 		limit = wo.Deadline.Seconds()
-		need = wait*waitMargin + service + con.serviceTime(sp.outputDeviation)
+		need = wait*waitMargin + service + con.serviceTime(ws.outputDeviation)
 	}
 	if need <= limit {
 		return nil
@@ -162,11 +162,11 @@
 // meet its deadline, because the pool has slowed down since it arrived, is
 // returned with start false: the caller refuses it at once and calls Discard.
 func (con *Controller) Next(now time.Time) (ti *Ticket, start bool) {
-	sp := con.nextWorkspace()
-	if sp == nil {
+	ws := con.nextWorkspace()
+	if ws == nil {
 		return nil, false
 	}
-	ti = sp.head()
+	ti = ws.head()
 	con.dequeue(ti)
 	if !ti.deadline.IsZero() && con.serviceTime(ti.units) > 2*ti.deadline.Sub(now).Seconds() {
 		return ti, false
@@ -178,9 +178,9 @@
 // nextWorkspace returns the workspace that is served next, or nil. When only the
 // reserve is free, it skips workspaces above their share.
 func (con *Controller) nextWorkspace() *workspaceState {
-	for _, sp := range con.waiting[:min(len(con.waiting), maxScan)] {
-		if con.mayStart(sp) {
-			return sp
+	for _, ws := range con.waiting[:min(len(con.waiting), maxScan)] {
+		if con.mayStart(ws) {
+			return ws
 		}
 	}
 	return nil
@@ -196,32 +196,32 @@
 // Workspaces with waiting requests need no reserve, since the fair queue serves
 // them next. A reserve for them would, in a full pool, hold back workspaces with
 // a few long responses running until past their deadlines.
-func (con *Controller) mayStart(sp *workspaceState) bool {
+func (con *Controller) mayStart(ws *workspaceState) bool {
 	free := con.capacity.EntrySlots - con.running
 	if free <= 0 {
 		return false
 	}
-	excess := con.excess(sp)
-	return excess == 0 || float64(free) > excess*con.reserve(sp)
+	excess := con.excess(ws)
+	return excess == 0 || float64(free) > excess*con.reserve(ws)
 }
 
 // excess returns how far one more request would put a workspace above its share
 // of the slots, from 0 to 1, allowing for random variation. The variation of a
 // workspace with most of the weight would span all slots; it is capped at half of
 // the slots outside its share.
-func (con *Controller) excess(sp *workspaceState) float64 {
+func (con *Controller) excess(ws *workspaceState) float64 {
 	slots := float64(con.capacity.EntrySlots)
-	share := sp.weight * slots / con.activeWeightWith(sp)
+	share := ws.weight * slots / con.activeWeightWith(ws)
 	rest := slots - share
 	usual := share + min(shareDeviations*math.Sqrt(share), rest/2)
-	return min(max((float64(sp.running+1)-usual)/max(min(share, rest), 1e-3), 0), 1)
+	return min(max((float64(ws.running+1)-usual)/max(min(share, rest), 1e-3), 0), 1)
 }
 
 // othersRunning returns the number of slots used by the workspaces that have
-// nothing waiting, excluding sp.
-func (con *Controller) othersRunning(sp *workspaceState) float64 {
-	if sp.count == 0 {
-		return float64(con.unqueuedRunning - sp.running)
+// nothing waiting, excluding ws.
+func (con *Controller) othersRunning(ws *workspaceState) float64 {
+	if ws.count == 0 {
+		return float64(con.unqueuedRunning - ws.running)
 	}
 	return float64(con.unqueuedRunning)
 }
@@ -229,21 +229,21 @@
 // reserve returns the number of free slots that a workspace above its share
 // leaves to the others. The load of the other entries is assumed to be like this
 // entry's.
-func (con *Controller) reserve(sp *workspaceState) float64 {
-	return reserveDeviations * math.Sqrt(con.othersRunning(sp)*float64(con.capacity.TotalSlots)/float64(con.capacity.EntrySlots))
+func (con *Controller) reserve(ws *workspaceState) float64 {
+	return reserveDeviations * math.Sqrt(con.othersRunning(ws)*float64(con.capacity.TotalSlots)/float64(con.capacity.EntrySlots))
 }
 
 // Leave ends a started request. Used is the usage of its response, or nil if the
 // response was cut off. The ticket must not be used afterwards.
 func (con *Controller) Leave(now time.Time, ti *Ticket, used *core.Usage) {
-	sp := ti.workspace
+	ws := ti.workspace
 	con.addRunning(ti, -1)
 	if used != nil {
-		con.observe(sp, ti, now.Sub(ti.started), used)
+		con.observe(ws, ti, now.Sub(ti.started), used)
 	} else {
-		con.observeTruncated(sp, ti, now.Sub(ti.started))
+		con.observeTruncated(ws, ti, now.Sub(ti.started))
 	}
-	con.updateActive(sp)
+	con.updateActive(ws)
 	con.release(ti)
 }
 
@@ -251,12 +251,12 @@
 // charged for the difference from the estimate: the updated estimate raises the
 // charge of its next requests, which evens out over time. Charging a long
 // response at once would push admitted requests behind it past their deadlines.
-func (con *Controller) observe(sp *workspaceState, ti *Ticket, took time.Duration, used *core.Usage) {
+func (con *Controller) observe(ws *workspaceState, ti *Ticket, took time.Duration, used *core.Usage) {
 	output := max(float64(used.Generated), 1)
 	total := output + max(ti.prompt, float64(used.Prompt)/promptTokensPerUnit)
 	con.meanSeconds += smoothing * (took.Seconds() - con.meanSeconds)
 	con.meanUnits += smoothing * (total - con.meanUnits)
-	sp.observeOutput(output)
+	ws.observeOutput(output)
 }
 
 // observeTruncated updates the estimates with a response that was cut off by its
@@ -264,9 +264,9 @@
 // running time allowed. Without this, only the short responses of a full pool
 // would count, and the queue would admit more and more requests that then miss
 // their deadlines.
-func (con *Controller) observeTruncated(sp *workspaceState, ti *Ticket, took time.Duration) {
-	if output := took.Seconds()/con.secondsPerUnit() - ti.prompt; output > sp.output {
-		sp.observeOutput(output)
+func (con *Controller) observeTruncated(ws *workspaceState, ti *Ticket, took time.Duration) {
+	if output := took.Seconds()/con.secondsPerUnit() - ti.prompt; output > ws.output {
+		ws.observeOutput(output)
 	}
 }
 
@@ -298,19 +298,19 @@
 // the first second of a burst they hold all slots, and without this bound one
 // arrival order in a hundred admits 6 of 200 callers where 17 can be answered in
 // time.
-func (con *Controller) estimateWait(now time.Time, sp *workspaceState, la int) float64 {
+func (con *Controller) estimateWait(now time.Time, ws *workspaceState, la int) float64 {
 	slots := float64(max(con.capacity.EntrySlots, 1))
 	weights := con.waitingWeight
-	if sp.count == 0 {
-		weights += sp.weight
+	if ws.count == 0 {
+		weights += ws.weight
 	}
-	used := con.othersRunning(sp)
-	if con.capacity.EntrySlots > 0 && con.excess(sp) > 0 {
-		used += con.reserve(sp)
+	used := con.othersRunning(ws)
+	if con.capacity.EntrySlots > 0 && con.excess(ws) > 0 {
+		used += con.reserve(ws)
 	}
-	left := max(1-used/slots, weights/con.activeWeightWith(sp), minRateShare)
+	left := max(1-used/slots, weights/con.activeWeightWith(ws), minRateShare)
 	rate := slots / (con.secondsPerUnit() * con.overrunFactor(now))
-	unitsBefore := max(sp.tag-con.virtualTime, 0)*weights + sp.unitsAhead(la)*weights/sp.weight
+	unitsBefore := max(ws.tag-con.virtualTime, 0)*weights + ws.unitsAhead(la)*weights/ws.weight
 	return (unitsBefore/left + con.meanUnits) / rate
 }
 
--- a/core/admission/doc.go
+++ b/core/admission/doc.go
@@ -19,8 +19,8 @@
 //
 // # Usage
 //
-//	gt := admission.NewGate(capacity, admission.MaxWait(30*time.Second))
-//	ps, err := gt.Enter(ctx, admission.ModelPool(mv), admission.Work{Workspace: ws, Share: 2, Prompt: 400})
+//	ga := admission.NewGate(capacity, admission.MaxWait(30*time.Second))
+//	ps, err := ga.Enter(ctx, admission.ModelPool(mv), admission.Work{Workspace: ws, Share: 2, Prompt: 400})
 //	if err != nil { refuse }          // a *core.Failure, not run
 //	defer ps.Leave()
 //	ps.RecordUsage(usage)                    // once the response is complete
--- a/core/admission/figures_test.go
+++ b/core/admission/figures_test.go
@@ -23,15 +23,15 @@
 	skipUnlessMeasuring(t)
 	late, missed := 0, 0
 	for _, sh := range shapes() {
-		sit := sh.make()
-		full := simulate(sit, policy{})
-		triple := simulate(sit.atLoad(3), policy{})
+		sc := sh.make()
+		full := simulate(sc, policy{})
+		triple := simulate(sc.atLoad(3), policy{})
 		figure.AtLeast("goodput-3x-over-1x-"+sh.name, triple.goodput()/full.goodput(), "ratio", 0.95)
 		figure.AtLeast("tokens-in-time-3x-over-1x-"+sh.name, triple.goodTokens()/full.goodTokens(), "ratio", 0.95)
-		fifoFull, fifo := simulate(sit, policy{fifo: true}), simulate(sit.atLoad(3), policy{fifo: true})
+		fifoFull, fifo := simulate(sc, policy{fifo: true}), simulate(sc.atLoad(3), policy{fifo: true})
 		figure.Unbounded("goodput-3x-over-1x-fifo-"+sh.name, fifo.goodput()/fifoFull.goodput(), "ratio")
 		figure.Unbounded("tokens-in-time-3x-over-1x-fifo-"+sh.name, fifo.goodTokens()/fifoFull.goodTokens(), "ratio")
-		for _, ou := range []*outcome{full, simulate(sit.atLoad(2), policy{}), triple, simulate(sit.atLoad(2).with(func(si *scenario) { si.burst = 5 }), policy{}), simulate(sit.atLoad(0.8).withNoisyWorkspace(), policy{})} {
+		for _, ou := range []*outcome{full, simulate(sc.atLoad(2), policy{}), triple, simulate(sc.atLoad(2).with(func(si *scenario) { si.burst = 5 }), policy{}), simulate(sc.atLoad(0.8).withNoisyWorkspace(), policy{})} {
 			late += ou.lateRefusals()
 			missed += ou.count(expired)
 		}
@@ -57,10 +57,10 @@
 		if len(sh.make().sites) == 3 && sh.make().sites[0].upstreams == 1 {
 			load = 0.4
 		}
-		sit := sh.make().atLoad(load)
-		slow := sit.with(func(sit *scenario) { sit.slow = 10 })
+		sc := sh.make().atLoad(load)
+		slow := sc.with(func(sc *scenario) { sc.slow = 10 })
 		for _, pl := range append([]string{""}, baselines...) {
-			healthy, degraded := simulate(sit, policy{balancing: pl}), simulate(slow, policy{balancing: pl})
+			healthy, degraded := simulate(sc, policy{balancing: pl}), simulate(slow, policy{balancing: pl})
 			totalRatio := degraded.percentile(0.99, "", whole) / healthy.percentile(0.99, "", whole)
 			firstTokenRatio := degraded.percentile(0.99, "", first) / healthy.percentile(0.99, "", first)
 			if pl == "" {
@@ -76,11 +76,11 @@
 func TestFiguresLoadNoisyWorkspace(t *testing.T) {
 	skipUnlessMeasuring(t)
 	for _, sh := range shapes() {
-		sit := sh.make().atLoad(0.6)
-		quiet, noisy := simulate(sit, policy{}), simulate(sit.withNoisyWorkspace(), policy{})
+		sc := sh.make().atLoad(0.6)
+		quiet, noisy := simulate(sc, policy{}), simulate(sc.withNoisyWorkspace(), policy{})
 		figure.AtMost("harm-p95-of-hog-"+sh.name, noisy.percentile(0.95, "w9", whole)/quiet.percentile(0.95, "w9", whole), "ratio", 1.10)
 		figure.AtMost("harm-p95-first-token-of-hog-"+sh.name, noisy.percentile(0.95, "w9", first)/quiet.percentile(0.95, "w9", first), "ratio", 1.10)
-		fifoQuiet, fifo := simulate(sit, policy{fifo: true}), simulate(sit.withNoisyWorkspace(), policy{fifo: true})
+		fifoQuiet, fifo := simulate(sc, policy{fifo: true}), simulate(sc.withNoisyWorkspace(), policy{fifo: true})
 		figure.Unbounded("harm-p95-of-hog-fifo-"+sh.name, fifo.percentile(0.95, "w9", whole)/fifoQuiet.percentile(0.95, "w9", whole), "ratio")
 	}
 }
@@ -88,9 +88,9 @@
 func TestFiguresLoadRetries(t *testing.T) {
 	skipUnlessMeasuring(t)
 	for _, sh := range shapes() {
-		sit := sh.make().atLoad(3)
-		figure.AtMost("retry-amplification-3x-"+sh.name, simulate(sit, policy{}).attemptsPerRequest(), "ratio", 1.1)
-		failing := sit.with(func(sit *scenario) { sit.failing = 0.2 })
+		sc := sh.make().atLoad(3)
+		figure.AtMost("retry-amplification-3x-"+sh.name, simulate(sc, policy{}).attemptsPerRequest(), "ratio", 1.1)
+		failing := sc.with(func(sc *scenario) { sc.failing = 0.2 })
 		figure.AtMost("retry-amplification-3x-failing-"+sh.name, simulate(failing, policy{}).attemptsPerRequest(), "ratio", 1.1)
 		figure.Unbounded("retry-amplification-3x-failing-no-budget-"+sh.name, simulate(failing, policy{retries: true}).attemptsPerRequest(), "ratio")
 	}
@@ -104,28 +104,28 @@
 		load   float64
 		change func(*scenario)
 	}{
-		{"half-lost", 0.8, func(sit *scenario) { sit.halfLost = true }},
-		{"region-cut", 0.6, func(sit *scenario) { sit.partitioned = true }},
-		{"burst", 0.7, func(sit *scenario) { sit.burst = 5 }},
-		{"mixed-2x", 2, func(sit *scenario) { *sit = sit.withMixedSizes() }},
-		{"stale", 0.8, func(sit *scenario) { sit.stale = true }},
+		{"half-lost", 0.8, func(sc *scenario) { sc.halfLost = true }},
+		{"region-cut", 0.6, func(sc *scenario) { sc.partitioned = true }},
+		{"burst", 0.7, func(sc *scenario) { sc.burst = 5 }},
+		{"mixed-2x", 2, func(sc *scenario) { *sc = sc.withMixedSizes() }},
+		{"stale", 0.8, func(sc *scenario) { sc.stale = true }},
 	}
 	for _, st := range cases {
 		for _, sh := range []poolShape{{"landesamt-drafter", landesamt}, {"association-lm", association}} {
-			sit := sh.make().atLoad(st.load).with(st.change)
+			sc := sh.make().atLoad(st.load).with(st.change)
 			policies := map[string]policy{"product": {}, "fifo": {fifo: true}}
 			for _, pl := range baselines {
 				policies[pl] = policy{balancing: pl}
 			}
 			for _, name := range append([]string{"product", "fifo"}, baselines...) {
-				ou := simulate(sit, policies[name])
+				ou := simulate(sc, policies[name])
 				label := fmt.Sprintf("%s-%s-%s", st.name, sh.name, name)
 				figure.Unbounded("in-time-"+label, float64(ou.count(answered))/float64(len(ou.requests)), "ratio")
 				figure.Unbounded("p50-first-token-"+label, ou.percentile(0.5, "", first), "s")
 				figure.Unbounded("p95-first-token-"+label, ou.percentile(0.95, "", first), "s")
 				figure.Unbounded("p99-first-token-"+label, ou.percentile(0.99, "", first), "s")
 				if name == "product" {
-					figure.Unbounded("crossed-"+label, float64(ou.crossRegionBytes)/sit.length.Seconds(), "byte/s")
+					figure.Unbounded("crossed-"+label, float64(ou.crossRegionBytes)/sc.length.Seconds(), "byte/s")
 				}
 			}
 		}
--- a/core/admission/gate.go
+++ b/core/admission/gate.go
@@ -59,9 +59,9 @@
 
 // Pass represents an admitted request until Leave is called.
 type Pass struct {
-	gt    *Gate
+	ga    *Gate
 	po    Pool
-	do    *poolState
+	pst   *poolState
 	ti    *Ticket
 	wo    Work
 	usage *core.Usage
@@ -75,47 +75,47 @@
 // queue for so long that WorthCrossRegion reports true, may start in another region,
 // if that has free slots now and the link between the regions has budget. It is
 // never queued there.
-func (gt *Gate) Enter(ctx context.Context, po Pool, wo Work) (*Pass, error) {
-	if fl := gt.acquireLimit(wo); fl != nil {
+func (ga *Gate) Enter(ctx context.Context, po Pool, wo Work) (*Pass, error) {
+	if fl := ga.acquireLimit(wo); fl != nil {
 		return nil, fl
 	}
-	ps, wa, fl := gt.offer(po, wo)
+	ps, wa, fl := ga.offer(po, wo)
 	if fl != nil && fl.Code == core.CodeOverloaded && wo.AllowCrossRegion {
-		if other := gt.offerCrossRegion(po, wo); other != nil {
+		if other := ga.offerCrossRegion(po, wo); other != nil {
 			return other, nil
 		}
 	}
 	switch {
 	case fl != nil:
-		gt.releaseLimit(wo)
+		ga.releaseLimit(wo)
 		return nil, fl
 	case wa == nil:
 		return ps, nil
 	default:
-		return gt.await(ctx, ps, wa)
+		return ga.await(ctx, ps, wa)
 	}
 }
 
 // offer submits a request to a pool's controller. The waiter is nil if the
 // request starts at once.
-func (gt *Gate) offer(po Pool, wo Work) (*Pass, *waiter, *core.Failure) {
-	do := gt.state(po)
-	do.mu.Lock()
-	defer do.mu.Unlock()
+func (ga *Gate) offer(po Pool, wo Work) (*Pass, *waiter, *core.Failure) {
+	pst := ga.state(po)
+	pst.mu.Lock()
+	defer pst.mu.Unlock()
 	now := time.Now()
-	gt.refreshCapacity(po, do, now)
-	do.startWaiting(now)
-	ti, start, fl := do.con.Offer(now, wo)
+	ga.refreshCapacity(po, pst, now)
+	pst.startWaiting(now)
+	ti, start, fl := pst.con.Offer(now, wo)
 	if fl != nil {
 		return nil, nil, fl
 	}
-	ps := &Pass{gt: gt, po: po, do: do, ti: ti, wo: wo}
+	ps := &Pass{ga: ga, po: po, pst: pst, ti: ti, wo: wo}
 	if start {
 		return ps, nil, nil
 	}
-	if wo.AllowCrossRegion && do.con.WorthCrossRegion(ti, wo.Body) {
-		if other := gt.offerCrossRegion(po, wo); other != nil {
-			do.con.Cancel(ti)
+	if wo.AllowCrossRegion && pst.con.WorthCrossRegion(ti, wo.Body) {
+		if other := ga.offerCrossRegion(po, wo); other != nil {
+			pst.con.Cancel(ti)
 			return other, nil, nil
 		}
 	}
@@ -127,9 +127,9 @@
 // offerCrossRegion offers a request to the other regions, where it starts at once
 // or not at all. The lock of the local pool may be held: the lock of the other
 // regions' pool is always acquired after it, which prevents deadlocks.
-func (gt *Gate) offerCrossRegion(po Pool, wo Work) *Pass {
+func (ga *Gate) offerCrossRegion(po Pool, wo Work) *Pass {
 	po.CrossRegion, wo.NoWait, wo.AllowCrossRegion = true, true, false
-	ps, _, fl := gt.offer(po, wo)
+	ps, _, fl := ga.offer(po, wo)
 	if fl != nil {
 		return nil
 	}
@@ -137,25 +137,25 @@
 }
 
 // await blocks until the request starts, is refused, or its caller disconnects.
-func (gt *Gate) await(ctx context.Context, ps *Pass, wa *waiter) (*Pass, error) {
+func (ga *Gate) await(ctx context.Context, ps *Pass, wa *waiter) (*Pass, error) {
 	var start bool
 	select {
 	case start = <-wa.decided:
 	case <-ctx.Done():
-		ps.do.mu.Lock()
+		ps.pst.mu.Lock()
 		select {
 		case start = <-wa.decided:
 			// The decision was made before the lock was acquired.
 		default:
-			ps.do.con.Cancel(ps.ti)
-			ps.do.mu.Unlock()
-			gt.releaseLimit(ps.wo)
+			ps.pst.con.Cancel(ps.ti)
+			ps.pst.mu.Unlock()
+			ga.releaseLimit(ps.wo)
 			return nil, core.Refuse(core.CodeCallerGone, 0, "the caller gave up while the request waited")
 		}
-		ps.do.mu.Unlock()
+		ps.pst.mu.Unlock()
 	}
 	if !start {
-		gt.releaseLimit(ps.wo)
+		ga.releaseLimit(ps.wo)
 		return nil, core.Refuse(core.CodeOverloaded, minRetryAfter, "the upstreams became slower and the deadline cannot be met any more")
 	}
 	return ps, nil
@@ -171,73 +171,73 @@
 // Leave releases the request's slot. It may be called more than once.
 func (ps *Pass) Leave() {
 	ps.once.Do(func() {
-		ps.gt.releaseLimit(ps.wo)
-		ps.do.mu.Lock()
-		defer ps.do.mu.Unlock()
+		ps.ga.releaseLimit(ps.wo)
+		ps.pst.mu.Lock()
+		defer ps.pst.mu.Unlock()
 		now := time.Now()
-		ps.do.con.Leave(now, ps.ti, ps.usage)
-		ps.gt.refreshCapacity(ps.po, ps.do, now)
-		ps.do.startWaiting(now)
+		ps.pst.con.Leave(now, ps.ti, ps.usage)
+		ps.ga.refreshCapacity(ps.po, ps.pst, now)
+		ps.pst.startWaiting(now)
 	})
 }
 
-func (gt *Gate) state(po Pool) *poolState {
-	gt.mu.Lock()
-	defer gt.mu.Unlock()
-	do := gt.pools[po]
-	if do == nil {
-		do = &poolState{con: New(Capacity{}, gt.opts...)}
-		gt.pools[po] = do
+func (ga *Gate) state(po Pool) *poolState {
+	ga.mu.Lock()
+	defer ga.mu.Unlock()
+	pst := ga.pools[po]
+	if pst == nil {
+		pst = &poolState{con: New(Capacity{}, ga.opts...)}
+		ga.pools[po] = pst
 	}
-	return do
+	return pst
 }
 
 // acquireLimit counts a request against its workspace's limit, or refuses it.
 // Each entry enforces the limit on its own.
-func (gt *Gate) acquireLimit(wo Work) *core.Failure {
+func (ga *Gate) acquireLimit(wo Work) *core.Failure {
 	if wo.Limit == 0 {
 		return nil
 	}
-	gt.mu.Lock()
-	defer gt.mu.Unlock()
-	if gt.limited[wo.Workspace] >= wo.Limit {
+	ga.mu.Lock()
+	defer ga.mu.Unlock()
+	if ga.limited[wo.Workspace] >= wo.Limit {
 		return core.Refuse(core.CodeOverloaded, retryAfter(0, wo.Jitter), "the workspace has %d requests here, its limit", wo.Limit)
 	}
-	gt.limited[wo.Workspace]++
+	ga.limited[wo.Workspace]++
 	return nil
 }
 
-func (gt *Gate) releaseLimit(wo Work) {
+func (ga *Gate) releaseLimit(wo Work) {
 	if wo.Limit == 0 {
 		return
 	}
-	gt.mu.Lock()
-	defer gt.mu.Unlock()
-	if gt.limited[wo.Workspace]--; gt.limited[wo.Workspace] <= 0 {
-		delete(gt.limited, wo.Workspace)
+	ga.mu.Lock()
+	defer ga.mu.Unlock()
+	if ga.limited[wo.Workspace]--; ga.limited[wo.Workspace] <= 0 {
+		delete(ga.limited, wo.Workspace)
 	}
 }
 
-func (gt *Gate) refreshCapacity(po Pool, do *poolState, now time.Time) {
-	if now.Sub(do.refreshed) < capacityMaxAge {
+func (ga *Gate) refreshCapacity(po Pool, pst *poolState, now time.Time) {
+	if now.Sub(pst.refreshed) < capacityMaxAge {
 		return
 	}
-	do.refreshed = now
-	do.con.Resize(gt.capacity(po))
+	pst.refreshed = now
+	pst.con.Resize(ga.capacity(po))
 }
 
 // startWaiting starts all requests that can start now. It must be called with the lock
 // held: if a request's caller disconnects meanwhile, await acquires the lock and then
 // finds the decision.
-func (do *poolState) startWaiting(now time.Time) {
+func (pst *poolState) startWaiting(now time.Time) {
 	for {
-		ti, start := do.con.Next(now)
+		ti, start := pst.con.Next(now)
 		if ti == nil {
 			return
 		}
 		ti.Waiter.(*waiter).decided <- start
 		if !start {
-			do.con.Discard(ti)
+			pst.con.Discard(ti)
 		}
 	}
 }
--- a/core/admission/gate_test.go
+++ b/core/admission/gate_test.go
@@ -34,7 +34,7 @@
 // Each response must arrive before the deadline, and each refusal at once.
 func runBurst(t *testing.T, order []int) (done, rejected int) {
 	synctest.Test(t, func(t *testing.T) {
-		gt := admission.NewGate(oneUpstream)
+		ga := admission.NewGate(oneUpstream)
 		var mu sync.Mutex
 		var wg sync.WaitGroup
 		running := 0
@@ -43,7 +43,7 @@
 				ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 				defer cancel()
 				arrived := time.Now()
-				ps, err := gt.Enter(ctx, admission.Pool{}, admission.Work{Workspace: core.WorkspaceID('a' + rune(ix%3)), Deadline: 10 * time.Second})
+				ps, err := ga.Enter(ctx, admission.Pool{}, admission.Work{Workspace: core.WorkspaceID('a' + rune(ix%3)), Deadline: 10 * time.Second})
 				mu.Lock()
 				if err != nil {
 					fl := failure(t, err)
@@ -104,26 +104,26 @@
 // queue and its workspace's limit, and its request never starts.
 func TestGateDropsDisconnectedCallers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		gt := admission.NewGate(oneUpstream)
+		ga := admission.NewGate(oneUpstream)
 		var passes []*admission.Pass
 		for range 4 {
-			ps, err := gt.Enter(t.Context(), admission.Pool{}, admission.Work{Workspace: "a"})
+			ps, err := ga.Enter(t.Context(), admission.Pool{}, admission.Work{Workspace: "a"})
 			assert.NilError(t, err)
 			passes = append(passes, ps)
 		}
 		ctx, cancel := context.WithCancel(t.Context())
 		go func() {
-			_, err := gt.Enter(ctx, admission.Pool{}, admission.Work{Workspace: "a", Limit: 1})
+			_, err := ga.Enter(ctx, admission.Pool{}, admission.Work{Workspace: "a", Limit: 1})
 			assert.Check(t, failure(t, err).Code == core.CodeCallerGone)
 		}()
 		synctest.Wait()
-		_, err := gt.Enter(t.Context(), admission.Pool{}, admission.Work{Workspace: "a", Limit: 1})
+		_, err := ga.Enter(t.Context(), admission.Pool{}, admission.Work{Workspace: "a", Limit: 1})
 		assert.Equal(t, failure(t, err).Code, core.CodeOverloaded, "the workspace's limit was not enforced")
 		cancel()
 		synctest.Wait()
 		entered := false
 		go func() {
-			ps, err := gt.Enter(t.Context(), admission.Pool{}, admission.Work{Workspace: "a", Limit: 1})
+			ps, err := ga.Enter(t.Context(), admission.Pool{}, admission.Work{Workspace: "a", Limit: 1})
 			assert.Check(t, err == nil)
 			entered = true
 			ps.Leave()
@@ -143,25 +143,25 @@
 func TestGateCrossesRegionsForSmallRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		remoteSlots := 2
-		gt := admission.NewGate(func(po admission.Pool) admission.Capacity {
+		ga := admission.NewGate(func(po admission.Pool) admission.Capacity {
 			if po.CrossRegion {
 				return admission.Capacity{EntrySlots: remoteSlots, TotalSlots: 8}
 			}
 			return admission.Capacity{EntrySlots: 1, TotalSlots: 1}
 		})
 		work := admission.Work{Workspace: "a", Deadline: time.Second, AllowCrossRegion: true, Body: 2000}
-		local, err := gt.Enter(t.Context(), admission.Pool{}, work)
+		local, err := ga.Enter(t.Context(), admission.Pool{}, work)
 		assert.NilError(t, err)
 		assert.Assert(t, !local.CrossRegion())
 		for range remoteSlots {
-			ps, err := gt.Enter(t.Context(), admission.Pool{}, work)
+			ps, err := ga.Enter(t.Context(), admission.Pool{}, work)
 			assert.NilError(t, err)
 			assert.Assert(t, ps.CrossRegion())
 		}
-		_, err = gt.Enter(t.Context(), admission.Pool{}, work)
+		_, err = ga.Enter(t.Context(), admission.Pool{}, work)
 		assert.Equal(t, failure(t, err).Code, core.CodeOverloaded)
 		local.Leave()
-		ps, err := gt.Enter(t.Context(), admission.Pool{}, work)
+		ps, err := ga.Enter(t.Context(), admission.Pool{}, work)
 		assert.NilError(t, err)
 		assert.Assert(t, !ps.CrossRegion())
 	})
--- a/core/admission/load_test.go
+++ b/core/admission/load_test.go
@@ -9,9 +9,9 @@
 
 // shorten reduces a scenario's length, since CI runs the tests with the race
 // detector.
-func shorten(sit scenario) scenario {
-	sit.length = 2 * time.Minute
-	return sit
+func shorten(sc scenario) scenario {
+	sc.length = 2 * time.Minute
+	return sc
 }
 
 // The load exceeds the pool's capacity threefold. Without admission control the
@@ -22,9 +22,9 @@
 	for _, sh := range shapes() {
 		t.Run(sh.name, func(t *testing.T) {
 			t.Parallel()
-			sit := shorten(sh.make())
-			full, over := simulate(sit, policy{}), simulate(sit.atLoad(3), policy{})
-			fifo := simulate(sit.atLoad(3), policy{fifo: true})
+			sc := shorten(sh.make())
+			full, over := simulate(sc, policy{}), simulate(sc.atLoad(3), policy{})
+			fifo := simulate(sc.atLoad(3), policy{fifo: true})
 			assert.Assert(t, over.goodTokens() >= 0.95*full.goodTokens())
 			assert.Assert(t, over.goodTokens() >= 1.5*fifo.goodTokens(), "the baseline policy passes too, so the scenario does not reproduce the fault")
 			assert.Equal(t, over.lateRefusals(), 0, "refusals sent more than 50ms after arrival")
@@ -43,26 +43,26 @@
 		better   float64 // least tokens in time, as a multiple of the baseline
 		inTime   float64 // least fraction of the requests answered in time
 	}{
-		{"a burst of five times the load", func(sit *scenario) { sit.burst = 5 }, 0.7, 1, 0.75},
-		{"long and short requests mixed", func(sit *scenario) { *sit = sit.withMixedSizes() }, 2, 1.1, 0.8},
-		{"half of the pool lost", func(sit *scenario) { sit.halfLost = true }, 0.8, 1, 0.8},
-		{"a region's upstreams cut off", func(sit *scenario) { sit.partitioned = true }, 0.6, 0.99, 0.98},
-		{"load reports one second old", func(sit *scenario) { sit.stale = true }, 0.8, 0.99, 0.98},
-		{"one workspace at ten times its share", func(sit *scenario) { *sit = sit.withNoisyWorkspace() }, 0.8, 1, 0.7},
+		{"a burst of five times the load", func(sc *scenario) { sc.burst = 5 }, 0.7, 1, 0.75},
+		{"long and short requests mixed", func(sc *scenario) { *sc = sc.withMixedSizes() }, 2, 1.1, 0.8},
+		{"half of the pool lost", func(sc *scenario) { sc.halfLost = true }, 0.8, 1, 0.8},
+		{"a region's upstreams cut off", func(sc *scenario) { sc.partitioned = true }, 0.6, 0.99, 0.98},
+		{"load reports one second old", func(sc *scenario) { sc.stale = true }, 0.8, 0.99, 0.98},
+		{"one workspace at ten times its share", func(sc *scenario) { *sc = sc.withNoisyWorkspace() }, 0.8, 1, 0.7},
 	}
-	for _, sc := range scenarios {
+	for _, tc := range scenarios {
 		for _, build := range []func() scenario{landesamt, association} {
-			t.Run(sc.testName, func(t *testing.T) {
+			t.Run(tc.testName, func(t *testing.T) {
 				t.Parallel()
-				sit := shorten(build()).atLoad(sc.load).with(sc.change)
-				ours, fifo := simulate(sit, policy{}), simulate(sit, policy{fifo: true})
+				sc := shorten(build()).atLoad(tc.load).with(tc.change)
+				ours, fifo := simulate(sc, policy{}), simulate(sc, policy{fifo: true})
 				answeredShare := float64(ours.count(answered)) / float64(len(ours.requests))
 				t.Logf("in time %.3f, fifo %.3f; tokens %.0f, fifo %.0f; late %d; cross-region bytes %d", answeredShare,
 					float64(fifo.count(answered))/float64(len(fifo.requests)), ours.goodTokens(), fifo.goodTokens(), ours.lateRefusals(), ours.crossRegionBytes)
-				assert.Assert(t, ours.goodTokens() >= sc.better*fifo.goodTokens())
-				assert.Assert(t, answeredShare >= sc.inTime)
+				assert.Assert(t, ours.goodTokens() >= tc.better*fifo.goodTokens())
+				assert.Assert(t, answeredShare >= tc.inTime)
 				assert.Equal(t, ours.lateRefusals(), 0, "refusals sent more than 50ms after arrival")
-				assert.Assert(t, float64(ours.crossRegionBytes) <= 2*450*1024*sit.length.Seconds(), "too many bytes over the paid link")
+				assert.Assert(t, float64(ours.crossRegionBytes) <= 2*450*1024*sc.length.Seconds(), "too many bytes over the paid link")
 			})
 		}
 	}
@@ -73,10 +73,10 @@
 // dozen waits ten times as long.
 func TestSlowUpstreamIsAvoided(t *testing.T) {
 	for _, build := range []func() scenario{landesamt, association} {
-		sit := shorten(build()).atLoad(0.6)
-		healthy := simulate(sit, policy{})
-		slow := simulate(sit.with(func(sit *scenario) { sit.slow = 10 }), policy{})
-		random := simulate(sit.with(func(sit *scenario) { sit.slow = 10 }), policy{balancing: "random"})
+		sc := shorten(build()).atLoad(0.6)
+		healthy := simulate(sc, policy{})
+		slow := simulate(sc.with(func(sc *scenario) { sc.slow = 10 }), policy{})
+		random := simulate(sc.with(func(sc *scenario) { sc.slow = 10 }), policy{balancing: "random"})
 		assert.Assert(t, slow.percentile(0.99, "", whole) <= 1.5*healthy.percentile(0.99, "", whole))
 		assert.Assert(t, random.percentile(0.99, "", whole) > 1.5*healthy.percentile(0.99, "", whole), "the baseline policy passes too, so the scenario does not reproduce the fault")
 	}
@@ -88,10 +88,10 @@
 	for _, sh := range shapes() {
 		t.Run(sh.name, func(t *testing.T) {
 			t.Parallel()
-			sit := shorten(sh.make()).atLoad(0.6)
-			quiet, noisy := simulate(sit, policy{}), simulate(sit.withNoisyWorkspace(), policy{})
+			sc := shorten(sh.make()).atLoad(0.6)
+			quiet, noisy := simulate(sc, policy{}), simulate(sc.withNoisyWorkspace(), policy{})
 			assert.Assert(t, noisy.percentile(0.95, "w9", whole) <= 1.15*quiet.percentile(0.95, "w9", whole))
-			fifo := simulate(sit.withNoisyWorkspace(), policy{fifo: true})
+			fifo := simulate(sc.withNoisyWorkspace(), policy{fifo: true})
 			assert.Assert(t, fifo.percentile(0.95, "w9", whole) > 1.5*quiet.percentile(0.95, "w9", whole), "the baseline policy passes too, so the scenario does not reproduce the fault")
 		})
 	}
@@ -100,7 +100,7 @@
 // A fifth of all attempts fails while the pool is full. Each failed attempt wastes
 // capacity; three attempts per request would amplify the overload.
 func TestRetriesDoNotAmplify(t *testing.T) {
-	sit := shorten(association()).atLoad(3).with(func(sit *scenario) { sit.failing = 0.2 })
-	assert.Assert(t, simulate(sit, policy{}).attemptsPerRequest() <= 1.1)
-	assert.Assert(t, simulate(sit, policy{retries: true}).attemptsPerRequest() > 1.15, "the baseline policy passes too, so the scenario does not reproduce the fault")
+	sc := shorten(association()).atLoad(3).with(func(sc *scenario) { sc.failing = 0.2 })
+	assert.Assert(t, simulate(sc, policy{}).attemptsPerRequest() <= 1.1)
+	assert.Assert(t, simulate(sc, policy{retries: true}).attemptsPerRequest() > 1.15, "the baseline policy passes too, so the scenario does not reproduce the fault")
 }
--- a/core/admission/outcome_test.go
+++ b/core/admission/outcome_test.go
@@ -15,7 +15,7 @@
 }
 
 func newOutcome(si *sim) *outcome {
-	return &outcome{length: si.sit.length, requests: si.requests, crossRegionBytes: si.crossRegionBytes}
+	return &outcome{length: si.sc.length, requests: si.requests, crossRegionBytes: si.crossRegionBytes}
 }
 
 // goodput returns the rate, per second, of responses in time while requests
@@ -39,10 +39,10 @@
 	return sum / ou.length.Seconds()
 }
 
-func (ou *outcome) count(en requestState) int {
+func (ou *outcome) count(rs requestState) int {
 	sum := 0
 	for _, rq := range ou.requests {
-		if rq.state == en {
+		if rq.state == rs {
 			sum++
 		}
 	}
--- a/core/admission/queue.go
+++ b/core/admission/queue.go
@@ -63,8 +63,8 @@
 
 // head returns the request that is served first: the oldest of the highest
 // priority, or nil.
-func (sp *workspaceState) head() *Ticket {
-	for _, ti := range sp.heads {
+func (ws *workspaceState) head() *Ticket {
+	for _, ti := range ws.heads {
 		if ti != nil {
 			return ti
 		}
@@ -72,107 +72,107 @@
 	return nil
 }
 
-func (sp *workspaceState) push(ti *Ticket) {
-	ti.prev = sp.tails[ti.level]
+func (ws *workspaceState) push(ti *Ticket) {
+	ti.prev = ws.tails[ti.level]
 	if ti.prev == nil {
-		sp.heads[ti.level] = ti
+		ws.heads[ti.level] = ti
 	} else {
 		ti.prev.next = ti
 	}
-	sp.tails[ti.level] = ti
-	sp.queued[ti.level] += ti.units
-	sp.count++
+	ws.tails[ti.level] = ti
+	ws.queued[ti.level] += ti.units
+	ws.count++
 }
 
-func (sp *workspaceState) remove(ti *Ticket) {
+func (ws *workspaceState) remove(ti *Ticket) {
 	if ti.prev == nil {
-		sp.heads[ti.level] = ti.next
+		ws.heads[ti.level] = ti.next
 	} else {
 		ti.prev.next = ti.next
 	}
 	if ti.next == nil {
-		sp.tails[ti.level] = ti.prev
+		ws.tails[ti.level] = ti.prev
 	} else {
 		ti.next.prev = ti.prev
 	}
 	ti.prev, ti.next = nil, nil
-	sp.queued[ti.level] = max(sp.queued[ti.level]-ti.units, 0)
-	sp.count--
-	if sp.count == 0 {
-		sp.queued = [levelCount]float64{} // Discards accumulated rounding errors.
+	ws.queued[ti.level] = max(ws.queued[ti.level]-ti.units, 0)
+	ws.count--
+	if ws.count == 0 {
+		ws.queued = [levelCount]float64{} // Discards accumulated rounding errors.
 	}
 }
 
 // unitsAhead returns the workspace's waiting units that are served before a new
 // request of a level.
-func (sp *workspaceState) unitsAhead(la int) float64 {
+func (ws *workspaceState) unitsAhead(la int) float64 {
 	sum := 0.0
-	for _, units := range sp.queued[:la+1] {
+	for _, units := range ws.queued[:la+1] {
 		sum += units
 	}
 	return sum
 }
 
-func (sp *workspaceState) observeOutput(output float64) {
-	deviation := output - sp.output
-	sp.output += smoothing * deviation
-	sp.outputDeviation += smoothing * (max(deviation, -deviation) - sp.outputDeviation)
+func (ws *workspaceState) observeOutput(output float64) {
+	deviation := output - ws.output
+	ws.output += smoothing * deviation
+	ws.outputDeviation += smoothing * (max(deviation, -deviation) - ws.outputDeviation)
 }
 
 // workspaceHeap is a min-heap by tag of the workspaces with waiting requests.
 type workspaceHeap []*workspaceState
 
-func (he workspaceHeap) less(ix, jx int) bool { return he[ix].tag < he[jx].tag }
+func (wh workspaceHeap) less(ix, jx int) bool { return wh[ix].tag < wh[jx].tag }
 
-func (he workspaceHeap) swap(ix, jx int) {
-	he[ix], he[jx] = he[jx], he[ix]
-	he[ix].heapIndex, he[jx].heapIndex = ix, jx
+func (wh workspaceHeap) swap(ix, jx int) {
+	wh[ix], wh[jx] = wh[jx], wh[ix]
+	wh[ix].heapIndex, wh[jx].heapIndex = ix, jx
 }
 
-func (he *workspaceHeap) push(sp *workspaceState) {
-	sp.heapIndex = len(*he)
-	*he = append(*he, sp)
-	he.up(sp.heapIndex)
+func (wh *workspaceHeap) push(ws *workspaceState) {
+	ws.heapIndex = len(*wh)
+	*wh = append(*wh, ws)
+	wh.up(ws.heapIndex)
 }
 
-func (he *workspaceHeap) remove(ix int) {
-	last := len(*he) - 1
-	(*he)[ix].heapIndex = -1
+func (wh *workspaceHeap) remove(ix int) {
+	last := len(*wh) - 1
+	(*wh)[ix].heapIndex = -1
 	if ix != last {
-		(*he)[ix] = (*he)[last]
-		(*he)[ix].heapIndex = ix
+		(*wh)[ix] = (*wh)[last]
+		(*wh)[ix].heapIndex = ix
 	}
-	(*he)[last] = nil
-	*he = (*he)[:last]
+	(*wh)[last] = nil
+	*wh = (*wh)[:last]
 	if ix < last {
-		he.fix(ix)
+		wh.fix(ix)
 	}
 }
 
-func (he workspaceHeap) fix(ix int) {
-	he.up(ix)
-	he.down(ix)
+func (wh workspaceHeap) fix(ix int) {
+	wh.up(ix)
+	wh.down(ix)
 }
 
-func (he workspaceHeap) up(ix int) {
-	for ix > 0 && he.less(ix, (ix-1)/2) {
-		he.swap(ix, (ix-1)/2)
+func (wh workspaceHeap) up(ix int) {
+	for ix > 0 && wh.less(ix, (ix-1)/2) {
+		wh.swap(ix, (ix-1)/2)
 		ix = (ix - 1) / 2
 	}
 }
 
-func (he workspaceHeap) down(ix int) {
+func (wh workspaceHeap) down(ix int) {
 	for {
 		low := ix
-		for kid := 2*ix + 1; kid <= 2*ix+2 && kid < len(he); kid++ {
-			if he.less(kid, low) {
+		for kid := 2*ix + 1; kid <= 2*ix+2 && kid < len(wh); kid++ {
+			if wh.less(kid, low) {
 				low = kid
 			}
 		}
 		if low == ix {
 			return
 		}
-		he.swap(ix, low)
+		wh.swap(ix, low)
 		ix = low
 	}
 }
--- a/core/admission/scenario_test.go
+++ b/core/admission/scenario_test.go
@@ -40,75 +40,75 @@
 // newScenario returns a scenario of ten workspaces, three of them large, whose
 // total load equals the capacity of all sites.
 func newScenario(sites []site, output float64, deadline time.Duration) scenario {
-	sit := scenario{seed: 1, sites: sites, slots: 8, length: 4 * time.Minute, reportInterval: time.Second}
+	sc := scenario{seed: 1, sites: sites, slots: 8, length: 4 * time.Minute, reportInterval: time.Second}
 	for ix := range 10 {
 		share := 1
 		if ix < 3 {
 			share = 4
 		}
-		sit.tenants = append(sit.tenants, tenant{
+		sc.tenants = append(sc.tenants, tenant{
 			id: core.WorkspaceID(fmt.Sprintf("w%d", ix)), share: share, prompt: 500, output: output, deadline: deadline,
 		})
 	}
-	return sit.atLoad(1)
+	return sc.atLoad(1)
 }
 
 // capacity returns the number of requests per second that all upstreams together
 // can answer.
-func (sit scenario) capacity() float64 {
+func (sc scenario) capacity() float64 {
 	slots := 0
-	for _, st := range sit.sites {
-		slots += st.upstreams * sit.slots
+	for _, st := range sc.sites {
+		slots += st.upstreams * sc.slots
 	}
-	te := sit.tenants[0]
+	te := sc.tenants[0]
 	return float64(slots) / (float64(te.prompt)*secondsPerPromptToken + te.output*secondsPerToken)
 }
 
 // atLoad returns the scenario with the offered load at a multiple of the capacity,
 // divided among the workspaces by share.
-func (sit scenario) atLoad(load float64) scenario {
-	shares, rate := 0, sit.capacity()*load
-	for _, te := range sit.tenants {
+func (sc scenario) atLoad(load float64) scenario {
+	shares, rate := 0, sc.capacity()*load
+	for _, te := range sc.tenants {
 		shares += te.share
 	}
-	tenants := make([]tenant, len(sit.tenants))
-	for ix, te := range sit.tenants {
+	tenants := make([]tenant, len(sc.tenants))
+	for ix, te := range sc.tenants {
 		te.rate = rate * float64(te.share) / float64(shares)
 		tenants[ix] = te
 	}
-	sit.tenants = tenants
-	return sit
+	sc.tenants = tenants
+	return sc
 }
 
 // withNoisyWorkspace returns the scenario with the last workspace sending ten times its share
 // of the capacity.
-func (sit scenario) withNoisyWorkspace() scenario {
+func (sc scenario) withNoisyWorkspace() scenario {
 	shares := 0
-	for _, te := range sit.tenants {
+	for _, te := range sc.tenants {
 		shares += te.share
 	}
-	last := len(sit.tenants) - 1
-	sit.tenants = append([]tenant(nil), sit.tenants...)
-	sit.tenants[last].rate = 10 * sit.capacity() * float64(sit.tenants[last].share) / float64(shares)
-	return sit
+	last := len(sc.tenants) - 1
+	sc.tenants = append([]tenant(nil), sc.tenants...)
+	sc.tenants[last].rate = 10 * sc.capacity() * float64(sc.tenants[last].share) / float64(shares)
+	return sc
 }
 
 // withMixedSizes returns the scenario with long responses for every second
 // workspace and short ones for the others.
-func (sit scenario) withMixedSizes() scenario {
-	sit.tenants = append([]tenant(nil), sit.tenants...)
-	for ix := range sit.tenants {
-		te := &sit.tenants[ix]
+func (sc scenario) withMixedSizes() scenario {
+	sc.tenants = append([]tenant(nil), sc.tenants...)
+	for ix := range sc.tenants {
+		te := &sc.tenants[ix]
 		if ix%2 == 0 {
 			te.output, te.rate = 4*te.output, te.rate/4
 		} else {
 			te.output, te.deadline = te.output/4, te.deadline/3
 		}
 	}
-	return sit
+	return sc
 }
 
-func (sit scenario) with(change func(*scenario)) scenario {
-	change(&sit)
-	return sit
+func (sc scenario) with(change func(*scenario)) scenario {
+	change(&sc)
+	return sc
 }
--- a/core/admission/simulation_job_test.go
+++ b/core/admission/simulation_job_test.go
@@ -92,14 +92,14 @@
 func (jo *job) run() {
 	si, up, rq := jo.si, jo.up, jo.rq
 	factor := 1.0
-	if si.sit.slow > 0 && up == si.ups[0] && si.now > si.sit.length/3 {
-		factor = si.sit.slow
+	if si.sc.slow > 0 && up == si.ups[0] && si.now > si.sc.length/3 {
+		factor = si.sc.slow
 	}
 	whole := seconds(rq.service().Seconds() * factor)
 	first := seconds((float64(rq.tenant.prompt)*secondsPerPromptToken + secondsPerToken) * factor)
 	sent := jo.sent
 	valid := func() bool { return !jo.done && jo.up == up && jo.sent == sent }
-	if si.rnd.Float64() < si.sit.failing {
+	if si.rnd.Float64() < si.sc.failing {
 		si.after(whole/2, func() {
 			if valid() {
 				jo.fail(&core.Failure{Code: core.CodeUpstream, Ran: core.RanFailed})
@@ -150,7 +150,7 @@
 	jo.releaseAdmission(nil)
 }
 
-func (jo *job) finish(en requestState, us *core.Usage) {
+func (jo *job) finish(rs requestState, us *core.Usage) {
 	jo.done = true
 	jo.rq.whole = jo.si.now - jo.rq.arrived
 	if us != nil && jo.choice.CrossRegion {
@@ -158,7 +158,7 @@
 		jo.si.crossRegionBytes += bytes + 4*jo.rq.tenant.prompt
 		jo.en.pk.ChargeCrossRegion(jo.si.clock(), bytes)
 	}
-	jo.si.setState(jo.rq, en)
+	jo.si.setState(jo.rq, rs)
 	jo.releaseSlot()
 	jo.releaseAdmission(us)
 }
@@ -171,7 +171,7 @@
 	up := jo.up
 	jo.up = nil
 	ix := slices.Index(jo.si.ups, up)
-	if !jo.si.sit.stale {
+	if !jo.si.sc.stale {
 		jo.en.updateView(jo.si.clock(), ix, up)
 	}
 	jo.en.views[ix].OwnAttempts--
--- a/core/admission/simulation_test.go
+++ b/core/admission/simulation_test.go
@@ -110,7 +110,7 @@
 // sim is a discrete-event simulation with virtual time and one seed. It runs the
 // production logic of entries and agents, and models engines by delays.
 type sim struct {
-	sit              scenario
+	sc               scenario
 	pol              policy
 	rnd              *rand.Rand
 	now              time.Duration
@@ -169,22 +169,22 @@
 func seconds(val float64) time.Duration { return time.Duration(val * float64(time.Second)) }
 
 // simulate runs a scenario under a policy and returns its outcome.
-func simulate(sit scenario, pol policy) *outcome {
-	si := &sim{sit: sit, pol: pol, rnd: rand.New(rand.NewPCG(sit.seed, 7))}
+func simulate(sc scenario, pol policy) *outcome {
+	si := &sim{sc: sc, pol: pol, rnd: rand.New(rand.NewPCG(sc.seed, 7))}
 	limit := 32
 	if pol.fifo {
 		limit = unboundedQueue
 	}
-	for _, st := range sit.sites {
+	for _, st := range sc.sites {
 		for range st.upstreams {
 			id := core.UpstreamID(fmt.Sprintf("%s-%d", st.zone, len(si.ups)))
 			si.ups = append(si.ups, &upstream{
 				host: core.Host{ID: id, Zone: st.zone, Region: st.region},
-				bo:   execute.NewSlotQueue(sit.slots, limit), jobs: map[*job]bool{},
+				bo:   execute.NewSlotQueue(sc.slots, limit), jobs: map[*job]bool{},
 			})
 		}
 	}
-	for _, st := range sit.sites {
+	for _, st := range sc.sites {
 		en := &entry{
 			site: st, con: admission.New(admission.Capacity{}), remote: admission.New(admission.Capacity{}), pk: placement.New(st.zone, st.region), budget: retry.NewBudget(),
 			views: make([]core.Upstream, len(si.ups)), waiting: map[*request]*admission.Ticket{},
@@ -192,11 +192,11 @@
 		si.entries = append(si.entries, en)
 		si.reportLoad(en)
 	}
-	for ix := range sit.tenants {
-		si.arrive(&sit.tenants[ix], rand.New(rand.NewPCG(sit.seed, uint64(100+ix))))
+	for ix := range sc.tenants {
+		si.arrive(&sc.tenants[ix], rand.New(rand.NewPCG(sc.seed, uint64(100+ix))))
 	}
 	si.scheduleFaults()
-	for len(si.queue) > 0 && si.now < 2*sit.length {
+	for len(si.queue) > 0 && si.now < 2*sc.length {
 		ev := heap.Pop(&si.queue).(event)
 		si.now = ev.at
 		ev.run()
@@ -210,8 +210,8 @@
 	for ix, up := range si.ups {
 		en.updateView(si.clock(), ix, up)
 	}
-	if si.now < 2*si.sit.length {
-		si.after(si.sit.reportInterval, func() { si.reportLoad(en) })
+	if si.now < 2*si.sc.length {
+		si.after(si.sc.reportInterval, func() { si.reportLoad(en) })
 	}
 }
 
@@ -222,10 +222,10 @@
 }
 
 func (si *sim) scheduleFaults() {
-	if si.sit.halfLost || si.sit.partitioned {
-		si.after(si.sit.length/2, func() {
+	if si.sc.halfLost || si.sc.partitioned {
+		si.after(si.sc.length/2, func() {
 			for ix, up := range si.ups {
-				if si.sit.halfLost && ix%2 == 0 || si.sit.partitioned && up.host.Region != si.sit.sites[0].region {
+				if si.sc.halfLost && ix%2 == 0 || si.sc.partitioned && up.host.Region != si.sc.sites[0].region {
 					si.kill(up)
 				}
 			}
@@ -257,15 +257,15 @@
 // policies get the same load.
 func (si *sim) arrive(te *tenant, rnd *rand.Rand) {
 	rate := te.rate
-	if part := float64(si.now) / float64(si.sit.length); si.sit.burst > 0 && part > 0.45 && part < 0.55 {
-		rate *= si.sit.burst
+	if part := float64(si.now) / float64(si.sc.length); si.sc.burst > 0 && part > 0.45 && part < 0.55 {
+		rate *= si.sc.burst
 	}
 	si.after(seconds(rnd.ExpFloat64()/rate), func() {
-		if si.now >= si.sit.length {
+		if si.now >= si.sc.length {
 			return
 		}
 		at := rnd.IntN(len(si.ups))
-		ix := slices.IndexFunc(si.sit.sites, func(st site) bool { return st.zone == si.ups[at].host.Zone })
+		ix := slices.IndexFunc(si.sc.sites, func(st site) bool { return st.zone == si.ups[at].host.Zone })
 		rq := &request{tenant: te, arrived: si.now, output: math.Ceil(rnd.ExpFloat64() * te.output)}
 		si.requests = append(si.requests, rq)
 		si.offer(si.entries[ix], rq)
@@ -277,16 +277,16 @@
 	return seconds(float64(rq.tenant.prompt)*secondsPerPromptToken + rq.output*secondsPerToken)
 }
 
-func (si *sim) setState(rq *request, en requestState) {
+func (si *sim) setState(rq *request, rs requestState) {
 	if rq.state != pending {
 		return
 	}
-	rq.state, rq.ended = en, si.now
+	rq.state, rq.ended = rs, si.now
 }
 
 func (si *sim) offer(en *entry, rq *request) {
-	tr := retry.NewAttempts(en.budget)
-	jo := &job{si: si, en: en, rq: rq, tries: &tr}
+	at := retry.NewAttempts(en.budget)
+	jo := &job{si: si, en: en, rq: rq, tries: &at}
 	si.after(rq.tenant.deadline, func() { si.expire(jo) })
 	if si.pol.fifo {
 		jo.startAttempt()
@@ -343,7 +343,7 @@
 
 func (si *sim) entriesInRegion(en *entry) int {
 	count := 0
-	for _, st := range si.sit.sites {
+	for _, st := range si.sc.sites {
 		if st.region == en.site.region {
 			count++
 		}
--- a/core/canary/canary_test.go
+++ b/core/canary/canary_test.go
@@ -42,8 +42,8 @@
 		for _, exposure := range []float64{0.15, 0.12} {
 			t.Run(fmt.Sprint(sc.testName, " ", exposure), func(t *testing.T) {
 				for seed := range uint64(12) {
-					tr := simulation{seed: seed, entries: 4, rate: sc.rate, exposure: exposure, duration: 24 * time.Second, fault: sc.fault}
-					re := tr.run(t)
+					si := simulation{seed: seed, entries: 4, rate: sc.rate, exposure: exposure, duration: 24 * time.Second, fault: sc.fault}
+					re := si.run(t)
 					assert.Equal(t, re.state, canary.RolledBack, "seed %d: at %s after %d requests, %d bad", seed, re.at, re.sent, re.bad)
 					re.assertWithin(t, exposure)
 					assert.Assert(t, re.detectionDelay < 5*time.Second, "seed %d: still received requests %s after its fiftieth bad answer", seed, re.detectionDelay)
@@ -59,22 +59,22 @@
 func TestManyEntriesDetectABadVersionTogether(t *testing.T) {
 	half := func(rnd *rand.Rand, _ int, _ time.Duration, _ int) (bool, float64) { return rnd.Float64() < 0.5, 1 }
 	for seed := range uint64(12) {
-		tr := simulation{seed: seed, entries: 20, rate: 15, exposure: 0.12, duration: 24 * time.Second, fault: half}
-		re := tr.run(t)
+		si := simulation{seed: seed, entries: 20, rate: 15, exposure: 0.12, duration: 24 * time.Second, fault: half}
+		re := si.run(t)
 		assert.Equal(t, re.state, canary.RolledBack, "seed %d: at %s after %d requests, %d bad", seed, re.at, re.sent, re.bad)
 		re.assertWithin(t, 0.12)
 	}
 }
 
-// A version is bad only once it carries the whole load, which cannot be detected earlier. Even if
-// its fault is never detected, the callers that it reaches during its roll-out must stay within the
+// A version is bad only under full load, which cannot be detected earlier. Even if the fault is
+// never detected, the callers that the version reaches during its roll-out must stay within the
 // bound that the operators set.
 func TestUndetectedBadVersionKeepsToTheBound(t *testing.T) {
 	for _, exposure := range []float64{0.15, 0.12} {
 		for _, rate := range []float64{15, 40, 110} {
 			for seed := range uint64(8) {
-				tr := simulation{seed: seed, entries: 4, rate: rate, exposure: exposure, duration: 24 * time.Second}
-				re := tr.run(t)
+				si := simulation{seed: seed, entries: 4, rate: rate, exposure: exposure, duration: 24 * time.Second}
+				re := si.run(t)
 				re.assertWithin(t, exposure)
 			}
 		}
@@ -89,8 +89,8 @@
 	for _, duration := range []time.Duration{12 * time.Second, 24 * time.Second, time.Minute} {
 		for _, restart := range []time.Duration{0, duration / 2} {
 			for seed := range uint64(8) {
-				tr := simulation{seed: seed, entries: 4, rate: 40, exposure: 0.15, duration: duration, restart: restart}
-				re := tr.run(t)
+				si := simulation{seed: seed, entries: 4, rate: 40, exposure: 0.15, duration: duration, restart: restart}
+				re := si.run(t)
 				assert.Equal(t, re.state, canary.Completed, "seed %d, %s, restart %s: at %s", seed, duration, restart, re.at)
 				assert.Assert(t, re.at < duration)
 				assert.Equal(t, re.earlySwitches, 0)
@@ -105,8 +105,8 @@
 func TestPartitionedEntriesKeepToTheBound(t *testing.T) {
 	undetectable := func(*rand.Rand, int, time.Duration, int) (bool, float64) { return false, 1 }
 	for seed := range uint64(8) {
-		tr := simulation{seed: seed, entries: 12, rate: 60, exposure: 0.12, duration: 24 * time.Second, fault: undetectable, partitioned: true}
-		tr.run(t).assertWithin(t, 0.12)
+		si := simulation{seed: seed, entries: 12, rate: 60, exposure: 0.12, duration: 24 * time.Second, fault: undetectable, partitioned: true}
+		si.run(t).assertWithin(t, 0.12)
 	}
 }
 
@@ -137,7 +137,7 @@
 
 // Upstreams of a new version are listed a moment before the order for it arrives. They must receive
 // nothing until then, since nothing would detect a fault.
-func TestNewVersionGetsNothingBeforeItsOrder(t *testing.T) {
+func TestNewVersionGetsNoRequestsBeforeRollOutOrder(t *testing.T) {
 	gu := canary.New()
 	now := time.Unix(1_000_000, 0)
 	all := hosts()
@@ -163,7 +163,7 @@
 
 // A session runs on the old version when a roll-out begins. While it is active it must stay there,
 // whatever its hash. While the entry's view of the store is stale, no session may begin on the new
-// version, since a verdict against it may be on its way.
+// version, since a rollback may already be recorded that the entry has not received.
 func TestSessionsStayOnTheOldVersion(t *testing.T) {
 	gu := canary.New()
 	now := time.Unix(1_000_000, 0)
--- a/core/canary/doc.go
+++ b/core/canary/doc.go
@@ -118,11 +118,11 @@
 // planSteps returns the steps for an allowed exposure, which is the fraction of all requests during
 // the order that a bad version may receive.
 //
-// A version can be bad in ways that no test shows before it carries the load. So the schedule alone
-// keeps to the bound: the exposure that the first two steps leave unused determines how much time
+// Some faults of a version appear only under full load, after all tests. So the schedule by itself
+// must keep to the bound: the exposure that the first two steps leave unused determines how much time
 // remains at the last step, which moves everything. A version that is found bad earlier is rolled
 // back earlier; a good version serves all requests only shortly before the order's duration ends,
-// which harms nobody.
+// which does no harm.
 func planSteps(exposure float64) [3]step {
 	first := firstStepFraction * exposure
 	last := max(plannedFraction*exposure-first-secondShare*secondTime, completeAfter+0.01)
--- a/core/canary/evidence.go
+++ b/core/canary/evidence.go
@@ -107,7 +107,7 @@
 	// minMedianSamples is the number of the old version's answers from which on a median is
 	// reliable.
 	minMedianSamples = 8
-	// medianStep is the relative step by which a median follows each value.
+	// medianStep is the relative step by which each value moves the estimated median.
 	medianStep = 0.08
 )
 
@@ -126,8 +126,8 @@
 }
 
 func (co *comparison) reset() {
-	for _, te := range []*cusum{&co.fails, &co.slows} {
-		te.sum, te.drift, te.bad, te.seen = 0, 0, 0, 0
+	for _, cu := range []*cusum{&co.fails, &co.slows} {
+		cu.sum, cu.drift, cu.bad, cu.seen = 0, 0, 0, 0
 	}
 }
 
@@ -215,31 +215,31 @@
 	me.count++
 }
 
-func (te *cusum) updateRate(bad bool) {
+func (cu *cusum) updateRate(bad bool) {
 	val := 0.0
 	if bad {
 		val = 1
 	}
-	te.rate += rateSmoothing * (val - te.rate)
+	cu.rate += rateSmoothing * (val - cu.rate)
 }
 
 // observe records an outcome of the new version and reports whether the verdict is reached.
-func (te *cusum) observe(bad bool, limit float64) bool {
-	baseline := min(max(te.rate, minRate), limit)
+func (cu *cusum) observe(bad bool, limit float64) bool {
+	baseline := min(max(cu.rate, minRate), limit)
 	worse := min(baseline+effectSize, 0.95)
-	te.seen++
+	cu.seen++
 	weight := math.Log((1 - worse) / (1 - baseline))
 	if bad {
-		te.bad++
+		cu.bad++
 		weight = math.Log(worse / baseline)
 	}
-	te.sum = max(te.sum+weight, 0)
-	te.drift = max(te.drift+weight, minDrift)
-	return te.sum >= verdictThreshold && te.bad >= minBad
+	cu.sum = max(cu.sum+weight, 0)
+	cu.drift = max(cu.drift+weight, minDrift)
+	return cu.sum >= verdictThreshold && cu.bad >= minBad
 }
 
-func (te *cusum) describe(what string) string {
-	return fmt.Sprintf("%d of %d answers %s; the old version's rate is %.0f in 100", te.bad, te.seen, what, 100*te.rate)
+func (cu *cusum) describe(what string) string {
+	return fmt.Sprintf("%d of %d answers %s; the old version's rate is %.0f in 100", cu.bad, cu.seen, what, 100*cu.rate)
 }
 
 // Observe records what an attempt reveals about its version: the chunk interval while it is still
--- a/core/canary/guard.go
+++ b/core/canary/guard.go
@@ -45,9 +45,10 @@
 func Exposure(share float64) Option { return func(gu *Guard) { gu.steps = planSteps(share) } }
 
 const (
-	// defaultGap and defaultExposure are the values that the users set for both deployments.
-	defaultGap      = 5 * time.Second
-	defaultExposure = 0.15
+	// defaultSessionGap (see [SessionGap]) and defaultExposure (see [Exposure]) are the requirements
+	// of the two known deployments.
+	defaultSessionGap = 5 * time.Second
+	defaultExposure   = 0.15
 	// capFactor and capSlack limit what an entry sends to the new version in the first step,
 	// relative to its own requests and the step's share.
 	capFactor = 1.3
@@ -62,7 +63,7 @@
 // New returns a guard without roll-outs.
 func New(opts ...Option) *Guard {
 	gu := &Guard{
-		gap: defaultGap, steps: planSteps(defaultExposure), rollouts: map[core.ServiceID]*rollout{}, sessions: map[sessionKey]pin{}, inFlight: map[versionKey]int{},
+		gap: defaultSessionGap, steps: planSteps(defaultExposure), rollouts: map[core.ServiceID]*rollout{}, sessions: map[sessionKey]pin{}, inFlight: map[versionKey]int{},
 		stable: map[core.ServiceID]core.VersionID{}, withdrawn: map[versionKey]bool{},
 	}
 	for _, opt := range opts {
@@ -196,7 +197,7 @@
 	ups := withVersion(ca.Eligible, target)
 	if ro.state() == Completed {
 		// The target stays the version in use even while its upstreams are absent.
-		return firstNonEmpty(ups, gu.notWithdrawn(sv, ca.Eligible))
+		return firstNonEmpty(ups, gu.withoutWithdrawn(sv, ca.Eligible))
 	}
 	old := gu.stableHosts(sv, Candidates{withoutVersion(ca.Ready, target), withoutVersion(ca.Eligible, target)})
 	if ro.rejected() {
--- a/core/canary/pool.go
+++ b/core/canary/pool.go
@@ -76,7 +76,7 @@
 
 func (co *comparison) tallies() Tallies { return Tallies{co.fails.tally(), co.slows.tally()} }
 
-func (te cusum) tally() Tally { return Tally{te.drift, te.bad, te.seen} }
+func (cu cusum) tally() Tally { return Tally{cu.drift, cu.bad, cu.seen} }
 
 // pooledThreshold is the sum of the entries' evidence at which a version is bad. It is slightly
 // higher than the threshold for a single entry, since each entry contributes the chance result of
@@ -143,7 +143,7 @@
 // Collector periodically collects the siblings' reports. It implements suture's Service.
 type Collector struct {
 	gu  *Guard
-	ens Siblings
+	sib Siblings
 }
 
 const (
@@ -154,10 +154,10 @@
 )
 
 // NewCollector returns a collector of the siblings' reports.
-func NewCollector(gu *Guard, ens Siblings) *Collector { return &Collector{gu: gu, ens: ens} }
+func NewCollector(gu *Guard, sib Siblings) *Collector { return &Collector{gu: gu, sib: sib} }
 
 // Serve implements suture's Service.
-func (po *Collector) Serve(ctx context.Context) error {
+func (co *Collector) Serve(ctx context.Context) error {
 	ti := time.NewTicker(collectInterval)
 	defer ti.Stop()
 	for {
@@ -165,18 +165,18 @@
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-ti.C:
-			if len(po.gu.Reports(time.Now())) > 0 {
-				po.collect(ctx)
+			if len(co.gu.Reports(time.Now())) > 0 {
+				co.collect(ctx)
 			}
 		}
 	}
 }
 
-func (po *Collector) collect(ctx context.Context) {
+func (co *Collector) collect(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, collectTimeout)
 	defer cancel()
-	reports := po.ens.Reports(ctx)
+	reports := co.sib.Reports(ctx)
 	// Uses the time of the response, not of the request: otherwise the network delay would be added
 	// to the reported elapsed time in every round.
-	po.gu.MergeReports(time.Now(), reports)
+	co.gu.MergeReports(time.Now(), reports)
 }
--- a/core/canary/pool_test.go
+++ b/core/canary/pool_test.go
@@ -14,9 +14,9 @@
 // remoteEntry is another entry behind a slow network.
 type remoteEntry struct{ gu *canary.Guard }
 
-func (fa remoteEntry) Reports(context.Context) []canary.Report {
+func (re remoteEntry) Reports(context.Context) []canary.Report {
 	time.Sleep(100 * time.Millisecond)
-	out := fa.gu.Reports(time.Now())
+	out := re.gu.Reports(time.Now())
 	time.Sleep(50 * time.Millisecond)
 	return out
 }
@@ -33,8 +33,8 @@
 			gu.Order(began, canary.Order{Service: service, Target: v2, Duration: time.Minute, Revision: 5})
 		}
 		ctx, cancel := context.WithCancel(t.Context())
-		for _, po := range []*canary.Collector{canary.NewCollector(one, remoteEntry{two}), canary.NewCollector(two, remoteEntry{one})} {
-			go func() { _ = po.Serve(ctx) }()
+		for _, co := range []*canary.Collector{canary.NewCollector(one, remoteEntry{two}), canary.NewCollector(two, remoteEntry{one})} {
+			go func() { _ = co.Serve(ctx) }()
 		}
 		time.Sleep(30 * time.Second)
 		for _, gu := range []*canary.Guard{one, two} {
--- a/core/canary/sim_test.go
+++ b/core/canary/sim_test.go
@@ -76,16 +76,16 @@
 }
 
 // run executes the simulation and returns the result.
-func (tr simulation) run(t *testing.T) result {
+func (si simulation) run(t *testing.T) result {
 	t.Helper()
-	rnd := rand.New(rand.NewPCG(tr.seed, 7))
+	rnd := rand.New(rand.NewPCG(si.seed, 7))
 	start := time.Unix(1_000_000, 0)
 	const before = 10 * time.Second
 	ordered := start.Add(before)
-	order := canary.Order{Service: service, Target: v2, Duration: tr.duration, Revision: 10}
+	order := canary.Order{Service: service, Target: v2, Duration: si.duration, Revision: 10}
 	st := store{rev: 10}
-	newGuard := func() *canary.Guard { return canary.New(canary.Exposure(tr.exposure)) }
-	gus := make([]*canary.Guard, tr.entries)
+	newGuard := func() *canary.Guard { return canary.New(canary.Exposure(si.exposure)) }
+	gus := make([]*canary.Guard, si.entries)
 	for i := range gus {
 		gus[i] = newGuard()
 	}
@@ -99,7 +99,7 @@
 	var re result
 	var fiftieth time.Time
 	const tick = 10 * time.Millisecond
-	steps := int((before + tr.duration + 2*time.Second) / tick)
+	steps := int((before + si.duration + 2*time.Second) / tick)
 	for n := range steps {
 		now := start.Add(time.Duration(n) * tick)
 		since := now.Sub(ordered)
@@ -108,13 +108,13 @@
 				gu.Order(now, order)
 			}
 		}
-		if tr.restart > 0 && since == tr.restart {
+		if si.restart > 0 && since == si.restart {
 			gus[0] = newGuard()
 			gus[0].Order(now, order)
 			gus[0].Status(st.status)
 			gus[0].Step(now, st.step)
 		}
-		if !tr.partitioned && n%100 == 0 {
+		if !si.partitioned && n%100 == 0 {
 			var reports []canary.Report
 			for _, gu := range gus {
 				reports = append(reports, gu.Reports(now)...)
@@ -127,28 +127,28 @@
 						others = append(others, rp)
 					}
 				}
-				if tr.fanout > 0 && tr.fanout < len(others) {
-					first := n / 100 * tr.fanout % len(others)
-					others = append(others[first:], others[:first]...)[:tr.fanout]
+				if si.fanout > 0 && si.fanout < len(others) {
+					first := n / 100 * si.fanout % len(others)
+					others = append(others[first:], others[:first]...)[:si.fanout]
 				}
 				gu.MergeReports(now, others)
 			}
 		}
 		if since >= 0 && n%15 == 0 {
-			tr.write(now, gus, &st, &re, since)
+			si.write(now, gus, &st, &re, since)
 		}
 		arrivals := 0
-		for p := tr.rate * tick.Seconds(); p > 0; p-- {
+		for p := si.rate * tick.Seconds(); p > 0; p-- {
 			if rnd.Float64() < p {
 				arrivals++
 			}
 		}
 		for range arrivals {
-			entry := rnd.IntN(tr.entries)
+			entry := rnd.IntN(si.entries)
 			// Sessions have a few requests, mostly at one entry.
 			se := core.SessionID(fmt.Sprint("s", int(now.Sub(start).Seconds())/4, "-", entry, "-", rnd.IntN(12)))
-			if tr.roaming {
-				se = core.SessionID(fmt.Sprint("s", int(now.Sub(start).Seconds())/8, "-", rnd.IntN(int(6*tr.rate))))
+			if si.roaming {
+				se = core.SessionID(fmt.Sprint("s", int(now.Sub(start).Seconds())/8, "-", rnd.IntN(int(6*si.rate))))
 			}
 			gu := gus[entry]
 			ups := gu.Choose(now, service, se, rnd.Float64(), canary.Unrestricted(all), true)
@@ -159,7 +159,7 @@
 			gu.AttemptSent(now, se, ho)
 			old, seenBefore := sessions[se]
 			if seenBefore && now.Sub(old.at) < 5*time.Second && since > 0 {
-				if ho.Version == v2 && old.version == v1 && since < tr.duration/2 {
+				if ho.Version == v2 && old.version == v1 && since < si.duration/2 {
 					re.earlySwitches++
 				}
 				if ho.Version == v1 && old.version == v2 && st.status.State != canary.RolledBack && re.state != canary.RolledBack {
@@ -167,7 +167,7 @@
 				}
 			}
 			sessions[se] = seen{ho.Version, now}
-			if since >= 0 && since < tr.duration {
+			if since >= 0 && since < si.duration {
 				re.all++
 				if ho.Version == v2 {
 					re.sent++
@@ -181,8 +181,8 @@
 			ou := canary.Outcome{Service: service, Version: ho.Version, Pool: fmt.Sprint(route), ChunkInterval: interval, Failed: rnd.Float64() < 0.01}
 			if ho.Version == v2 {
 				ou.ChunkInterval = ou.ChunkInterval * 6 / 10 // Its engines are nearly idle.
-				if tr.fault != nil {
-					fails, slower := tr.fault(rnd, route, since, st.step.Step)
+				if si.fault != nil {
+					fails, slower := si.fault(rnd, route, since, st.step.Step)
 					ou.Failed = ou.Failed || fails
 					if slower > 1 {
 						ou.ChunkInterval = time.Duration(float64(ou.ChunkInterval) * slower)
@@ -198,13 +198,13 @@
 			pending = append(pending, attempt{now.Add(time.Duration(20 * float64(ou.ChunkInterval))), entry, se, ho, ou})
 		}
 		kept := pending[:0]
-		for _, fl := range pending {
-			if now.Before(fl.ends) {
-				kept = append(kept, fl)
+		for _, at := range pending {
+			if now.Before(at.ends) {
+				kept = append(kept, at)
 				continue
 			}
-			gus[fl.entry].Observe(fl.ou)
-			gus[fl.entry].AttemptEnded(now, fl.session, fl.host)
+			gus[at.entry].Observe(at.ou)
+			gus[at.entry].AttemptEnded(now, at.session, at.host)
 		}
 		pending = kept
 	}
@@ -212,7 +212,7 @@
 }
 
 // write applies the writes that the guards find due, as the store would.
-func (tr simulation) write(now time.Time, gus []*canary.Guard, st *store, re *result, since time.Duration) {
+func (si simulation) write(now time.Time, gus []*canary.Guard, st *store, re *result, since time.Duration) {
 	for rank, gu := range gus {
 		for _, wr := range gu.DueWrites(now, func(core.ServiceID) int { return rank }) {
 			st.rev++
@@ -229,7 +229,7 @@
 			}
 		}
 	}
-	if tr.partitioned {
+	if si.partitioned {
 		return
 	}
 	for _, gu := range gus {
--- a/core/canary/versions.go
+++ b/core/canary/versions.go
@@ -27,7 +27,7 @@
 // roll-out. Upstreams of another version may be listed before the order for it arrives, and those
 // of a withdrawn version until they have drained.
 func (gu *Guard) stableHosts(sv core.ServiceID, ca Candidates) []core.Host {
-	ready := gu.notWithdrawn(sv, ca.Ready)
+	ready := gu.withoutWithdrawn(sv, ca.Ready)
 	if len(ready) == 0 {
 		return nil
 	}
@@ -37,8 +37,8 @@
 	return withVersion(ca.Eligible, gu.stable[sv])
 }
 
-// notWithdrawn removes the upstreams of withdrawn versions.
-func (gu *Guard) notWithdrawn(sv core.ServiceID, hosts []core.Host) []core.Host {
+// withoutWithdrawn returns the upstreams whose version is not withdrawn.
+func (gu *Guard) withoutWithdrawn(sv core.ServiceID, hosts []core.Host) []core.Host {
 	return filter(hosts, func(ho core.Host) bool { return !gu.withdrawn[versionKey{sv, ho.Version}] })
 }
 
--- a/core/canary/versions_test.go
+++ b/core/canary/versions_test.go
@@ -22,8 +22,8 @@
 	return canary.Order{Service: service, Target: ve, Duration: 24 * time.Second, Revision: re}
 }
 
-// Guards against taking a withdrawn version for the old one in the next roll-out: its upstreams are
-// listed until they have drained.
+// The upstreams of a withdrawn version are listed until they have drained. Guards against taking
+// this version for the old one in the next roll-out.
 func TestWithdrawnVersionGetsNothingInTheNextRollOut(t *testing.T) {
 	rolledBack := canary.Status{Service: service, Target: v2, State: canary.RolledBack, Revision: 6}
 	scenarios := []struct {
@@ -64,7 +64,7 @@
 	}
 }
 
-// Guards against a version that stays withdrawn although it was ordered again.
+// Guards against treating a version as withdrawn after it was ordered again.
 func TestWithdrawnVersionIsOrderedAgain(t *testing.T) {
 	gu := canary.New()
 	now := time.Unix(1_000_000, 0)
@@ -83,9 +83,9 @@
 	}
 }
 
-// Guards against refusing callers because the only version left beside the next one had been rolled
-// back before it was ordered again.
-func TestVersionOrderedAgainIsStableInNextRollOut(t *testing.T) {
+// A version is rolled back, ordered again, and then followed by the next one. Guards against
+// refusing callers because the only other version left was once rolled back.
+func TestRolledBackVersionCanBecomeStable(t *testing.T) {
 	gu := canary.New()
 	now := time.Unix(1_000_000, 0)
 	gu.Order(now, order(v2, 5))
@@ -96,8 +96,8 @@
 	assert.Equal(t, gu.Choose(now, service, "", 0.9, canary.Unrestricted(remaining), true)[0].Version, v2)
 }
 
-// Guards against sessions that go back to an older version when a roll-out follows a completed one
-// before the older upstreams have left the list.
+// A roll-out follows a completed one before the older upstreams have left the list. Guards against
+// moving sessions back to the older version.
 func TestCompletedVersionIsStableInNextRollOut(t *testing.T) {
 	gu := canary.New()
 	now := time.Unix(1_000_000, 0)
@@ -123,14 +123,15 @@
 	return out
 }
 
-// Guards against sessions whose requests arrive at any of many entries and alternate between the
-// two versions, since an entry has not received the reports of all siblings at the order.
+// The requests of a session arrive at any of many entries, and an entry has not received the reports
+// of all siblings when the order arrives. Guards against sessions that alternate between the two
+// versions.
 func TestRoamingSessionsKeepTheirVersion(t *testing.T) {
 	const maxSwitches = 3
 	for _, entries := range []int{4, 20, 33} {
 		for seed := range uint64(8) {
-			tr := simulation{seed: seed, entries: entries, fanout: 16, roaming: true, rate: 150, exposure: 0.12, duration: 15 * time.Second}
-			re := tr.run(t)
+			si := simulation{seed: seed, entries: entries, fanout: 16, roaming: true, rate: 150, exposure: 0.12, duration: 15 * time.Second}
+			re := si.run(t)
 			assert.Assert(t, re.earlySwitches+re.switchesBack <= maxSwitches, "%d entries, seed %d: %d early switches and %d switches back", entries, seed, re.earlySwitches, re.switchesBack)
 		}
 	}
--- a/core/cascade/cascade_test.go
+++ b/core/cascade/cascade_test.go
@@ -50,31 +50,31 @@
 // them counted as much as a new one, callers would get bad answers for as long again
 // before the estimate changes.
 func TestNewRatingsOutweighOldOnes(t *testing.T) {
-	le, qu, now := cascade.NewLearner(), newRequest(0, 0.9, 5), time.Unix(1_000_000, 0)
+	le, rq, now := cascade.NewLearner(), newRequest(0, 0.9, 5), time.Unix(1_000_000, 0)
 	for i := range 6000 {
 		got := core.Quality(1)
 		if i >= 5000 {
 			got = 0
 		}
 		now = now.Add(10 * time.Millisecond)
-		le.RecordRating(now, qu, 0, cascade.First, got)
+		le.RecordRating(now, rq, 0, cascade.First, got)
 	}
-	assert.Assert(t, le.Expected(now, qu, 0, cascade.First) < 0.1)
+	assert.Assert(t, le.Expected(now, rq, 0, cascade.First) < 0.1)
 }
 
 // A cheap version degrades, is no longer the first choice, and then recovers. Unless a
 // few requests explore it, the recovery is never detected and callers keep paying for
 // the costly one. More than a few explorations would cost more than they save.
 func TestRecoveredStageIsChosenAgain(t *testing.T) {
-	le, qu, now := cascade.NewLearner(), newRequest(0, 0.9, 0), time.Unix(1_000_000, 0)
+	le, rq, now := cascade.NewLearner(), newRequest(0, 0.9, 0), time.Unix(1_000_000, 0)
 	run := func(good core.Quality, draw float64) int {
 		now = now.Add(100 * time.Millisecond)
-		de := le.Start(now, qu, draw)
-		le.RecordRun(now, qu, de.Stage, qu.Stages[de.Stage].Cost, time.Second)
+		de := le.Start(now, rq, draw)
+		le.RecordRun(now, rq, de.Stage, rq.Stages[de.Stage].Cost, time.Second)
 		if de.Stage == 0 {
-			le.RecordRating(now, qu, 0, cascade.First, good)
+			le.RecordRating(now, rq, 0, cascade.First, good)
 		}
-		le.RecordResult(qu, qu.Target, time.Second) // Keeps the mix at its target.
+		le.RecordResult(rq, rq.Target, time.Second) // Keeps the mix at its target.
 		return de.Stage
 	}
 	for range 400 {
@@ -115,25 +115,25 @@
 }
 
 // The rating service stops responding. If every request waited for it, all answers would
-// be late by the whole timeout; so after three misses only one request per second waits,
+// be late by the full timeout; so after three misses only one request per second waits,
 // until a rating arrives.
 func TestHealthProbesWhileRaterIsDown(t *testing.T) {
-	he, now := &cascade.RaterHealth{}, time.Unix(1000, 0)
+	rh, now := &cascade.RaterHealth{}, time.Unix(1000, 0)
 	for i := range 3 {
-		assert.Assert(t, he.AllowWait(now))
-		assert.Equal(t, he.Record(now, false), i == 2)
+		assert.Assert(t, rh.AllowWait(now))
+		assert.Equal(t, rh.Record(now, false), i == 2)
 	}
 	waited := 0
 	for range 1000 { // 10 s at 100 requests per second.
 		now = now.Add(10 * time.Millisecond)
-		if he.AllowWait(now) {
+		if rh.AllowWait(now) {
 			waited++
-			he.Record(now, false)
+			rh.Record(now, false)
 		}
 	}
 	assert.Equal(t, waited, 10)
-	he.Record(now, true)
+	rh.Record(now, true)
 	for range 2 {
-		assert.Assert(t, he.AllowWait(now))
+		assert.Assert(t, rh.AllowWait(now))
 	}
 }
--- a/core/cascade/deficit.go
+++ b/core/cascade/deficit.go
@@ -25,11 +25,13 @@
 	tailLatencyStep    = 0.01
 )
 
-// deficit is the number of good answers that the mix of a workspace at one cascade
-// is short of its target, offset by the equilibrium value.
+// deficit is how many good answers a workspace's mix of stages in one cascade lacks
+// to meet its quality target, plus initialDeficit. It settles at the value at which
+// the mix meets the target.
 //
-// It is the Lagrange multiplier of the quality target in the minimisation of cost: a
-// mix below its target raises it with each answer, a mix above lowers it.
+// It is the Lagrange multiplier of the quality target in the minimisation of cost. It
+// rises with each answer while the mix is below its target, and falls while it is
+// above.
 type deficit struct {
 	answers float64
 	// costliestPrice is the mean price of the costliest stage over all classes.
@@ -62,8 +64,8 @@
 
 // answerValue returns the value of a good answer. Price is the price of the costliest
 // stage for the current request. The value is scaled by the mean of that price over
-// all classes, since it must be the same for all classes; otherwise quality would be
-// bought in the classes where it is expensive.
+// all classes, since it must be the same for all classes; otherwise more would be
+// spent on the classes where quality costs most.
 func (de *deficit) answerValue(now time.Time, price float64) float64 {
 	if now.After(de.costliestPrice.at) || de.costliestPrice.weight == 0 {
 		de.costliestPrice.add(now, price)
--- a/core/cascade/doc.go
+++ b/core/cascade/doc.go
@@ -17,12 +17,12 @@
 // # Usage
 //
 //	le := cascade.NewLearner()
-//	de := le.Start(now, qu, rand.Float64())
-//	… run qu.Stages[de.Stage] …
-//	le.RecordRun(now, qu, de.Stage, cost, took)
-//	le.RecordRating(now, qu, de.Stage, cascade.First, rating)
-//	de, more := le.Next(now, qu, de.Stage, rating, waited)
-//	le.RecordResult(qu, rating, waited)
+//	de := le.Start(now, rq, rand.Float64())
+//	… run rq.Stages[de.Stage] …
+//	le.RecordRun(now, rq, de.Stage, cost, took)
+//	le.RecordRating(now, rq, de.Stage, cascade.First, rating)
+//	de, more := le.Next(now, rq, de.Stage, rating, waited)
+//	le.RecordResult(rq, rating, waited)
 //
 // If no rating is available, [Request.Fallback] returns the stage to run.
 package cascade
--- a/core/cascade/estimate.go
+++ b/core/cascade/estimate.go
@@ -65,9 +65,9 @@
 // maxRecent is enough to represent the slowest tenth, and cheap to sum up.
 const maxRecent = 64
 
-func (rc *recentValues) add(val float64) {
-	rc.vals[rc.n%maxRecent] = val
-	rc.n++
+func (rv *recentValues) add(val float64) {
+	rv.vals[rv.n%maxRecent] = val
+	rv.n++
 }
 
-func (rc *recentValues) values() []float64 { return rc.vals[:min(rc.n, maxRecent)] }
+func (rv *recentValues) values() []float64 { return rv.vals[:min(rv.n, maxRecent)] }
--- a/core/cascade/figures_test.go
+++ b/core/cascade/figures_test.go
@@ -24,8 +24,8 @@
 // alwaysStage runs one stage for all requests.
 func alwaysStage(requests []request, stage int) *result {
 	re := &result{}
-	for _, as := range requests {
-		re.add(as.cost[stage], as.good[stage], as.latency[stage])
+	for _, req := range requests {
+		re.add(req.cost[stage], req.good[stage], req.latency[stage])
 	}
 	return re
 }
@@ -33,11 +33,11 @@
 // fixedCascade runs the cheap stage and, if its answer is rated badly, the costly one.
 func fixedCascade(requests []request) *result {
 	re := &result{}
-	for _, as := range requests {
-		if as.good[0] {
-			re.add(as.cost[0], true, as.latency[0]+as.ratingDelay)
+	for _, req := range requests {
+		if req.good[0] {
+			re.add(req.cost[0], true, req.latency[0]+req.ratingDelay)
 		} else {
-			re.add(as.cost[0]+as.cost[1], as.good[1], as.latency[0]+as.ratingDelay+as.latency[1])
+			re.add(req.cost[0]+req.cost[1], req.good[1], req.latency[0]+req.ratingDelay+req.latency[1])
 		}
 	}
 	return re
@@ -49,9 +49,9 @@
 func bestInHindsight(requests []request, target float64) float64 {
 	const rules = 3
 	var cost, good [len(classes)][rules]float64
-	for _, as := range requests {
-		cl := as.class
-		per := [rules]*result{alwaysStage([]request{as}, 0), fixedCascade([]request{as}), alwaysStage([]request{as}, 1)}
+	for _, req := range requests {
+		cl := req.class
+		per := [rules]*result{alwaysStage([]request{req}, 0), fixedCascade([]request{req}), alwaysStage([]request{req}, 1)}
 		for ru, re := range per {
 			cost[cl][ru] += re.cost
 			good[cl][ru] += re.quality
@@ -96,9 +96,9 @@
 func clairvoyant(requests []request, target float64) float64 {
 	re := alwaysStage(requests, 0)
 	var extra []float64
-	for _, as := range requests {
-		if !as.good[0] && as.good[1] {
-			extra = append(extra, float64(as.cost[1]-as.cost[0]))
+	for _, req := range requests {
+		if !req.good[0] && req.good[1] {
+			extra = append(extra, float64(req.cost[1]-req.cost[0]))
 		}
 	}
 	slices.SortFunc(extra, cmp.Compare[float64])
@@ -113,9 +113,9 @@
 // their own length determines the tail, whatever is decided.
 var withDrafts = [...]requestClass{withShare(classes[0], 0.6), withShare(classes[1], 0.3), withShare(classes[2], 0.1)}
 
-func withShare(ki requestClass, share float64) requestClass {
-	ki.share = share
-	return ki
+func withShare(rc requestClass, share float64) requestClass {
+	rc.share = share
+	return rc
 }
 
 // outcome is the results of one mix with the two users' latency prices.
--- a/core/cascade/health.go
+++ b/core/cascade/health.go
@@ -8,7 +8,7 @@
 const (
 	// maxMisses is the number of consecutive late ratings after which the rating
 	// service counts as down. One late rating is no outage, but each one costs a
-	// caller the whole timeout.
+	// caller the full timeout.
 	maxMisses = 3
 	// probeInterval is the time between two requests that probe the service while it
 	// is down.
@@ -18,7 +18,7 @@
 // RaterHealth is a circuit breaker for the rating service. It is safe for concurrent use.
 //
 // While the rating service is down, each request that waits for a rating is delayed
-// by the whole timeout. So after maxMisses late ratings in a row, only one request per
+// by the full timeout. So after maxMisses late ratings in a row, only one request per
 // probeInterval waits, until a rating arrives in time.
 type RaterHealth struct {
 	mu        sync.Mutex
@@ -27,31 +27,31 @@
 }
 
 // AllowWait reports whether a request may wait for a rating now.
-func (he *RaterHealth) AllowWait(now time.Time) bool {
-	he.mu.Lock()
-	defer he.mu.Unlock()
-	if he.missed < maxMisses {
+func (rh *RaterHealth) AllowWait(now time.Time) bool {
+	rh.mu.Lock()
+	defer rh.mu.Unlock()
+	if rh.missed < maxMisses {
 		return true
 	}
-	if now.Before(he.nextProbe) {
+	if now.Before(rh.nextProbe) {
 		return false
 	}
-	he.nextProbe = now.Add(probeInterval)
+	rh.nextProbe = now.Add(probeInterval)
 	return true
 }
 
 // Record records whether a rating arrived in time, and reports whether the service
 // counts as down from this rating on.
-func (he *RaterHealth) Record(now time.Time, onTime bool) bool {
-	he.mu.Lock()
-	defer he.mu.Unlock()
+func (rh *RaterHealth) Record(now time.Time, onTime bool) bool {
+	rh.mu.Lock()
+	defer rh.mu.Unlock()
 	if onTime {
-		he.missed = 0
+		rh.missed = 0
 		return false
 	}
-	he.missed++
-	if he.missed == maxMisses {
-		he.nextProbe = now.Add(probeInterval)
+	rh.missed++
+	if rh.missed == maxMisses {
+		rh.nextProbe = now.Add(probeInterval)
 	}
-	return he.missed == maxMisses
+	return rh.missed == maxMisses
 }
--- a/core/cascade/learner.go
+++ b/core/cascade/learner.go
@@ -89,22 +89,22 @@
 
 // Start decides at which stage a request starts. Draw is a random number from 0 to 1
 // that decides whether the request explores.
-func (le *Learner) Start(now time.Time, qu *Request, draw float64) Decision {
+func (le *Learner) Start(now time.Time, rq *Request, draw float64) Decision {
 	le.mu.Lock()
 	defer le.mu.Unlock()
-	ods, pr := le.expectations(now, qu)
+	ods, pr := le.expectations(now, rq)
 	start := pr.start(ods)
 	if draw < exploreShare {
-		start = le.explore(now, qu, start)
+		start = le.explore(now, rq, start)
 	}
 	return Decision{Stage: start, Final: pr.final(ods, start, 0)}
 }
 
 // explore returns the cheapest stage before start that has few recent ratings, or
 // start if there is none.
-func (le *Learner) explore(now time.Time, qu *Request, start int) int {
+func (le *Learner) explore(now time.Time, rq *Request, start int) int {
 	for i := range start {
-		es := &le.stage(now, qu, i).passRates[First]
+		es := &le.stage(now, rq, i).passRates[First]
 		es.decay(now)
 		if es.weight < exploreMaxWeight {
 			return i
@@ -115,10 +115,10 @@
 
 // Next decides whether a request escalates after the answer of a stage was rated,
 // and to which stage. Waited is the latency of the request so far.
-func (le *Learner) Next(now time.Time, qu *Request, stage int, rating core.Quality, waited time.Duration) (Decision, bool) {
+func (le *Learner) Next(now time.Time, rq *Request, stage int, rating core.Quality, waited time.Duration) (Decision, bool) {
 	le.mu.Lock()
 	defer le.mu.Unlock()
-	ods, pr := le.expectations(now, qu)
+	ods, pr := le.expectations(now, rq)
 	next, gain := pr.next(ods, stage, waited.Seconds())
 	if next == noStage || gain <= pr.answerValue*float64(rating) {
 		return Decision{}, false
@@ -127,81 +127,81 @@
 }
 
 // Expected returns the expected quality of a stage's answer.
-func (le *Learner) Expected(now time.Time, qu *Request, stage int, pl Position) core.Quality {
+func (le *Learner) Expected(now time.Time, rq *Request, stage int, po Position) core.Quality {
 	le.mu.Lock()
 	defer le.mu.Unlock()
-	return core.Quality(le.passRate(now, qu, stage, pl))
+	return core.Quality(le.passRate(now, rq, stage, po))
 }
 
 // RecordRating records a rating of a stage's answer, which may arrive after the request has
 // ended.
-func (le *Learner) RecordRating(now time.Time, qu *Request, stage int, pl Position, rating core.Quality) {
+func (le *Learner) RecordRating(now time.Time, rq *Request, stage int, po Position, rating core.Quality) {
 	le.mu.Lock()
 	defer le.mu.Unlock()
-	le.stage(now, qu, stage).passRates[pl].add(now, float64(rating))
+	le.stage(now, rq, stage).passRates[po].add(now, float64(rating))
 }
 
 // RecordRun records the cost and the latency of a stage's answer.
-func (le *Learner) RecordRun(now time.Time, qu *Request, stage int, cost core.Millicents, took time.Duration) {
+func (le *Learner) RecordRun(now time.Time, rq *Request, stage int, cost core.Millicents, took time.Duration) {
 	le.mu.Lock()
 	defer le.mu.Unlock()
-	ce := le.stage(now, qu, stage)
-	ce.cost.add(now, float64(cost))
-	ce.latency.add(now, took.Seconds())
-	ce.latencies.add(took.Seconds())
+	ss := le.stage(now, rq, stage)
+	ss.cost.add(now, float64(cost))
+	ss.latency.add(now, took.Seconds())
+	ss.latencies.add(took.Seconds())
 }
 
 // RecordResult records the quality of the answer that the caller got, either its rating or
 // its expected quality, and the latency of the request.
-func (le *Learner) RecordResult(qu *Request, quality core.Quality, waited time.Duration) {
+func (le *Learner) RecordResult(rq *Request, quality core.Quality, waited time.Duration) {
 	le.mu.Lock()
 	defer le.mu.Unlock()
-	le.deficit(qu).add(float64(qu.Target-quality), waited)
+	le.deficit(rq).add(float64(rq.Target-quality), waited)
 }
 
 // RecordSampledRating records a rating of an answer whose expected quality was passed to
 // RecordResult. Share is the fraction of such answers that is rated.
-func (le *Learner) RecordSampledRating(qu *Request, expected, rating core.Quality, share float64) {
+func (le *Learner) RecordSampledRating(rq *Request, expected, rating core.Quality, share float64) {
 	le.mu.Lock()
 	defer le.mu.Unlock()
-	le.deficit(qu).correct(float64(expected), float64(rating), share)
+	le.deficit(rq).correct(float64(expected), float64(rating), share)
 }
 
 // expectations returns what is expected of each stage for a request, and the current
 // prices.
-func (le *Learner) expectations(now time.Time, qu *Request) ([]expectation, pricing) {
-	ods := make([]expectation, len(qu.Stages))
-	for i, st := range qu.Stages {
-		ce := le.stage(now, qu, i)
-		od := expectation{
-			passFirst: le.passRate(now, qu, i, First), passAfter: le.passRate(now, qu, i, AfterFailure),
-			cost:        ce.cost.value(float64(st.Cost), costPriorWeight),
-			meanLatency: ce.latency.value(assumedLatency.Seconds(), costPriorWeight),
-			latencies:   ce.latencies.values(),
+func (le *Learner) expectations(now time.Time, rq *Request) ([]expectation, pricing) {
+	ods := make([]expectation, len(rq.Stages))
+	for i, st := range rq.Stages {
+		ss := le.stage(now, rq, i)
+		exp := expectation{
+			passFirst: le.passRate(now, rq, i, First), passAfter: le.passRate(now, rq, i, AfterFailure),
+			cost:        ss.cost.value(float64(st.Cost), costPriorWeight),
+			meanLatency: ss.latency.value(assumedLatency.Seconds(), costPriorWeight),
+			latencies:   ss.latencies.values(),
 		}
-		if len(od.latencies) == 0 {
-			od.latencies = assumedLatencies
+		if len(exp.latencies) == 0 {
+			exp.latencies = assumedLatencies
 		}
-		ods[i] = od
+		ods[i] = exp
 	}
-	de, last := le.deficit(qu), &ods[len(ods)-1]
-	pr := pricing{secondPrice: float64(qu.LatencyPrice), tailLatency: de.tailLatency}
+	de, last := le.deficit(rq), &ods[len(ods)-1]
+	pr := pricing{secondPrice: float64(rq.LatencyPrice), tailLatency: de.tailLatency}
 	pr.answerValue = de.answerValue(now, last.cost+pr.latencyPrice(last, 0))
 	return ods, pr
 }
 
-func (le *Learner) passRate(now time.Time, qu *Request, stage int, pl Position) float64 {
-	es := &le.stage(now, qu, stage).passRates[pl]
+func (le *Learner) passRate(now time.Time, rq *Request, stage int, po Position) float64 {
+	es := &le.stage(now, rq, stage).passRates[po]
 	es.decay(now)
 	priorWeight := float64(firstPriorWeight)
-	if pl == AfterFailure {
+	if po == AfterFailure {
 		priorWeight = afterPriorWeight
 	}
-	return es.value(float64(qu.Stages[stage].DeclaredQuality), priorWeight)
+	return es.value(float64(rq.Stages[stage].DeclaredQuality), priorWeight)
 }
 
-func (le *Learner) deficit(qu *Request) *deficit {
-	key := deficitKey{qu.Workspace, qu.Cascade}
+func (le *Learner) deficit(rq *Request) *deficit {
+	key := deficitKey{rq.Workspace, rq.Cascade}
 	de := le.deficits[key]
 	if de == nil {
 		de = newDeficit()
@@ -210,25 +210,25 @@
 	return de
 }
 
-func (le *Learner) stage(now time.Time, qu *Request, stage int) *stageStats {
-	key := stageKey{qu.Workspace, qu.Cascade, qu.Class, qu.Stages[stage].Target}
-	ce := le.stages[key]
-	if ce == nil {
+func (le *Learner) stage(now time.Time, rq *Request, stage int) *stageStats {
+	key := stageKey{rq.Workspace, rq.Cascade, rq.Class, rq.Stages[stage].Target}
+	ss := le.stages[key]
+	if ss == nil {
 		if len(le.stages) >= maxStages {
 			le.evict(now)
 		}
-		ce = &stageStats{}
-		le.stages[key] = ce
+		ss = &stageStats{}
+		le.stages[key] = ss
 	}
-	ce.lastUsed = now
-	return ce
+	ss.lastUsed = now
+	return ss
 }
 
 // evict deletes the stages that were not used for 8 half-lives, and if that is not
 // enough, arbitrary ones. A deleted stage starts again from its declared values.
 func (le *Learner) evict(now time.Time) {
-	for key, ce := range le.stages {
-		if now.Sub(ce.lastUsed) > 8*halfLife {
+	for key, ss := range le.stages {
+		if now.Sub(ss.lastUsed) > 8*halfLife {
 			delete(le.stages, key)
 		}
 	}
--- a/core/cascade/plan.go
+++ b/core/cascade/plan.go
@@ -30,25 +30,25 @@
 // times its price in addition, as if all callers had waited for it. With a plain mean,
 // running both stages would look as good as running the costly one alone, since few
 // requests escalate; but those few have the latencies that callers notice.
-func (pr pricing) latencyPrice(od *expectation, elapsed float64) float64 {
+func (pr pricing) latencyPrice(exp *expectation, elapsed float64) float64 {
 	excess := 0.0
-	for _, latency := range od.latencies {
+	for _, latency := range exp.latencies {
 		excess += max(elapsed+latency-pr.tailLatency, 0) - max(elapsed-pr.tailLatency, 0)
 	}
-	return pr.secondPrice * (od.meanLatency + excess/float64(len(od.latencies))/tailShare)
+	return pr.secondPrice * (exp.meanLatency + excess/float64(len(exp.latencies))/tailShare)
 }
 
 // gain returns the expected gain of running stage i: its pass rate times the value of
 // a good answer, minus its cost and the price of its latency, plus, if it fails, the
 // gain of the best stage after it.
-func (pr pricing) gain(ods []expectation, i int, pl Position, elapsed float64) float64 {
-	od := &ods[i]
-	pass := od.passFirst
-	if pl == AfterFailure {
-		pass = od.passAfter
+func (pr pricing) gain(ods []expectation, i int, po Position, elapsed float64) float64 {
+	exp := &ods[i]
+	pass := exp.passFirst
+	if po == AfterFailure {
+		pass = exp.passAfter
 	}
-	_, nextGain := pr.next(ods, i, elapsed+od.meanLatency)
-	return pr.answerValue*pass - od.cost - pr.latencyPrice(od, elapsed) + (1-pass)*nextGain
+	_, nextGain := pr.next(ods, i, elapsed+exp.meanLatency)
+	return pr.answerValue*pass - exp.cost - pr.latencyPrice(exp, elapsed) + (1-pass)*nextGain
 }
 
 // noStage is returned instead of a stage if no further one is worth running.
--- a/core/cascade/request.go
+++ b/core/cascade/request.go
@@ -50,13 +50,13 @@
 // The rating service may be down or slow. A cascade that kept waiting for it would add
 // its timeout to every answer, and one that accepted unrated cheap answers would miss
 // the target unnoticed until the service is back.
-func (qu *Request) Fallback() int {
+func (rq *Request) Fallback() int {
 	best := 0
-	for i, st := range qu.Stages {
-		if st.DeclaredQuality >= qu.Target {
+	for i, st := range rq.Stages {
+		if st.DeclaredQuality >= rq.Target {
 			return i
 		}
-		if st.DeclaredQuality > qu.Stages[best].DeclaredQuality {
+		if st.DeclaredQuality > rq.Stages[best].DeclaredQuality {
 			best = i
 		}
 	}
--- a/core/cascade/simulation_test.go
+++ b/core/cascade/simulation_test.go
@@ -47,26 +47,26 @@
 	rnd := rand.New(rand.NewPCG(seed, 5))
 	requests := make([]request, n)
 	for i := range requests {
-		as := request{class: 2}
+		req := request{class: 2}
 		switch u := rnd.Float64(); {
 		case u < classes[0].share:
-			as.class = 0
+			req.class = 0
 		case u < classes[0].share+classes[1].share:
-			as.class = 1
+			req.class = 1
 		}
-		ki, own := classes[as.class], rnd.Float64()
+		rc, own := classes[req.class], rnd.Float64()
 		for st := range 2 {
 			hard := own
 			if rnd.Float64() < 0.5 {
 				hard = rnd.Float64()
 			}
 			size := math.Exp(0.2 * rnd.NormFloat64())
-			as.good[st] = hard < ki.passRates[st]
-			as.cost[st] = core.Millicents(float64(ki.cost[st]) * size)
-			as.latency[st] = time.Duration(float64(ki.latency[st]) * size)
+			req.good[st] = hard < rc.passRates[st]
+			req.cost[st] = core.Millicents(float64(rc.cost[st]) * size)
+			req.latency[st] = time.Duration(float64(rc.latency[st]) * size)
 		}
-		as.ratingDelay = time.Duration(30+rnd.IntN(60)) * time.Millisecond
-		requests[i] = as
+		req.ratingDelay = time.Duration(30+rnd.IntN(60)) * time.Millisecond
+		requests[i] = req
 	}
 	return requests
 }
@@ -108,12 +108,12 @@
 	le, lo, re := cascade.NewLearner(), &eventqueue.Queue{}, &result{}
 	rnd := rand.New(rand.NewPCG(seed, 6))
 	now := time.Unix(1_000_000, 0)
-	for _, as := range requests {
+	for _, req := range requests {
 		now = now.Add(time.Duration(rnd.ExpFloat64() * float64(50*time.Millisecond)))
 		began := now
 		lo.Schedule(began, func(at time.Time) {
-			wk := &execution{le: le, lo: lo, re: re, as: as, qu: newRequest(as.class, target, price), began: began, rnd: rnd}
-			wk.stage(at, le.Start(at, wk.qu, rnd.Float64()), cascade.First)
+			ex := &execution{le: le, lo: lo, re: re, req: req, rq: newRequest(req.class, target, price), began: began, rnd: rnd}
+			ex.stage(at, le.Start(at, ex.rq, rnd.Float64()), cascade.First)
 		})
 	}
 	lo.Run()
@@ -125,28 +125,28 @@
 	le    *cascade.Learner
 	lo    *eventqueue.Queue
 	re    *result
-	as    request
-	qu    *cascade.Request
+	req   request
+	rq    *cascade.Request
 	began time.Time
 	cost  core.Millicents
 	rnd   *rand.Rand
 }
 
-func (wk *execution) stage(at time.Time, de cascade.Decision, pl cascade.Position) {
-	wk.lo.Schedule(at.Add(wk.as.latency[de.Stage]), func(at time.Time) {
-		wk.cost += wk.as.cost[de.Stage]
-		wk.le.RecordRun(at, wk.qu, de.Stage, wk.as.cost[de.Stage], wk.as.latency[de.Stage])
+func (ex *execution) stage(at time.Time, de cascade.Decision, po cascade.Position) {
+	ex.lo.Schedule(at.Add(ex.req.latency[de.Stage]), func(at time.Time) {
+		ex.cost += ex.req.cost[de.Stage]
+		ex.le.RecordRun(at, ex.rq, de.Stage, ex.req.cost[de.Stage], ex.req.latency[de.Stage])
 		if !de.Final {
-			wk.lo.Schedule(at.Add(wk.as.ratingDelay), func(at time.Time) { wk.rated(at, de, pl) })
+			ex.lo.Schedule(at.Add(ex.req.ratingDelay), func(at time.Time) { ex.rated(at, de, po) })
 			return
 		}
-		wk.finish(at, de.Stage)
-		expected := wk.le.Expected(at, wk.qu, de.Stage, pl)
-		wk.le.RecordResult(wk.qu, expected, at.Sub(wk.began))
-		if wk.rnd.Float64() < sampleShare {
-			wk.lo.Schedule(at.Add(wk.as.ratingDelay), func(at time.Time) {
-				wk.le.RecordRating(at, wk.qu, de.Stage, pl, wk.rating(de.Stage))
-				wk.le.RecordSampledRating(wk.qu, expected, wk.rating(de.Stage), sampleShare)
+		ex.finish(at, de.Stage)
+		expected := ex.le.Expected(at, ex.rq, de.Stage, po)
+		ex.le.RecordResult(ex.rq, expected, at.Sub(ex.began))
+		if ex.rnd.Float64() < sampleShare {
+			ex.lo.Schedule(at.Add(ex.req.ratingDelay), func(at time.Time) {
+				ex.le.RecordRating(at, ex.rq, de.Stage, po, ex.rating(de.Stage))
+				ex.le.RecordSampledRating(ex.rq, expected, ex.rating(de.Stage), sampleShare)
 			})
 		}
 	})
@@ -155,24 +155,24 @@
 // sampleShare is the fraction of final answers that is rated.
 const sampleShare = 0.3
 
-func (wk *execution) rating(stage int) core.Quality {
-	if wk.as.good[stage] {
+func (ex *execution) rating(stage int) core.Quality {
+	if ex.req.good[stage] {
 		return 1
 	}
 	return 0
 }
 
-func (wk *execution) rated(at time.Time, de cascade.Decision, pl cascade.Position) {
-	got := wk.rating(de.Stage)
-	wk.le.RecordRating(at, wk.qu, de.Stage, pl, got)
-	if next, more := wk.le.Next(at, wk.qu, de.Stage, got, at.Sub(wk.began)); more {
-		wk.stage(at, next, cascade.AfterFailure)
+func (ex *execution) rated(at time.Time, de cascade.Decision, po cascade.Position) {
+	got := ex.rating(de.Stage)
+	ex.le.RecordRating(at, ex.rq, de.Stage, po, got)
+	if next, more := ex.le.Next(at, ex.rq, de.Stage, got, at.Sub(ex.began)); more {
+		ex.stage(at, next, cascade.AfterFailure)
 		return
 	}
-	wk.le.RecordResult(wk.qu, got, at.Sub(wk.began))
-	wk.finish(at, de.Stage)
+	ex.le.RecordResult(ex.rq, got, at.Sub(ex.began))
+	ex.finish(at, de.Stage)
 }
 
-func (wk *execution) finish(at time.Time, stage int) {
-	wk.re.add(wk.cost, wk.as.good[stage], at.Sub(wk.began))
+func (ex *execution) finish(at time.Time, stage int) {
+	ex.re.add(ex.cost, ex.req.good[stage], at.Sub(ex.began))
 }
--- a/core/dispatch/shared_picker.go
+++ b/core/dispatch/shared_picker.go
@@ -80,7 +80,7 @@
 }
 
 func poolOf(at *core.Attempt) placement.Pool {
-	return placement.Pool{Target: at.Target, Service: at.Service, Whole: !at.Stream}
+	return placement.Pool{Target: at.Target, Service: at.Service, Unstreamed: !at.Stream}
 }
 
 // send dispatches an attempt and records the time until its answer starts.
@@ -121,12 +121,12 @@
 		wa.pl.mu.Lock()
 		wa.pl.pk.ChargeCrossRegion(time.Now(), len(data))
 		wa.pl.mu.Unlock()
-	case errors.Is(err, io.EOF) && wa.po.Whole:
+	case errors.Is(err, io.EOF) && wa.po.Unstreamed:
 		if out := int(wa.Usage().Generated); out >= placement.MinMeasuredTokens {
 			wa.recordPieces(time.Since(wa.sent), out)
 		}
 	}
-	if err == nil && !wa.po.Whole && wa.pieces == placement.MeasuredPieces+1 {
+	if err == nil && !wa.po.Unstreamed && wa.pieces == placement.MeasuredPieces+1 {
 		wa.recordPieces(time.Since(wa.began), placement.MeasuredPieces)
 	}
 	return data, err
--- a/core/escalation/escalation.go
+++ b/core/escalation/escalation.go
@@ -17,10 +17,10 @@
 //
 // # Usage
 //
-//	la := escalation.New()
-//	la.ObserveWait(wait, target)                         // at each first event
-//	next, escalate := la.Next(stages, stage, confidence, fits)
-//	la.ObserveEscalation(stage, confidence, next, answered)  // the larger model's confidence
+//	po := escalation.New()
+//	po.ObserveWait(wait, target)                         // at each first event
+//	next, escalate := po.Next(stages, stage, confidence, fits)
+//	po.ObserveEscalation(stage, confidence, next, answered)  // the larger model's confidence
 package escalation
 
 import (
@@ -85,32 +85,32 @@
 type Option func(*Policy)
 
 // Without disables mechanisms.
-func Without(off mechanism.Disabled) Option { return func(la *Policy) { la.off = off } }
+func Without(off mechanism.Disabled) Option { return func(po *Policy) { po.off = off } }
 
 // New returns a Policy.
 func New(opts ...Option) *Policy {
-	la := &Policy{pressure: (lowPressure + highPressure) / 2, outcomes: map[step]*[buckets]successes{}}
+	po := &Policy{pressure: (lowPressure + highPressure) / 2, outcomes: map[step]*[buckets]successes{}}
 	for _, opt := range opts {
-		opt(la)
+		opt(po)
 	}
-	return la
+	return po
 }
 
 // ObserveWait records how long a caller waited for its first event, without the prefill of its own
 // prompt, and the target latency.
-func (la *Policy) ObserveWait(wait, target time.Duration) {
+func (po *Policy) ObserveWait(wait, target time.Duration) {
 	if target <= 0 {
 		return
 	}
-	la.pressure += newestWeight * (min(float64(wait)/float64(target), maxWaitTargets) - la.pressure)
+	po.pressure += newestWeight * (min(float64(wait)/float64(target), maxWaitTargets) - po.pressure)
 }
 
 // Threshold returns the minimum confidence to return an answer now.
-func (la *Policy) Threshold() float64 {
-	if la.off.Has(mechanism.PressureThreshold) {
+func (po *Policy) Threshold() float64 {
+	if po.off.Has(mechanism.PressureThreshold) {
 		return idleThreshold
 	}
-	fraction := min(max((la.pressure-lowPressure)/(highPressure-lowPressure), 0), 1)
+	fraction := min(max((po.pressure-lowPressure)/(highPressure-lowPressure), 0), 1)
 	return idleThreshold - fraction*(idleThreshold-loadedThreshold)
 }
 
@@ -121,13 +121,13 @@
 // The largest model needs several times the target latency for a very long prompt, and keeps the
 // engine from other requests for as long. Such a request escalates to the largest model that
 // fits; if none does, the present answer is returned.
-func (la *Policy) Next(stages, stage, confidence int, fits func(to int) bool) (int, bool) {
+func (po *Policy) Next(stages, stage, confidence int, fits func(to int) bool) (int, bool) {
 	last := stages - 1
-	if stage >= last || float64(confidence) >= la.Threshold() {
+	if stage >= last || float64(confidence) >= po.Threshold() {
 		return stage, false
 	}
 	for to := stage + 1; to < last; to++ {
-		if la.suffices(step{stage, to}, confidence) && fits(to) {
+		if po.suffices(step{stage, to}, confidence) && fits(to) {
 			return to, true
 		}
 	}
@@ -141,35 +141,35 @@
 
 // ObserveEscalation records the confidence of a larger model's answer after an escalation from a
 // smaller one.
-func (la *Policy) ObserveEscalation(from, confidence, to, answered int) {
-	sh := la.successesOf(step{from, to}, confidence)
-	if sh.all >= maxWeight {
-		sh.good *= 1 - 1/maxWeight
-		sh.all *= 1 - 1/maxWeight
+func (po *Policy) ObserveEscalation(from, confidence, to, answered int) {
+	su := po.successesOf(step{from, to}, confidence)
+	if su.all >= maxWeight {
+		su.good *= 1 - 1/maxWeight
+		su.all *= 1 - 1/maxWeight
 	}
-	sh.all++
+	su.all++
 	if float64(answered) >= idleThreshold {
-		sh.good++
+		su.good++
 	}
 }
 
-func (la *Policy) suffices(st step, confidence int) bool {
-	if la.off.Has(mechanism.IntermediateModels) {
+func (po *Policy) suffices(st step, confidence int) bool {
+	if po.off.Has(mechanism.IntermediateModels) {
 		return false
 	}
-	sh := la.successesOf(st, confidence)
+	su := po.successesOf(st, confidence)
 	prior := unlikelyPrior
 	if bucket(confidence) >= likelyBucket {
 		prior = likelyPrior
 	}
-	return (sh.good+priorWeight*prior)/(sh.all+priorWeight) >= minSuccessRate
+	return (su.good+priorWeight*prior)/(su.all+priorWeight) >= minSuccessRate
 }
 
-func (la *Policy) successesOf(st step, confidence int) *successes {
-	row := la.outcomes[st]
+func (po *Policy) successesOf(st step, confidence int) *successes {
+	row := po.outcomes[st]
 	if row == nil {
 		row = new([buckets]successes)
-		la.outcomes[st] = row
+		po.outcomes[st] = row
 	}
 	return &row[bucket(confidence)]
 }
--- a/core/escalation/escalation_test.go
+++ b/core/escalation/escalation_test.go
@@ -12,9 +12,9 @@
 
 func always(int) bool { return true }
 
-func observeWaits(la *escalation.Policy, fraction float64) {
+func observeWaits(po *escalation.Policy, fraction float64) {
 	for range 100 {
-		la.ObserveWait(time.Duration(fraction*float64(4*time.Second)), 4*time.Second)
+		po.ObserveWait(time.Duration(fraction*float64(4*time.Second)), 4*time.Second)
 	}
 }
 
@@ -22,28 +22,28 @@
 // still escalate to the largest model: all callers would wait, also those whose small answer was
 // good. Once the engines have free slots, such answers must escalate again.
 func TestThresholdFollowsPressure(t *testing.T) {
-	la := escalation.New()
-	observeWaits(la, 0.1)
-	idle := la.Threshold()
-	_, escalate := la.Next(2, 0, 45, always)
+	po := escalation.New()
+	observeWaits(po, 0.1)
+	idle := po.Threshold()
+	_, escalate := po.Next(2, 0, 45, always)
 	assert.Assert(t, escalate, "a low-confidence answer escalates while the engines have free slots")
-	observeWaits(la, 1.5)
-	_, escalate = la.Next(2, 0, 45, always)
+	observeWaits(po, 1.5)
+	_, escalate = po.Next(2, 0, 45, always)
 	assert.Assert(t, !escalate, "it is returned under pressure")
-	_, escalate = la.Next(2, 0, 3, always)
+	_, escalate = po.Next(2, 0, 3, always)
 	assert.Assert(t, escalate, "an answer with hardly any confidence still escalates")
-	assert.Assert(t, la.Threshold() < idle/3)
-	observeWaits(la, 0.1)
-	assert.Assert(t, la.Threshold() > 0.95*idle)
+	assert.Assert(t, po.Threshold() < idle/3)
+	observeWaits(po, 0.1)
+	assert.Assert(t, po.Threshold() > 0.95*idle)
 }
 
 // One answer waits for a minute because its engine was lost. Guards against other callers that
 // get answers of smaller models because of this one wait.
 func TestOneLateAnswerIsNoPressure(t *testing.T) {
-	la := escalation.New()
-	observeWaits(la, 0.1)
-	la.ObserveWait(time.Minute, 4*time.Second)
-	_, escalate := la.Next(2, 0, 35, always)
+	po := escalation.New()
+	observeWaits(po, 0.1)
+	po.ObserveWait(time.Minute, 4*time.Second)
+	_, escalate := po.Next(2, 0, 35, always)
 	assert.Assert(t, escalate)
 }
 
@@ -51,13 +51,13 @@
 // where it was much too low. Choosing it where it fails delays its callers; not choosing it
 // where it suffices costs the engines the largest model's time.
 func TestMiddleModelWhereItSuffices(t *testing.T) {
-	la := escalation.New()
-	observeWaits(la, 0.1)
+	po := escalation.New()
+	observeWaits(po, 0.1)
 	rnd := rand.New(rand.NewPCG(1, 1))
 	wasted, saved, sufficient := 0, 0, 0
 	for range 2000 {
 		confidence := rnd.IntN(50)
-		to, escalate := la.Next(3, 0, confidence, always)
+		to, escalate := po.Next(3, 0, confidence, always)
 		assert.Assert(t, escalate)
 		suffices := confidence >= 40 || confidence >= 30 && rnd.Float64() < 0.5
 		if suffices {
@@ -72,23 +72,22 @@
 		} else {
 			wasted++
 		}
-		la.ObserveEscalation(0, confidence, to, answered)
+		po.ObserveEscalation(0, confidence, to, answered)
 	}
 	assert.Assert(t, saved > sufficient*8/10, "the middle model answered %d of the %d requests for which it suffices", saved, sufficient)
 	assert.Assert(t, wasted < 260, "%d escalations to a middle model that did not suffice, of which about 200 where it suffices half of the time", wasted)
 }
 
-// A prompt is so long that the largest model would miss the target latency, and keep its engine
-// from other requests for as long. The largest model that fits must answer, or the present
-// answer is returned.
+// A prompt is so long that the largest model would miss the target latency and occupy its engine for
+// that time. The largest model that fits must answer, or the present answer is returned.
 func TestModelThatMissesTheTarget(t *testing.T) {
-	la := escalation.New()
-	observeWaits(la, 0.1)
-	to, escalate := la.Next(3, 0, 5, func(to int) bool { return to < 2 })
+	po := escalation.New()
+	observeWaits(po, 0.1)
+	to, escalate := po.Next(3, 0, 5, func(to int) bool { return to < 2 })
 	assert.Assert(t, escalate)
 	assert.Equal(t, to, 1)
-	_, escalate = la.Next(3, 0, 5, func(int) bool { return false })
+	_, escalate = po.Next(3, 0, 5, func(int) bool { return false })
 	assert.Assert(t, !escalate)
-	_, escalate = la.Next(3, 2, 5, always)
+	_, escalate = po.Next(3, 2, 5, always)
 	assert.Assert(t, !escalate, "no model is larger than the largest")
 }
--- a/core/placement/affinity.go
+++ b/core/placement/affinity.go
@@ -33,10 +33,10 @@
 // prefix, and whether to use it: it must be neither slow nor much more loaded than
 // the others. There is no table of cached prefixes, since the engines' cache
 // events arrive late and with gaps; all entries agree on the hash without them.
-func (pk *Picker) pickByPrefix(fi *candidateSet, prefix uint64) (int, bool) {
+func (pk *Picker) pickByPrefix(cs *candidateSet, prefix uint64) (int, bool) {
 	best, topScore := -1, uint64(0)
-	for _, at := range fi.local[:fi.localCount] {
-		up := &fi.cands[at]
+	for _, at := range cs.local[:cs.localCount] {
+		up := &cs.cands[at]
 		if up.IDHash == 0 {
 			up.IDHash = Hash(up.Host.ID)
 		}
@@ -45,8 +45,8 @@
 			best, topScore = int(at), score
 		}
 	}
-	lo, probe := pk.load(fi, best)
-	return best, !probe && lo <= affinityMaxLoad && lo <= max(affinityMaxOverMean*fi.mean, affinityMinLoad)
+	lo, probe := pk.load(cs, best)
+	return best, !probe && lo <= affinityMaxLoad && lo <= max(affinityMaxOverMean*cs.mean, affinityMinLoad)
 }
 
 // affinityMinLoad is the load up to which affinity always applies: the mean load
--- a/core/placement/cross_region.go
+++ b/core/placement/cross_region.go
@@ -51,14 +51,14 @@
 // would be refused, or has lost all its upstreams, while another region has free
 // capacity. The budget bounds the cost, and keeps the traffic of the store and of
 // the configuration, which share the link, from queueing behind responses.
-func (pk *Picker) pickCrossRegion(fi *candidateSet, rq Request, draw func(n int) int, maxLoad float64) (Choice, bool) {
-	if fi.remoteCount == 0 || !pk.HasCrossRegionBudget(fi.now, rq.Body) {
+func (pk *Picker) pickCrossRegion(cs *candidateSet, rq Request, draw func(n int) int, maxLoad float64) (Choice, bool) {
+	if cs.remoteCount == 0 || !pk.HasCrossRegionBudget(cs.now, rq.Body) {
 		return Choice{}, false
 	}
-	ix, load := pk.twoChoices(fi, fi.remote[:fi.remoteCount], draw, max(maxLoad, freeSlotLoad))
+	ix, load := pk.twoChoices(cs, cs.remote[:cs.remoteCount], draw, max(maxLoad, freeSlotLoad))
 	if maxLoad > 0 && load > maxLoad {
 		return Choice{}, false
 	}
-	pk.ChargeCrossRegion(fi.now, rq.Body)
-	return Choice{ID: fi.cands[ix].Host.ID, CrossRegion: true}, true
+	pk.ChargeCrossRegion(cs.now, rq.Body)
+	return Choice{ID: cs.cands[ix].Host.ID, CrossRegion: true}, true
 }
--- a/core/placement/outlier.go
+++ b/core/placement/outlier.go
@@ -20,7 +20,7 @@
 // upstreamStats holds the observations of one upstream.
 type upstreamStats struct {
 	// slowdown is the moving average of its time per piece as a multiple of the pool's
-	// mean, so that streamed and whole responses can be averaged together.
+	// mean, so that streamed and unstreamed responses can be averaged together.
 	slowdown   float64
 	markedSlow bool
 	pending    int
@@ -65,29 +65,29 @@
 	// piece of a response is measured: few enough to detect a slow upstream before
 	// its responses end, and enough that a single late packet has little effect.
 	MeasuredPieces = 8
-	// MinMeasuredTokens is the length, in tokens, of the shortest whole response whose time
+	// MinMeasuredTokens is the length, in tokens, of the shortest unstreamed response whose time
 	// per token is measured. It includes the time to first token, so a short response
 	// would make its upstream look slow.
 	MinMeasuredTokens = 64
 )
 
 func (pk *Picker) pool(po Pool) *poolStats {
-	pl := pk.pools[po]
-	if pl == nil {
-		pl = new(poolStats)
-		pk.pools[po] = pl
+	ps := pk.pools[po]
+	if ps == nil {
+		ps = new(poolStats)
+		pk.pools[po] = ps
 	}
-	return pl
+	return ps
 }
 
 func (pk *Picker) upstream(id core.UpstreamID) *upstreamStats {
-	pe := pk.upstreams[id]
-	if pe == nil {
+	us := pk.upstreams[id]
+	if us == nil {
 		pk.evictIdle()
-		pe = &upstreamStats{slowdown: 1}
-		pk.upstreams[id] = pe
+		us = &upstreamStats{slowdown: 1}
+		pk.upstreams[id] = us
 	}
-	return pe
+	return us
 }
 
 // maxUpstreams bounds the number of upstreamStats. Replaced hosts get new ids, so
@@ -100,8 +100,8 @@
 	if len(pk.upstreams) < maxUpstreams {
 		return
 	}
-	for id, pe := range pk.upstreams {
-		if pe.pending == 0 && !pe.markedSlow {
+	for id, us := range pk.upstreams {
+		if us.pending == 0 && !us.markedSlow {
 			delete(pk.upstreams, id)
 		}
 	}
@@ -109,19 +109,19 @@
 
 // RecordSent records that an attempt was sent to an upstream.
 func (pk *Picker) RecordSent(now time.Time, id core.UpstreamID) {
-	pe := pk.upstream(id)
-	if pe.pending == 0 {
-		pe.since = now
+	us := pk.upstream(id)
+	if us.pending == 0 {
+		us.since = now
 	}
-	pe.pending++
+	us.pending++
 }
 
 // RecordFirstPiece records the first piece of the response to an attempt sent at a given time.
 func (pk *Picker) RecordFirstPiece(now time.Time, po Pool, id core.UpstreamID, sent time.Time) {
-	pl, pe := pk.pool(po), pk.upstream(id)
-	pe.pending = max(pe.pending-1, 0)
-	pe.since = now
-	pl.firstPieceSeconds.observe(now.Sub(sent).Seconds(), maxAnswerRatio)
+	ps, us := pk.pool(po), pk.upstream(id)
+	us.pending = max(us.pending-1, 0)
+	us.since = now
+	ps.firstPieceSeconds.observe(now.Sub(sent).Seconds(), maxAnswerRatio)
 }
 
 // movingMean is a moving average; it is unknown while count is 0.
@@ -133,54 +133,54 @@
 // observe adds a value, bounded to maxRatio times the mean. The first values have
 // equal weights: if the very first one dominated, a pool that uses its slow upstream
 // first would take that for normal.
-func (me *movingMean) observe(val, maxRatio float64) {
-	if me.count == 0 {
-		me.val = val
+func (mm *movingMean) observe(val, maxRatio float64) {
+	if mm.count == 0 {
+		mm.val = val
 	}
-	me.count++
-	me.val += max(poolSmoothing, 1/float64(me.count)) * (min(val, maxRatio*me.val) - me.val)
+	mm.count++
+	mm.val += max(poolSmoothing, 1/float64(mm.count)) * (min(val, maxRatio*mm.val) - mm.val)
 }
 
 // RecordPieces records the time that a number of pieces of a response took after the first.
 // The time to the first piece depends more on an upstream's queue than on its speed:
 // in a full pool, every upstream would look slow.
 func (pk *Picker) RecordPieces(po Pool, id core.UpstreamID, took time.Duration, pieces int) {
-	pl, pe := pk.pool(po), pk.upstream(id)
+	ps, us := pk.pool(po), pk.upstream(id)
 	perPiece := max(took.Seconds(), 1e-6) / float64(max(pieces, 1))
 	ratio := 1.0
-	if pl.secondsPerPiece.count > 0 {
-		ratio = min(perPiece/pl.secondsPerPiece.val, maxAnswerRatio)
+	if ps.secondsPerPiece.count > 0 {
+		ratio = min(perPiece/ps.secondsPerPiece.val, maxAnswerRatio)
 	}
 	weight := smoothing
-	if pe.markedSlow && ratio < pe.slowdown {
+	if us.markedSlow && ratio < us.slowdown {
 		weight = recoverySmoothing
 	}
-	pe.slowdown += weight * (ratio - pe.slowdown)
+	us.slowdown += weight * (ratio - us.slowdown)
 	// An upstream marked slow does not affect the pool's mean; otherwise its speed
 	// would soon count as normal.
-	if !pe.markedSlow {
-		pl.secondsPerPiece.observe(perPiece, maxPoolRatio)
+	if !us.markedSlow {
+		ps.secondsPerPiece.observe(perPiece, maxPoolRatio)
 	}
-	pl.updateSlow(pe)
+	ps.updateSlow(us)
 }
 
-func (pl *poolStats) updateSlow(pe *upstreamStats) {
+func (ps *poolStats) updateSlow(us *upstreamStats) {
 	switch {
-	case pe.slowdown > slowRatio && !pe.markedSlow:
-		pe.markedSlow = true
-		pl.slowCount++
-	case pe.slowdown < recoveredRatio && pe.markedSlow:
-		pe.markedSlow = false
-		pl.slowCount--
+	case us.slowdown > slowRatio && !us.markedSlow:
+		us.markedSlow = true
+		ps.slowCount++
+	case us.slowdown < recoveredRatio && us.markedSlow:
+		us.markedSlow = false
+		ps.slowCount--
 	}
 }
 
 // RecordFailure records that an attempt that was sent got no response. It does not affect
 // the measured speed, since refusals arrive fast.
 func (pk *Picker) RecordFailure(now time.Time, id core.UpstreamID) {
-	pe := pk.upstream(id)
-	pe.pending = max(pe.pending-1, 0)
-	pe.since = now
+	us := pk.upstream(id)
+	us.pending = max(us.pending-1, 0)
+	us.since = now
 }
 
 // isSlow reports whether an upstream is to be avoided.
@@ -191,22 +191,22 @@
 //
 // If many upstreams are slow, the cause is the load: avoiding them would move all of
 // it to the rest, which would then become slow too.
-func (pe *upstreamStats) isSlow(now time.Time, pl *poolStats) bool {
-	if pl.slowCount > max(pl.size/maxSlowDivisor, 1) {
+func (us *upstreamStats) isSlow(now time.Time, ps *poolStats) bool {
+	if ps.slowCount > max(ps.size/maxSlowDivisor, 1) {
 		return false
 	}
-	if pe.markedSlow {
+	if us.markedSlow {
 		return true
 	}
-	return pe.pending > 0 && pl.firstPieceSeconds.count > 0 && now.Sub(pe.since).Seconds() > silenceFactor*pl.firstPieceSeconds.val
+	return us.pending > 0 && ps.firstPieceSeconds.count > 0 && now.Sub(us.since).Seconds() > silenceFactor*ps.firstPieceSeconds.val
 }
 
 // tryProbe reports whether the attempt is to probe a slow upstream. If so, it
 // schedules the pool's next probe.
-func (pe *upstreamStats) tryProbe(now time.Time, pl *poolStats) bool {
-	if pe.pending > 0 || pl.picks-pl.lastProbePick < probePicks && now.Sub(pl.lastProbe) < probeInterval {
+func (us *upstreamStats) tryProbe(now time.Time, ps *poolStats) bool {
+	if us.pending > 0 || ps.picks-ps.lastProbePick < probePicks && now.Sub(ps.lastProbe) < probeInterval {
 		return false
 	}
-	pl.lastProbePick, pl.lastProbe = pl.picks, now
+	ps.lastProbePick, ps.lastProbe = ps.picks, now
 	return true
 }
--- a/core/placement/placement.go
+++ b/core/placement/placement.go
@@ -30,9 +30,9 @@
 type Pool struct {
 	Target  core.ModelVersion
 	Service core.ServiceID
-	// Whole is set for attempts whose response arrives in one piece. Their first
+	// Unstreamed is set for attempts whose response arrives in one piece. Their first
 	// piece arrives late, so their times are kept apart from streamed ones.
-	Whole bool
+	Unstreamed bool
 }
 
 // Request describes the attempt to place.
@@ -95,7 +95,7 @@
 	MaxSubset = 64
 	// zoneMaxLoad is the load above which the local availability zone is no longer
 	// preferred. The latency between zones of a region is low, so the preference
-	// saves little, while a full zone next to an idle one costs a whole wait.
+	// saves little, while a full zone next to an idle one costs a full wait.
 	zoneMaxLoad = 0.75
 	// freeSlotLoad is the load up to which an upstream has a slot for the attempt.
 	freeSlotLoad = 1.0
@@ -112,7 +112,7 @@
 // arrays avoid allocations.
 type candidateSet struct {
 	cands       []core.Upstream
-	pl          *poolStats
+	ps          *poolStats
 	now         time.Time
 	mean        float64
 	local       [MaxSubset]uint8
@@ -129,26 +129,26 @@
 // Each entry sees only its own attempts and old load reports. If all entries took
 // the least loaded upstream of the last report, they would all take the same one.
 func (pk *Picker) Pick(now time.Time, rq Request, cands []core.Upstream, draw func(n int) int) (Choice, bool) {
-	fi := candidateSet{cands: cands[:min(len(cands), MaxSubset)], pl: pk.pool(rq.Pool), now: now}
-	pk.classify(&fi, rq.Tried)
-	fi.pl.picks++
-	fi.pl.size = fi.localCount + fi.remoteCount
-	if fi.localCount == 0 {
-		return pk.pickCrossRegion(&fi, rq, draw, 0)
+	cs := candidateSet{cands: cands[:min(len(cands), MaxSubset)], ps: pk.pool(rq.Pool), now: now}
+	pk.classify(&cs, rq.Tried)
+	cs.ps.picks++
+	cs.ps.size = cs.localCount + cs.remoteCount
+	if cs.localCount == 0 {
+		return pk.pickCrossRegion(&cs, rq, draw, 0)
 	}
 	if rq.CrossRegion {
-		if ch, ok := pk.pickCrossRegion(&fi, rq, draw, freeSlotLoad); ok {
+		if ch, ok := pk.pickCrossRegion(&cs, rq, draw, freeSlotLoad); ok {
 			return ch, true
 		}
 	}
 	if rq.Prefix != 0 {
-		if ix, ok := pk.pickByPrefix(&fi, rq.Prefix); ok {
+		if ix, ok := pk.pickByPrefix(&cs, rq.Prefix); ok {
 			return Choice{ID: cands[ix].Host.ID}, true
 		}
 	}
-	best, load := pk.twoChoices(&fi, fi.local[:fi.zoneCount], draw, zoneMaxLoad)
-	if load > zoneMaxLoad && fi.zoneCount < fi.localCount {
-		other, lo := pk.twoChoices(&fi, fi.local[:fi.localCount], draw, freeSlotLoad)
+	best, load := pk.twoChoices(&cs, cs.local[:cs.zoneCount], draw, zoneMaxLoad)
+	if load > zoneMaxLoad && cs.zoneCount < cs.localCount {
+		other, lo := pk.twoChoices(&cs, cs.local[:cs.localCount], draw, freeSlotLoad)
 		if lo < load {
 			best = other
 		}
@@ -159,30 +159,30 @@
 // classify groups the available candidates by distance and computes the region's
 // mean load. Available upstreams are those with a working link that are not leaving
 // and that were not tried already.
-func (pk *Picker) classify(fi *candidateSet, tried []core.UpstreamID) {
+func (pk *Picker) classify(cs *candidateSet, tried []core.UpstreamID) {
 	var slots, work int
-	for ix := range fi.cands {
-		up := &fi.cands[ix]
+	for ix := range cs.cands {
+		up := &cs.cands[ix]
 		if !up.Connected || up.Leaving || len(tried) > 0 && slices.Contains(tried, up.Host.ID) {
 			continue
 		}
 		if up.Host.Region != pk.region {
-			fi.remote[fi.remoteCount] = uint8(ix)
-			fi.remoteCount++
+			cs.remote[cs.remoteCount] = uint8(ix)
+			cs.remoteCount++
 			continue
 		}
 		slots += max(up.Load.Slots, 1)
 		work += max(up.Load.Running+up.Load.Queued-up.OwnAtReport, 0) + up.OwnAttempts
-		fi.local[fi.localCount] = uint8(ix)
+		cs.local[cs.localCount] = uint8(ix)
 		if up.Host.Zone == pk.zone {
 			// Moves upstreams of the local availability zone to the front.
-			fi.local[fi.localCount], fi.local[fi.zoneCount] = fi.local[fi.zoneCount], uint8(ix)
-			fi.zoneCount++
+			cs.local[cs.localCount], cs.local[cs.zoneCount] = cs.local[cs.zoneCount], uint8(ix)
+			cs.zoneCount++
 		}
-		fi.localCount++
+		cs.localCount++
 	}
 	if slots > 0 {
-		fi.mean = float64(work) / float64(slots)
+		cs.mean = float64(work) / float64(slots)
 	}
 }
 
@@ -190,7 +190,7 @@
 // is at most maxLoad, and returns the least loaded one seen. A slow upstream that is
 // due for a probe is returned at once with load 0. Without candidates it returns -1
 // and noCandidateLoad.
-func (pk *Picker) twoChoices(fi *candidateSet, among []uint8, draw func(n int) int, maxLoad float64) (best int, load float64) {
+func (pk *Picker) twoChoices(cs *candidateSet, among []uint8, draw func(n int) int, maxLoad float64) (best int, load float64) {
 	best, load = -1, noCandidateLoad
 	for range maxDraws {
 		if len(among) == 0 || load <= maxLoad {
@@ -203,7 +203,7 @@
 		}
 		for _, at := range [2]int{one, two} {
 			ix := int(among[at])
-			lo, probe := pk.load(fi, ix)
+			lo, probe := pk.load(cs, ix)
 			if probe {
 				return ix, 0
 			}
@@ -225,14 +225,14 @@
 // load returns the fraction of an upstream's slots that is in use once the attempt
 // runs there, plus slowPenalty if the upstream is slow; and whether the attempt is
 // to probe whether it is still slow.
-func (pk *Picker) load(fi *candidateSet, ix int) (lo float64, probe bool) {
-	up := &fi.cands[ix]
-	lo = utilisation(fi.now, up, fi.mean)
-	pe := pk.upstreams[up.Host.ID]
-	if pe == nil || !pe.isSlow(fi.now, fi.pl) {
+func (pk *Picker) load(cs *candidateSet, ix int) (lo float64, probe bool) {
+	up := &cs.cands[ix]
+	lo = utilisation(cs.now, up, cs.mean)
+	us := pk.upstreams[up.Host.ID]
+	if us == nil || !us.isSlow(cs.now, cs.ps) {
 		return lo, false
 	}
-	if pe.tryProbe(fi.now, fi.pl) {
+	if us.tryProbe(cs.now, cs.ps) {
 		return lo, true
 	}
 	return lo + slowPenalty, false
--- a/core/placement/subset.go
+++ b/core/placement/subset.go
@@ -27,7 +27,7 @@
 // It is designed for versions with thousands of upstreams. An entry that spread its
 // attempts over all of them would see the state of each one minutes late, and would
 // get no prefix cache hits. Different entries get different subsets, so that all
-// upstreams are used. A pool of up to [MaxSubset] hosts is used whole.
+// upstreams are used. A pool of up to [MaxSubset] hosts is used entirely.
 func Subset(self core.ProcessID, zo core.Zone, re core.Region, hosts []core.Host) []core.Host {
 	if len(hosts) <= MaxSubset {
 		return hosts
--- a/core/propagation/propagation_test.go
+++ b/core/propagation/propagation_test.go
@@ -13,8 +13,8 @@
 	"skylarkstand/core/propagation"
 )
 
-// Guards against a report of success, or an endless wait, when one zone is unreachable during
-// the propagation of a change: the operator must see the other zones finish at once, and the
+// One zone is unreachable during the propagation of a change. Guards against reporting success,
+// and against waiting without end: the operator must see the other zones finish at once, and the
 // unreachable zone with its missing processes.
 func TestUnreachableZoneIsReported(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
--- a/core/replica/follow.go
+++ b/core/replica/follow.go
@@ -15,9 +15,9 @@
 type Update struct {
 	// Newer reports whether the other entry's replica is newer than the revision.
 	Newer bool
-	// Whole reports whether Items is the other entry's full copy. Otherwise Changes are the
+	// Full reports whether Items is the other entry's full copy. Otherwise Changes are the
 	// changes from the requested revision to Revision.
-	Whole    bool
+	Full     bool
 	Items    []core.Item
 	Changes  []core.Change
 	Revision core.Revision
@@ -45,7 +45,7 @@
 // watches the store.
 type Follower struct {
 	deps core.Deps
-	mi   *Replica
+	re   *Replica
 	feed core.ChangeFeed
 	sibs Siblings
 	// isReader reports whether this entry is one of the readers.
@@ -100,11 +100,11 @@
 	doubtPeriod = 4 * time.Second
 )
 
-// NewFollower returns the service that keeps mi up to date from feed, and from the
+// NewFollower returns the service that keeps re up to date from feed, and from the
 // siblings while feed does not answer.
-func NewFollower(deps core.Deps, mi *Replica, feed core.ChangeFeed, sibs Siblings, opts ...Option) *Follower {
+func NewFollower(deps core.Deps, re *Replica, feed core.ChangeFeed, sibs Siblings, opts ...Option) *Follower {
 	fo := &Follower{
-		deps: deps, mi: mi, feed: feed, sibs: sibs, isReader: func() bool { return true },
+		deps: deps, re: re, feed: feed, sibs: sibs, isReader: func() bool { return true },
 		downSignal: make(chan struct{}, 1), newerSignal: make(chan struct{}, 1), watchSignal: make(chan struct{}, 1),
 	}
 	for _, opt := range opts {
@@ -150,7 +150,7 @@
 		if err != nil {
 			return err
 		}
-		if fo.mi.Replace(items, rev, requestedAt) {
+		if fo.re.Replace(items, rev, requestedAt) {
 			event.Log(fo.deps.Log, event.MirrorListed, "revision", rev, "keys", len(items))
 		}
 		*listed = true
@@ -160,11 +160,11 @@
 	if fo.storeDown() {
 		wait = probeWait
 	}
-	changes, rev, err := fo.feed.Changes(ctx, fo.mi.Revision(), wait)
+	changes, rev, err := fo.feed.Changes(ctx, fo.re.Revision(), wait)
 	if err != nil {
 		return err
 	}
-	fo.mi.Apply(changes, rev, requestedAt)
+	fo.re.Apply(changes, rev, requestedAt)
 	if len(changes) > 0 {
 		sleep(ctx, batchDelay)
 	}
@@ -179,7 +179,7 @@
 	}
 	fo.mu.Unlock()
 	if first {
-		event.Log(fo.deps.Log, event.StoreDown, "error", err, "revision", fo.mi.Revision())
+		event.Log(fo.deps.Log, event.StoreDown, "error", err, "revision", fo.re.Revision())
 	}
 	meter.StoreWatchFailed.Inc(fo.deps.Metrics)
 	wake(fo.downSignal)
@@ -202,7 +202,7 @@
 	fo.answeredAt = now
 	fo.mu.Unlock()
 	if !downSince.IsZero() {
-		event.Log(fo.deps.Log, event.StoreBack, "away", time.Since(downSince), "revision", fo.mi.Revision())
+		event.Log(fo.deps.Log, event.StoreBack, "away", time.Since(downSince), "revision", fo.re.Revision())
 	}
 }
 
@@ -238,29 +238,29 @@
 	ctx, cancel := context.WithTimeout(ctx, siblingPollTimeout)
 	defer cancel()
 	requestedAt := time.Now()
-	ne, err := fo.sibs.Fetch(ctx, fo.mi.Revision())
+	up, err := fo.sibs.Fetch(ctx, fo.re.Revision())
 	if err != nil {
 		meter.SiblingsSilent.Inc(fo.deps.Metrics)
 		return
 	}
-	fo.applyUpdate(ne, requestedAt)
+	fo.applyUpdate(up, requestedAt)
 }
 
 // applyUpdate applies an update that another entry sent after requestedAt.
-func (fo *Follower) applyUpdate(ne Update, requestedAt time.Time) {
-	if ne.Doubtful {
+func (fo *Follower) applyUpdate(up Update, requestedAt time.Time) {
+	if up.Doubtful {
 		fo.mu.Lock()
 		fo.doubtUntil = time.Now().Add(doubtPeriod)
 		fo.mu.Unlock()
 	}
-	confirmedAt := requestedAt.Add(-ne.Age)
+	confirmedAt := requestedAt.Add(-up.Age)
 	switch {
-	case !ne.Newer:
-		fo.mi.Apply(nil, ne.Revision, confirmedAt)
-	case !ne.Whole:
-		fo.mi.Apply(ne.Changes, ne.Revision, confirmedAt)
-	case fo.mi.Replace(ne.Items, ne.Revision, confirmedAt):
-		event.Log(fo.deps.Log, event.MirrorBySibling, "revision", ne.Revision, "age", ne.Age, "keys", len(ne.Items))
+	case !up.Newer:
+		fo.re.Apply(nil, up.Revision, confirmedAt)
+	case !up.Full:
+		fo.re.Apply(up.Changes, up.Revision, confirmedAt)
+	case fo.re.Replace(up.Items, up.Revision, confirmedAt):
+		event.Log(fo.deps.Log, event.MirrorBySibling, "revision", up.Revision, "age", up.Age, "keys", len(up.Items))
 	}
 }
 
--- a/core/replica/readers.go
+++ b/core/replica/readers.go
@@ -23,8 +23,8 @@
 const NoContact = -time.Second
 
 const (
-	// readerTimeout is how long after the store's last answer to any reader an entry still
-	// relies on readers: the wait of a watch without changes plus two gossip rounds.
+	// An entry stops relying on readers when no reader has got an answer from the store for
+	// readerTimeout: the wait of a watch without changes plus two gossip rounds.
 	readerTimeout = watchWait + 500*time.Millisecond
 	// readerCheckInterval bounds how long a change of readers goes unnoticed.
 	readerCheckInterval = 500 * time.Millisecond
@@ -37,7 +37,7 @@
 
 // Digest returns the digest of this entry's replica.
 func (fo *Follower) Digest(now time.Time) Digest {
-	di := Digest{Revision: fo.mi.Revision(), Age: fo.mi.Age(now), Contact: NoContact}
+	di := Digest{Revision: fo.re.Revision(), Age: fo.re.Age(now), Contact: NoContact}
 	fo.mu.Lock()
 	defer fo.mu.Unlock()
 	if !fo.answeredAt.IsZero() && fo.downSince.IsZero() {
@@ -48,7 +48,7 @@
 
 // ReceiveDigest processes a digest received from another entry.
 func (fo *Follower) ReceiveDigest(now time.Time, di Digest) {
-	have := fo.mi.Revision()
+	have := fo.re.Revision()
 	if have == 0 {
 		return // The first copy comes from a listing.
 	}
@@ -65,7 +65,7 @@
 	case newer:
 		wake(fo.newerSignal)
 	case di.Revision == have:
-		fo.mi.Apply(nil, have, now.Add(-di.Age))
+		fo.re.Apply(nil, have, now.Add(-di.Age))
 	}
 }
 
@@ -111,7 +111,7 @@
 		fo.mu.Lock()
 		di := fo.newest
 		fo.mu.Unlock()
-		if di.Revision <= fo.mi.Revision() {
+		if di.Revision <= fo.re.Revision() {
 			continue
 		}
 		if !fo.fetch(ctx, di.From) {
@@ -124,11 +124,11 @@
 	ctx, cancel := context.WithTimeout(ctx, fetchTimeout)
 	defer cancel()
 	requestedAt := time.Now()
-	ne, err := fo.sibs.FetchFrom(ctx, addr, fo.mi.Revision())
+	up, err := fo.sibs.FetchFrom(ctx, addr, fo.re.Revision())
 	if err != nil {
 		return false
 	}
-	fo.applyUpdate(ne, requestedAt)
+	fo.applyUpdate(up, requestedAt)
 	return true
 }
 
--- a/core/replica/readers_test.go
+++ b/core/replica/readers_test.go
@@ -16,48 +16,48 @@
 
 // fakeReader is an entry that watches the store for others.
 type fakeReader struct {
-	mi *replica.Replica
+	re *replica.Replica
 	// unresponsive makes it announce its revision but fail requests.
 	unresponsive bool
 	doubtful     bool
 	requests     int
 }
 
-func (re *fakeReader) Fetch(context.Context, core.Revision) (replica.Update, error) {
+func (fr *fakeReader) Fetch(context.Context, core.Revision) (replica.Update, error) {
 	return replica.Update{}, errors.New("unexpected request to an arbitrary sibling")
 }
 
-func (re *fakeReader) FetchFrom(_ context.Context, _ string, after core.Revision) (replica.Update, error) {
-	re.requests++
-	if re.unresponsive {
+func (fr *fakeReader) FetchFrom(_ context.Context, _ string, after core.Revision) (replica.Update, error) {
+	fr.requests++
+	if fr.unresponsive {
 		return replica.Update{}, errors.New("no answer")
 	}
-	changes, rev, complete := re.mi.Since(after)
+	changes, rev, complete := fr.re.Since(after)
 	if !complete {
 		return replica.Update{}, errors.New("the changes are no longer in the log")
 	}
-	return replica.Update{Newer: rev > after, Changes: changes, Revision: rev, Doubtful: re.doubtful}, nil
+	return replica.Update{Newer: rev > after, Changes: changes, Revision: rev, Doubtful: fr.doubtful}, nil
 }
 
 // announce sends the reader's digest repeatedly for the given time.
-func (re *fakeReader) announce(fo *replica.Follower, du time.Duration) {
+func (fr *fakeReader) announce(fo *replica.Follower, du time.Duration) {
 	const every = 250 * time.Millisecond
 	for ; du > 0; du -= every {
-		fo.ReceiveDigest(time.Now(), replica.Digest{From: "reader", Revision: re.mi.Revision(), Contact: time.Second, Age: time.Second})
+		fo.ReceiveDigest(time.Now(), replica.Digest{From: "reader", Revision: fr.re.Revision(), Contact: time.Second, Age: time.Second})
 		time.Sleep(every)
 	}
 }
 
 // runWithReader runs an entry that relies on a reader.
-func runWithReader(t *testing.T, test func(sh *fakeStore, re *fakeReader, mi *replica.Replica, fo *replica.Follower)) {
+func runWithReader(t *testing.T, test func(fst *fakeStore, fr *fakeReader, re *replica.Replica, fo *replica.Follower)) {
 	t.Helper()
-	sh := new(fakeStore)
-	sh.put("one")
-	re := &fakeReader{mi: replica.New()}
-	re.mi.Replace(sh.items, sh.rev, time.Now())
-	runFollower(t, sh, re, func(mi *replica.Replica, fo *replica.Follower) {
-		re.announce(fo, 4*time.Second)
-		test(sh, re, mi, fo)
+	fst := new(fakeStore)
+	fst.put("one")
+	fr := &fakeReader{re: replica.New()}
+	fr.re.Replace(fst.items, fst.rev, time.Now())
+	runFollower(t, fst, fr, func(re *replica.Replica, fo *replica.Follower) {
+		fr.announce(fo, 4*time.Second)
+		test(fst, fr, re, fo)
 	}, replica.IsReader(func() bool { return false }))
 }
 
@@ -65,93 +65,92 @@
 	return []core.Change{{Item: core.Item{Key: configKey, Value: []byte("two"), Revision: rev}}}
 }
 
-// Guards against store calls that grow with the number of entries.
+// Guards against a number of store calls that grows with the number of entries.
 func TestEntryRelyingOnReadersMakesNoStoreCalls(t *testing.T) {
-	runWithReader(t, func(sh *fakeStore, re *fakeReader, mi *replica.Replica, fo *replica.Follower) {
-		before := sh.watches
-		re.announce(fo, time.Minute)
-		assert.Equal(t, sh.watches, before)
-		assert.Assert(t, mi.Age(time.Now()) < 2*time.Second, "the reader confirms the replica")
+	runWithReader(t, func(fst *fakeStore, fr *fakeReader, re *replica.Replica, fo *replica.Follower) {
+		before := fst.watches
+		fr.announce(fo, time.Minute)
+		assert.Equal(t, fst.watches, before)
+		assert.Assert(t, re.Age(time.Now()) < 2*time.Second, "the reader confirms the replica")
 	})
 }
 
-// Guards against a change that reaches only the readers.
+// Guards against changes that the readers receive but do not pass on to the other entries.
 func TestChangeAnnouncedByReader(t *testing.T) {
-	runWithReader(t, func(sh *fakeStore, re *fakeReader, mi *replica.Replica, fo *replica.Follower) {
-		before := sh.watches
-		re.mi.Apply(secondValue(2), 2, time.Now())
-		re.announce(fo, 250*time.Millisecond)
-		assertSecondValue(t, mi)
-		assert.Equal(t, sh.watches, before)
-		assert.Equal(t, re.requests, 1)
+	runWithReader(t, func(fst *fakeStore, fr *fakeReader, re *replica.Replica, fo *replica.Follower) {
+		before := fst.watches
+		fr.re.Apply(secondValue(2), 2, time.Now())
+		fr.announce(fo, 250*time.Millisecond)
+		assertSecondValue(t, re)
+		assert.Equal(t, fst.watches, before)
+		assert.Equal(t, fr.requests, 1)
 	})
 }
 
-// Guards against an entry that relies on readers which are all gone, cut off from the
-// store, or frozen.
+// Guards against relying on readers after all of them are gone, cut off from the store, or frozen.
 func TestChangeWithoutReaders(t *testing.T) {
-	runWithReader(t, func(sh *fakeStore, _ *fakeReader, mi *replica.Replica, _ *replica.Follower) {
-		sh.put("two")
+	runWithReader(t, func(fst *fakeStore, _ *fakeReader, re *replica.Replica, _ *replica.Follower) {
+		fst.put("two")
 		time.Sleep(3500 * time.Millisecond)
-		assertSecondValue(t, mi)
+		assertSecondValue(t, re)
 	})
 }
 
-// Guards against a replica that becomes stale while no reader is left: changes are then
-// delayed and callers with a new key are refused.
+// No reader is left. Guards against a replica that becomes stale: changes are then delayed
+// and callers with a new key are refused.
 func TestEntryWatchesStoreWithoutReaders(t *testing.T) {
-	runWithReader(t, func(sh *fakeStore, _ *fakeReader, mi *replica.Replica, _ *replica.Follower) {
+	runWithReader(t, func(fst *fakeStore, _ *fakeReader, re *replica.Replica, _ *replica.Follower) {
 		time.Sleep(5 * time.Second)
 		for range 300 {
 			time.Sleep(100 * time.Millisecond)
-			assert.Assert(t, mi.Age(time.Now()) < 6*time.Second)
+			assert.Assert(t, re.Age(time.Now()) < 6*time.Second)
 		}
-		sh.put("two")
+		fst.put("two")
 		time.Sleep(100 * time.Millisecond)
-		assertSecondValue(t, mi)
+		assertSecondValue(t, re)
 	})
 }
 
 // Guards against relying on a reader that still announces its revision although the store
 // no longer answers it.
 func TestReaderCutOffFromStore(t *testing.T) {
-	runWithReader(t, func(sh *fakeStore, re *fakeReader, mi *replica.Replica, fo *replica.Follower) {
-		sh.put("two")
+	runWithReader(t, func(fst *fakeStore, fr *fakeReader, re *replica.Replica, fo *replica.Follower) {
+		fst.put("two")
 		for range 14 {
-			fo.ReceiveDigest(time.Now(), replica.Digest{From: "reader", Revision: re.mi.Revision(), Contact: replica.NoContact})
+			fo.ReceiveDigest(time.Now(), replica.Digest{From: "reader", Revision: fr.re.Revision(), Contact: replica.NoContact})
 			time.Sleep(250 * time.Millisecond)
 		}
-		assertSecondValue(t, mi)
+		assertSecondValue(t, re)
 	})
 }
 
-// Guards against a change that is delayed because the reader announcing it fails requests.
+// A reader announces a change but fails requests. Guards against delaying the change for that.
 func TestUnresponsiveReader(t *testing.T) {
-	runWithReader(t, func(sh *fakeStore, re *fakeReader, mi *replica.Replica, fo *replica.Follower) {
-		re.unresponsive = true
-		sh.put("two")
-		re.mi.Apply(secondValue(2), 2, time.Now())
-		re.announce(fo, 250*time.Millisecond)
-		assertSecondValue(t, mi)
+	runWithReader(t, func(fst *fakeStore, fr *fakeReader, re *replica.Replica, fo *replica.Follower) {
+		fr.unresponsive = true
+		fst.put("two")
+		fr.re.Apply(secondValue(2), 2, time.Now())
+		fr.announce(fo, 250*time.Millisecond)
+		assertSecondValue(t, re)
 	})
 }
 
-// Guards against upstreams that are removed permanently because only the readers saw that
-// the leases may have expired during a store outage.
+// Only the readers saw that leases may have expired during a store outage. Guards against removing
+// the upstreams permanently at the other entries.
 func TestDoubtfulRemovalFromReader(t *testing.T) {
-	runWithReader(t, func(_ *fakeStore, re *fakeReader, _ *replica.Replica, fo *replica.Follower) {
+	runWithReader(t, func(_ *fakeStore, fr *fakeReader, _ *replica.Replica, fo *replica.Follower) {
 		assert.Assert(t, !fo.Doubtful(time.Now()))
-		re.doubtful = true
-		re.mi.Apply([]core.Change{{Item: core.Item{Key: configKey, Revision: 2}, Removed: true}}, 2, time.Now())
-		re.announce(fo, 250*time.Millisecond)
+		fr.doubtful = true
+		fr.re.Apply([]core.Change{{Item: core.Item{Key: configKey, Revision: 2}, Removed: true}}, 2, time.Now())
+		fr.announce(fo, 250*time.Millisecond)
 		assert.Assert(t, fo.Doubtful(time.Now()))
 		time.Sleep(5 * time.Second)
 		assert.Assert(t, !fo.Doubtful(time.Now()))
 	})
 }
 
-// Guards against replicas that differ from the store after changes were passed on in
-// batches, from any revision, including changes that a listing contained early.
+// Changes are passed on in batches, from any revision, including changes that a listing contained
+// early. Guards against replicas that then differ from the store.
 func TestSinceYieldsTheSameReplica(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		all := map[string]core.Item{}
--- a/core/replica/replica.go
+++ b/core/replica/replica.go
@@ -10,11 +10,11 @@
 //
 // # Usage
 //
-//	mi := replica.New()
-//	mi.Subscribe(func(ch []core.Change) { … })
-//	mi.Replace(items, rev, time.Now())  // after a listing
-//	mi.Apply(events, rev, time.Now())   // after a watch
-//	age := mi.Age(time.Now())           // since the replica was last confirmed up to date
+//	re := replica.New()
+//	re.Subscribe(func(ch []core.Change) { … })
+//	re.Replace(items, rev, time.Now())  // after a listing
+//	re.Apply(events, rev, time.Now())   // after a watch
+//	age := re.Age(time.Now())           // since the replica was last confirmed up to date
 package replica
 
 import (
@@ -47,16 +47,16 @@
 func New() *Replica { return &Replica{items: map[string]core.Item{}} }
 
 // Subscribe registers a callback for changes. It must be called before the first change.
-func (mi *Replica) Subscribe(fn func([]core.Change)) { mi.subs = append(mi.subs, fn) }
+func (re *Replica) Subscribe(fn func([]core.Change)) { re.subs = append(re.subs, fn) }
 
 // Replace installs a full copy that was up to date at confirmedAt. It returns false and
 // keeps the current copy if the new one has a lower revision.
-func (mi *Replica) Replace(items []core.Item, rev core.Revision, confirmedAt time.Time) bool {
-	mi.publishMu.Lock()
-	defer mi.publishMu.Unlock()
-	mi.mu.Lock()
-	if rev < mi.rev {
-		mi.mu.Unlock()
+func (re *Replica) Replace(items []core.Item, rev core.Revision, confirmedAt time.Time) bool {
+	re.publishMu.Lock()
+	defer re.publishMu.Unlock()
+	re.mu.Lock()
+	if rev < re.rev {
+		re.mu.Unlock()
 		return false
 	}
 	fresh := make(map[string]core.Item, len(items))
@@ -65,115 +65,115 @@
 	for _, it := range items {
 		fresh[it.Key] = it
 		completeAfter = max(completeAfter, it.Revision)
-		if old, ok := mi.items[it.Key]; !ok || old.Revision < it.Revision {
+		if old, ok := re.items[it.Key]; !ok || old.Revision < it.Revision {
 			out = append(out, core.Change{Item: it, Skipped: true})
 		}
 	}
-	for key, it := range mi.items {
+	for key, it := range re.items {
 		if _, ok := fresh[key]; !ok {
 			out = append(out, core.Change{Item: it, Removed: true, Skipped: true})
 		}
 	}
-	mi.items, mi.rev, mi.completeAfter = fresh, rev, completeAfter
-	mi.log.reset(rev)
-	mi.confirm(confirmedAt)
-	mi.mu.Unlock()
+	re.items, re.rev, re.completeAfter = fresh, rev, completeAfter
+	re.log.reset(rev)
+	re.confirm(confirmedAt)
+	re.mu.Unlock()
 	slices.SortFunc(out, func(a, b core.Change) int { return cmp.Compare(a.Revision, b.Revision) })
-	mi.publish(out)
+	re.publish(out)
 	return true
 }
 
 // Apply applies the events of a watch that started at the replica's revision. Events
 // that were applied before are skipped.
-func (mi *Replica) Apply(events []core.Change, rev core.Revision, confirmedAt time.Time) {
-	mi.publishMu.Lock()
-	defer mi.publishMu.Unlock()
-	mi.mu.Lock()
+func (re *Replica) Apply(events []core.Change, rev core.Revision, confirmedAt time.Time) {
+	re.publishMu.Lock()
+	defer re.publishMu.Unlock()
+	re.mu.Lock()
 	var out []core.Change
 	for _, ev := range events {
 		// Also logs events that were applied before: a listing may contain keys newer
 		// than its revision, and an entry that requests the changes since that revision
 		// may lack them.
-		if ev.Revision > mi.rev {
-			mi.log.add(ev)
+		if ev.Revision > re.rev {
+			re.log.add(ev)
 		}
-		old, ok := mi.items[ev.Key]
+		old, ok := re.items[ev.Key]
 		if ok && old.Revision >= ev.Revision || !ok && ev.Removed {
 			continue
 		}
 		if ev.Removed {
 			// Subscribers need the removed value.
 			ev.Value = old.Value
-			delete(mi.items, ev.Key)
+			delete(re.items, ev.Key)
 		} else {
-			mi.items[ev.Key] = ev.Item
+			re.items[ev.Key] = ev.Item
 		}
-		ev.Skipped = ev.Revision <= mi.completeAfter
+		ev.Skipped = ev.Revision <= re.completeAfter
 		out = append(out, ev)
 	}
-	mi.rev = max(mi.rev, rev)
-	mi.confirm(confirmedAt)
-	mi.mu.Unlock()
-	mi.publish(out)
+	re.rev = max(re.rev, rev)
+	re.confirm(confirmedAt)
+	re.mu.Unlock()
+	re.publish(out)
 }
 
-func (mi *Replica) publish(out []core.Change) {
+func (re *Replica) publish(out []core.Change) {
 	if len(out) == 0 {
 		return
 	}
-	for _, fn := range mi.subs {
+	for _, fn := range re.subs {
 		fn(out)
 	}
 }
 
-func (mi *Replica) confirm(at time.Time) {
-	if at.After(mi.confirmedAt) {
-		mi.confirmedAt = at
+func (re *Replica) confirm(at time.Time) {
+	if at.After(re.confirmedAt) {
+		re.confirmedAt = at
 	}
 }
 
 // Revision returns the revision of the replica, or 0 before the first copy.
-func (mi *Replica) Revision() core.Revision {
-	mi.mu.Lock()
-	defer mi.mu.Unlock()
-	return mi.rev
+func (re *Replica) Revision() core.Revision {
+	re.mu.Lock()
+	defer re.mu.Unlock()
+	return re.rev
 }
 
 // Age returns the time since the replica was last confirmed up to date.
-func (mi *Replica) Age(now time.Time) time.Duration {
-	mi.mu.Lock()
-	defer mi.mu.Unlock()
-	return now.Sub(mi.confirmedAt)
+func (re *Replica) Age(now time.Time) time.Duration {
+	re.mu.Lock()
+	defer re.mu.Unlock()
+	return now.Sub(re.confirmedAt)
 }
 
 // Since returns the changes after a revision and the revision they lead to, or false if
 // some of them were already dropped from the log.
-func (mi *Replica) Since(after core.Revision) ([]core.Change, core.Revision, bool) {
-	mi.mu.Lock()
-	defer mi.mu.Unlock()
-	changes, ok := mi.log.since(after)
-	return changes, mi.rev, ok
+func (re *Replica) Since(after core.Revision) ([]core.Change, core.Revision, bool) {
+	re.mu.Lock()
+	defer re.mu.Unlock()
+	changes, ok := re.log.since(after)
+	return changes, re.rev, ok
 }
 
 // Get returns one key of the replica.
-func (mi *Replica) Get(key string) (core.Item, bool) {
-	mi.mu.Lock()
-	defer mi.mu.Unlock()
-	it, ok := mi.items[key]
+func (re *Replica) Get(key string) (core.Item, bool) {
+	re.mu.Lock()
+	defer re.mu.Unlock()
+	it, ok := re.items[key]
 	return it, ok
 }
 
 // Copy returns the keys with a prefix in sorted order, the replica's revision, and the
 // time at which the replica was last confirmed up to date.
-func (mi *Replica) Copy(prefix string) ([]core.Item, core.Revision, time.Time) {
-	mi.mu.Lock()
-	defer mi.mu.Unlock()
+func (re *Replica) Copy(prefix string) ([]core.Item, core.Revision, time.Time) {
+	re.mu.Lock()
+	defer re.mu.Unlock()
 	var out []core.Item
-	for key, it := range mi.items {
+	for key, it := range re.items {
 		if strings.HasPrefix(key, prefix) {
 			out = append(out, it)
 		}
 	}
 	slices.SortFunc(out, func(a, b core.Item) int { return strings.Compare(a.Key, b.Key) })
-	return out, mi.rev, mi.confirmedAt
+	return out, re.rev, re.confirmedAt
 }
--- a/core/session/holder.go
+++ b/core/session/holder.go
@@ -59,13 +59,13 @@
 func (ho *Holder) Find(key Key, now time.Time) Versions {
 	ho.mu.Lock()
 	defer ho.mu.Unlock()
-	el, ok := ho.sessions[key]
-	if !ok || now.Sub(el.lastUsed) > idleTTL {
+	se, ok := ho.sessions[key]
+	if !ok || now.Sub(se.lastUsed) > idleTTL {
 		return nil
 	}
-	el.lastUsed = now
-	ho.sessions[key] = el
-	return maps.Clone(el.versions)
+	se.lastUsed = now
+	ho.sessions[key] = se
+	return maps.Clone(se.versions)
 }
 
 // Record records the versions that a session runs on, model by model. The latest one is
@@ -74,11 +74,11 @@
 func (ho *Holder) Record(key Key, vs Versions, now time.Time) {
 	ho.mu.Lock()
 	defer ho.mu.Unlock()
-	el, ok := ho.sessions[key]
+	se, ok := ho.sessions[key]
 	if !ok && len(ho.sessions) >= ho.limit {
 		ho.evict(now)
 	}
-	all := maps.Clone(el.versions)
+	all := maps.Clone(se.versions)
 	if all == nil {
 		all = Versions{}
 	}
@@ -90,11 +90,11 @@
 // for at least half of the longest time, so that one pass frees about half.
 func (ho *Holder) evict(now time.Time) {
 	var oldest time.Duration
-	for _, el := range ho.sessions {
-		oldest = max(oldest, now.Sub(el.lastUsed))
+	for _, se := range ho.sessions {
+		oldest = max(oldest, now.Sub(se.lastUsed))
 	}
-	for key, el := range ho.sessions {
-		if now.Sub(el.lastUsed) >= oldest/2 {
+	for key, se := range ho.sessions {
+		if now.Sub(se.lastUsed) >= oldest/2 {
 			delete(ho.sessions, key)
 		}
 	}
--- a/core/topology/topology.go
+++ b/core/topology/topology.go
@@ -89,9 +89,9 @@
 func zones(hosts []core.Host) []location {
 	var out []location
 	for _, ho := range entries(hosts, func(core.Host) bool { return true }) {
-		pl := location{ho.Zone, ho.Region}
-		if !slices.Contains(out, pl) {
-			out = append(out, pl)
+		lo := location{ho.Zone, ho.Region}
+		if !slices.Contains(out, lo) {
+			out = append(out, lo)
 		}
 	}
 	return out
--- a/core/warmup/tracker.go
+++ b/core/warmup/tracker.go
@@ -22,8 +22,8 @@
 	Upstream core.UpstreamID
 	// ColdFor is how long the upstream stays cold, [core.WarmingUnknown], or 0 for a warm one.
 	ColdFor time.Duration
-	// Entries are those that share the permits, as registered at the notice's revision. The slice
-	// must not be changed afterwards.
+	// Entries lists the entries that share the permits: those registered in the store at the
+	// revision of this change. The slice must not be changed afterwards.
 	Entries []core.ProcessID
 	// Exact is set when Entries is known to be the list at that revision.
 	Exact bool
@@ -80,7 +80,7 @@
 }
 
 // Permits returns how many requests a cold upstream may get in one second from all entries.
-func (tr *Tracker) Permits(bo ColdLimit) int { return int(bo.Rate*tr.overshoot + tr.slack) }
+func (tr *Tracker) Permits(cl ColdLimit) int { return int(cl.Rate*tr.overshoot + tr.slack) }
 
 // Started begins a new span, with its own permits.
 func (tr *Tracker) Started(now time.Time, no Notice) {
@@ -108,24 +108,24 @@
 }
 
 // IsCold reports whether an upstream is cold, as far as was reported.
-func (tr *Tracker) IsCold(now time.Time, id core.UpstreamID, bo ColdLimit) bool {
+func (tr *Tracker) IsCold(now time.Time, id core.UpstreamID, cl ColdLimit) bool {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
 	sp := tr.spans[id]
-	return sp != nil && bo.Rate > 0 && sp.isCold(now, bo)
+	return sp != nil && cl.Rate > 0 && sp.isCold(now, cl)
 }
 
 // Available returns the upstreams to which this entry may send a request now. Suspect reports
 // whether an upstream may be cold without a notice.
-func (tr *Tracker) Available(now time.Time, hosts []core.Host, bo ColdLimit, suspect func(*core.Host) bool) []core.Host {
-	if bo.Rate <= 0 {
+func (tr *Tracker) Available(now time.Time, hosts []core.Host, cl ColdLimit, suspect func(*core.Host) bool) []core.Host {
+	if cl.Rate <= 0 {
 		return hosts
 	}
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
 	out, complete := hosts, true // The slice is copied only when an upstream is left out.
 	for i := range hosts {
-		available := tr.available(now, &hosts[i], bo, suspect(&hosts[i]))
+		available := tr.available(now, &hosts[i], cl, suspect(&hosts[i]))
 		switch {
 		case complete && !available:
 			out, complete = slices.Clone(hosts[:i]), false
@@ -138,14 +138,14 @@
 
 // Acquire returns a permit for a request to an upstream, or false if none is free. A warm upstream
 // needs none, and the permit is nil.
-func (tr *Tracker) Acquire(now time.Time, ho *core.Host, bo ColdLimit, suspect bool) (*Permit, bool) {
+func (tr *Tracker) Acquire(now time.Time, ho *core.Host, cl ColdLimit, suspect bool) (*Permit, bool) {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
 	sp := tr.spans[ho.ID]
-	if !tr.available(now, ho, bo, suspect) {
+	if !tr.available(now, ho, cl, suspect) {
 		return nil, false
 	}
-	if sp == nil || bo.Rate <= 0 || !suspect && !sp.needsPermit(now, bo) {
+	if sp == nil || cl.Rate <= 0 || !suspect && !sp.needsPermit(now, cl) {
 		return nil, true
 	}
 	pe := &Permit{tr: tr}
@@ -154,15 +154,15 @@
 }
 
 // available reports whether this entry may send a request to an upstream now.
-func (tr *Tracker) available(now time.Time, ho *core.Host, bo ColdLimit, suspect bool) bool {
+func (tr *Tracker) available(now time.Time, ho *core.Host, cl ColdLimit, suspect bool) bool {
 	sp := tr.spans[ho.ID]
-	if sp == nil || bo.Rate <= 0 {
+	if sp == nil || cl.Rate <= 0 {
 		return true
 	}
-	if !suspect && !sp.needsPermit(now, bo) {
+	if !suspect && !sp.needsPermit(now, cl) {
 		return true
 	}
-	cold := sp.isCold(now, bo)
+	cold := sp.isCold(now, cl)
 	if cold && !sp.exact {
 		return false
 	}
@@ -170,7 +170,7 @@
 	if !cold && !suspect {
 		return len(sp.taken) == 0 // It was warm in this entry's first copy of the list; see needsPermit.
 	}
-	return len(sp.taken) < tr.ownPermits(ho.ID, sp, bo)
+	return len(sp.taken) < tr.ownPermits(ho.ID, sp, cl)
 }
 
 // setRemaining records how long the upstream stays cold.
@@ -179,27 +179,27 @@
 	sp.coldUntil = now.Add(max(left, 0))
 }
 
-func (sp *span) isCold(now time.Time, bo ColdLimit) bool {
+func (sp *span) isCold(now time.Time, cl ColdLimit) bool {
 	if sp.unknown {
-		return now.Before(sp.noticedAt.Add(bo.Duration))
+		return now.Before(sp.noticedAt.Add(cl.Duration))
 	}
 	return now.Before(sp.coldUntil)
 }
 
 // needsPermit reports whether requests need permits: for a cold upstream, and, for as long as it
 // could be cold, for one that was warm in a copy of the list without its earlier changes.
-func (sp *span) needsPermit(now time.Time, bo ColdLimit) bool {
-	return sp.isCold(now, bo) || !sp.exact && now.Before(sp.noticedAt.Add(bo.Duration))
+func (sp *span) needsPermit(now time.Time, cl ColdLimit) bool {
+	return sp.isCold(now, cl) || !sp.exact && now.Before(sp.noticedAt.Add(cl.Duration))
 }
 
 // ownPermits returns how many of all permits belong to this entry. They are assigned round-robin.
 // An entry that is missing from a list that may be outdated may use one; a cold upstream with such a
 // list gets no request at all.
-func (tr *Tracker) ownPermits(id core.UpstreamID, sp *span, bo ColdLimit) int {
+func (tr *Tracker) ownPermits(id core.UpstreamID, sp *span, cl ColdLimit) int {
 	if sp.rank == unranked {
 		sp.rank = rendezvous.Rank(string(id), sp.entries, tr.self)
 	}
-	all := tr.Permits(bo)
+	all := tr.Permits(cl)
 	switch {
 	case sp.rank == noRank && !sp.exact:
 		return 1
--- a/core/watch/evacuation_test.go
+++ b/core/watch/evacuation_test.go
@@ -24,9 +24,9 @@
 	return watch.Record{}, nil
 }
 
-func (wo fixture) serving() string {
+func (fx fixture) serving() string {
 	out := ""
-	for _, ho := range wo.fl.Serving("desk", time.Now(), core.Regions{}) {
+	for _, ho := range fx.fl.Serving("desk", time.Now(), core.Regions{}) {
 		out += string(ho.ID)
 	}
 	return out
@@ -37,28 +37,28 @@
 // TestEvacuationLastsUntilItsKeyIsRemoved guards against an evacuation that ends because of
 // an older copy, a dropped history, or upstream listings that are removed and written again.
 func TestEvacuationLastsUntilItsKeyIsRemoved(t *testing.T) {
-	wo, now := newFixture("self", layout{}, true), time.Now()
+	fx, now := newFixture("self", layout{}, true), time.Now()
 	before := []core.Item{item("up/a", 1), item("up/b", 2)}
-	wo.mi.Replace(before, 2, now)
-	assert.Equal(t, wo.serving(), "ab")
-	wo.mi.Apply([]core.Change{{Item: item("out/b", 5)}}, 5, now)
-	assert.Equal(t, wo.serving(), "a")
-	wo.mi.Replace(before, 2, now)
-	assert.Equal(t, wo.serving(), "a", "an older copy")
-	wo.mi.Apply([]core.Change{{Item: item("out/b", 4), Removed: true}}, 5, now)
-	assert.Equal(t, wo.serving(), "a", "an older removal")
-	wo.mi.Replace(append(before, item("out/b", 5)), 9, now)
-	assert.Equal(t, wo.serving(), "a", "dropped history")
-	wo.mi.Apply([]core.Change{{Item: item("up/b", 10), Removed: true}, {Item: item("up/b", 11)}}, 11, now)
-	assert.Equal(t, wo.serving(), "a", "expired leases")
-	wo.mi.Apply([]core.Change{{Item: item("out/b", 12), Removed: true}}, 12, now)
-	assert.Equal(t, wo.serving(), "ab")
+	fx.re.Replace(before, 2, now)
+	assert.Equal(t, fx.serving(), "ab")
+	fx.re.Apply([]core.Change{{Item: item("out/b", 5)}}, 5, now)
+	assert.Equal(t, fx.serving(), "a")
+	fx.re.Replace(before, 2, now)
+	assert.Equal(t, fx.serving(), "a", "an older copy")
+	fx.re.Apply([]core.Change{{Item: item("out/b", 4), Removed: true}}, 5, now)
+	assert.Equal(t, fx.serving(), "a", "an older removal")
+	fx.re.Replace(append(before, item("out/b", 5)), 9, now)
+	assert.Equal(t, fx.serving(), "a", "dropped history")
+	fx.re.Apply([]core.Change{{Item: item("up/b", 10), Removed: true}, {Item: item("up/b", 11)}}, 11, now)
+	assert.Equal(t, fx.serving(), "a", "expired leases")
+	fx.re.Apply([]core.Change{{Item: item("out/b", 12), Removed: true}}, 12, now)
+	assert.Equal(t, fx.serving(), "ab")
 }
 
-// TestEvacuationInTheFirstCopy guards against an entry that sends work to an evacuated zone
-// right after its start, for any order of keys in the first copy.
-func TestEvacuationInTheFirstCopy(t *testing.T) {
-	wo := newFixture("self", layout{}, true)
-	wo.mi.Replace([]core.Item{item("up/a", 7), item("up/b", 8), item("out/b", 5)}, 9, time.Now())
-	assert.Equal(t, wo.serving(), "a")
+// TestEvacuationInFirstSnapshotIsApplied guards against sending work to an evacuated zone right
+// after the start of an entry, for any order of keys in the first snapshot of the store.
+func TestEvacuationInFirstSnapshotIsApplied(t *testing.T) {
+	fx := newFixture("self", layout{}, true)
+	fx.re.Replace([]core.Item{item("up/a", 7), item("up/b", 8), item("out/b", 5)}, 9, time.Now())
+	assert.Equal(t, fx.serving(), "a")
 }
--- a/core/watch/handler.go
+++ b/core/watch/handler.go
@@ -6,8 +6,8 @@
 //
 // # Usage
 //
-//	fd := watch.New(deps, layout, watch.Targets{…})
-//	mi.Subscribe(fd.HandleChanges)
+//	ha := watch.New(deps, layout, watch.Targets{…})
+//	re.Subscribe(ha.HandleChanges)
 package watch
 
 import (
@@ -80,7 +80,7 @@
 type Handler struct {
 	deps core.Deps
 	la   Layout
-	pa   Targets
+	ta   Targets
 
 	mu      sync.Mutex
 	members map[core.ProcessID]Member
@@ -95,58 +95,58 @@
 	newestConfig *route.Document
 }
 
-// New returns a Handler that routes changes to pa.
-func New(deps core.Deps, la Layout, pa Targets) *Handler {
+// New returns a Handler that routes changes to ta.
+func New(deps core.Deps, la Layout, ta Targets) *Handler {
 	return &Handler{
-		deps: deps, la: la, pa: pa, members: map[core.ProcessID]Member{},
+		deps: deps, la: la, ta: ta, members: map[core.ProcessID]Member{},
 		hosts: map[core.UpstreamID]core.Host{}, restored: map[core.UpstreamID]bool{}, holders: map[core.Region][]core.ProcessID{},
 	}
 }
 
 // HandleChanges processes a batch of changes in order.
-func (fd *Handler) HandleChanges(changes []core.Change) {
+func (ha *Handler) HandleChanges(changes []core.Change) {
 	now := time.Now()
 	for _, ch := range changes {
 		switch {
 		case strings.HasPrefix(ch.Key, PrefixEntries):
-			fd.applyMember(ch)
+			ha.applyMember(ch)
 		case strings.HasPrefix(ch.Key, PrefixSteps):
-			fd.applyStep(now, ch)
+			ha.applyStep(now, ch)
 		default:
-			fd.applyPlatformKey(now, ch)
+			ha.applyPlatformKey(now, ch)
 		}
 	}
-	fd.adoptConfiguration()
+	ha.adoptConfiguration()
 }
 
-func (fd *Handler) applyMember(ch core.Change) {
+func (ha *Handler) applyMember(ch core.Change) {
 	id := core.ProcessID(strings.TrimPrefix(ch.Key, PrefixEntries))
 	var me Member
 	if !ch.Removed {
 		if err := json.Unmarshal(ch.Value, &me); err != nil {
-			fd.logMalformed(ch, err)
+			ha.logMalformed(ch, err)
 			return
 		}
 	}
-	clear(fd.holders)
-	fd.mu.Lock()
-	defer fd.mu.Unlock()
+	clear(ha.holders)
+	ha.mu.Lock()
+	defer ha.mu.Unlock()
 	if ch.Removed {
-		delete(fd.members, id)
+		delete(ha.members, id)
 		return
 	}
 	me.ID, me.Revision = id, ch.Revision
-	fd.members[id] = me
+	ha.members[id] = me
 }
 
 // Members lists the registered entries. Of several entries at one address it contains only
 // the newest: the others have ended, although their leases last for some more seconds.
-func (fd *Handler) Members() []Member {
-	fd.mu.Lock()
-	defer fd.mu.Unlock()
+func (ha *Handler) Members() []Member {
+	ha.mu.Lock()
+	defer ha.mu.Unlock()
 	newest := map[string]Member{}
-	out := make([]Member, 0, len(fd.members))
-	for _, me := range fd.members {
+	out := make([]Member, 0, len(ha.members))
+	for _, me := range ha.members {
 		if me.Addr == "" {
 			out = append(out, me)
 			continue
@@ -160,111 +160,111 @@
 
 // EntryCount returns the number of registered entries. It includes entries that have ended but
 // whose lease lasts, since their retries still count in the retry budget's window.
-func (fd *Handler) EntryCount() int {
-	fd.mu.Lock()
-	defer fd.mu.Unlock()
-	return len(fd.members)
+func (ha *Handler) EntryCount() int {
+	ha.mu.Lock()
+	defer ha.mu.Unlock()
+	return len(ha.members)
 }
 
-func (fd *Handler) applyStep(now time.Time, ch core.Change) {
+func (ha *Handler) applyStep(now time.Time, ch core.Change) {
 	if ch.Removed {
 		return
 	}
 	var st canary.Step
 	if err := json.Unmarshal(ch.Value, &st); err != nil {
-		fd.logMalformed(ch, err)
+		ha.logMalformed(ch, err)
 		return
 	}
 	st.Service, st.Revision = core.ServiceID(strings.TrimPrefix(ch.Key, PrefixSteps)), ch.Revision
-	fd.pa.Canary.Step(now, st)
-	event.Log(fd.deps.Log, event.CanaryStep, "service", st.Service, "step", st.Step, "order", st.Order, "revision", st.Revision)
+	ha.ta.Canary.Step(now, st)
+	event.Log(ha.deps.Log, event.CanaryStep, "service", st.Service, "step", st.Step, "order", st.Order, "revision", st.Revision)
 }
 
-func (fd *Handler) applyPlatformKey(now time.Time, ch core.Change) {
-	en, err := fd.la.Decode(ch.Item)
+func (ha *Handler) applyPlatformKey(now time.Time, ch core.Change) {
+	rec, err := ha.la.Decode(ch.Item)
 	switch {
-	case en.Upstream != "":
-		fd.applyUpstream(now, ch, en, err)
-	case en.Evacuated != "":
-		fd.applyEvacuation(now, ch, en.Evacuated)
+	case rec.Upstream != "":
+		ha.applyUpstream(now, ch, rec, err)
+	case rec.Evacuated != "":
+		ha.applyEvacuation(now, ch, rec.Evacuated)
 	case ch.Removed:
 	case err != nil:
-		fd.logMalformed(ch, err)
-	case en.Configuration != nil:
-		fd.newestConfig = en.Configuration
-	case en.Order != nil:
-		fd.pa.Canary.Order(now, *en.Order)
-		event.Log(fd.deps.Log, event.CanaryOrdered, "service", en.Order.Service, "target", en.Order.Target,
-			"duration", en.Order.Duration, "revision", en.Order.Revision)
-	case en.Status != nil:
-		fd.pa.Canary.Status(*en.Status)
-		event.Log(fd.deps.Log, event.CanaryStatus, "service", en.Status.Service, "target", en.Status.Target,
-			"state", en.Status.State, "revision", en.Status.Revision)
+		ha.logMalformed(ch, err)
+	case rec.Configuration != nil:
+		ha.newestConfig = rec.Configuration
+	case rec.Order != nil:
+		ha.ta.Canary.Order(now, *rec.Order)
+		event.Log(ha.deps.Log, event.CanaryOrdered, "service", rec.Order.Service, "target", rec.Order.Target,
+			"duration", rec.Order.Duration, "revision", rec.Order.Revision)
+	case rec.Status != nil:
+		ha.ta.Canary.Status(*rec.Status)
+		event.Log(ha.deps.Log, event.CanaryStatus, "service", rec.Status.Service, "target", rec.Status.Target,
+			"state", rec.Status.State, "revision", rec.Status.Revision)
 	}
 }
 
 // applyEvacuation starts the evacuation of a zone, or ends it. Only the removal of the key
 // ends an evacuation.
-func (fd *Handler) applyEvacuation(now time.Time, ch core.Change, zo core.Zone) {
+func (ha *Handler) applyEvacuation(now time.Time, ch core.Change, zo core.Zone) {
 	if ch.Removed {
-		fd.pa.Fleet.Restore(zo)
-		fd.markZoneCold(now, ch, zo)
-		event.Log(fd.deps.Log, event.ZoneRestored, "zone", zo, "revision", ch.Revision)
+		ha.ta.Fleet.Restore(zo)
+		ha.markZoneCold(now, ch, zo)
+		event.Log(ha.deps.Log, event.ZoneRestored, "zone", zo, "revision", ch.Revision)
 		return
 	}
-	fd.pa.Fleet.Evacuate(zo)
-	event.Log(fd.deps.Log, event.ZoneEvacuated, "zone", zo, "revision", ch.Revision)
+	ha.ta.Fleet.Evacuate(zo)
+	event.Log(ha.deps.Log, event.ZoneEvacuated, "zone", zo, "revision", ch.Revision)
 }
 
 // applyUpstream processes an upstream listing. A listing that cannot be decoded counts as
 // removed, since the upstream did not write it.
-func (fd *Handler) applyUpstream(now time.Time, ch core.Change, en Record, err error) {
-	old, known := fd.hosts[en.Upstream]
+func (ha *Handler) applyUpstream(now time.Time, ch core.Change, rec Record, err error) {
+	old, known := ha.hosts[rec.Upstream]
 	if ch.Removed || err != nil {
 		if err != nil && !ch.Removed {
-			fd.logMalformed(ch, err)
+			ha.logMalformed(ch, err)
 		}
 		if !known {
 			return
 		}
-		doubtful := ch.Removed && fd.pa.Doubtful(now)
-		fd.pa.Fleet.Remove(en.Upstream, now, doubtful)
-		delete(fd.hosts, en.Upstream)
-		delete(fd.restored, en.Upstream)
-		event.Log(fd.deps.Log, event.UpstreamGone, "upstream", en.Upstream, "address", old.Addr, "doubtful", doubtful, "revision", ch.Revision)
+		doubtful := ch.Removed && ha.ta.Doubtful(now)
+		ha.ta.Fleet.Remove(rec.Upstream, now, doubtful)
+		delete(ha.hosts, rec.Upstream)
+		delete(ha.restored, rec.Upstream)
+		event.Log(ha.deps.Log, event.UpstreamGone, "upstream", rec.Upstream, "address", old.Addr, "doubtful", doubtful, "revision", ch.Revision)
 		if !doubtful {
-			fd.pa.Warmup.Forget(en.Upstream)
-			fd.pa.OnRemoved(old)
+			ha.ta.Warmup.Forget(rec.Upstream)
+			ha.ta.OnRemoved(old)
 		}
 		return
 	}
-	ho := *en.Host
-	fd.updateWarmup(now, ch, old, known, ho)
-	fd.pa.Fleet.Put(ho)
-	fd.hosts[ho.ID] = ho
+	ho := *rec.Host
+	ha.updateWarmup(now, ch, old, known, ho)
+	ha.ta.Fleet.Put(ho)
+	ha.hosts[ho.ID] = ho
 	if !known || old != ho {
-		event.Log(fd.deps.Log, event.UpstreamListed, "upstream", ho.ID, "service", ho.Service, "address", ho.Addr, "zone", ho.Zone,
+		event.Log(ha.deps.Log, event.UpstreamListed, "upstream", ho.ID, "service", ho.Service, "address", ho.Addr, "zone", ho.Zone,
 			"version", ho.Version, "slots", ho.Slots, "leaving", ho.Leaving, "born", ho.StartedAt, "revision", ch.Revision)
 	}
 }
 
 // adoptConfiguration puts the newest configuration of a batch in force.
-func (fd *Handler) adoptConfiguration() {
-	doc := fd.newestConfig
-	fd.newestConfig = nil
+func (ha *Handler) adoptConfiguration() {
+	doc := ha.newestConfig
+	ha.newestConfig = nil
 	if doc == nil {
 		return
 	}
 	tb, err := route.New(*doc)
 	if err != nil {
-		event.Log(fd.deps.Log, event.ConfigBroken, "version", doc.Version, "error", err)
+		event.Log(ha.deps.Log, event.ConfigBroken, "version", doc.Version, "error", err)
 		return
 	}
-	if fd.pa.InForce.Adopt(tb) {
-		event.Log(fd.deps.Log, event.ConfigAdopted, "version", tb.Version, "routes", len(doc.Routes), "workspaces", len(doc.Workspaces))
+	if ha.ta.InForce.Adopt(tb) {
+		event.Log(ha.deps.Log, event.ConfigAdopted, "version", tb.Version, "routes", len(doc.Routes), "workspaces", len(doc.Workspaces))
 	}
 }
 
-func (fd *Handler) logMalformed(ch core.Change, err error) {
-	event.Log(fd.deps.Log, event.EntryMalformed, "key", ch.Key, "revision", ch.Revision, "error", err)
+func (ha *Handler) logMalformed(ch core.Change, err error) {
+	event.Log(ha.deps.Log, event.EntryMalformed, "key", ch.Key, "revision", ch.Revision, "error", err)
 }
--- a/core/watch/warmup_test.go
+++ b/core/watch/warmup_test.go
@@ -78,20 +78,20 @@
 	permit *warmup.Permit
 }
 
-func (wo *warmupSimulation) write(key string, val any, gone bool) {
+func (ws *warmupSimulation) write(key string, val any, gone bool) {
 	raw, _ := json.Marshal(val)
-	re := core.Revision(len(wo.log) + 1)
-	wo.log = append(wo.log, loggedChange{core.Change{Item: core.Item{Key: key, Value: raw, Revision: re}, Removed: gone}, time.Now()})
+	re := core.Revision(len(ws.log) + 1)
+	ws.log = append(ws.log, loggedChange{core.Change{Item: core.Item{Key: key, Value: raw, Revision: re}, Removed: gone}, time.Now()})
 }
 
-func (wo *warmupSimulation) join(id string) {
-	wo.write(watch.PrefixEntries+id, watch.Member{Zone: "z"}, false)
+func (ws *warmupSimulation) join(id string) {
+	ws.write(watch.PrefixEntries+id, watch.Member{Zone: "z"}, false)
 }
 
 // snapshot returns the store's content after the first n changes.
-func (wo *warmupSimulation) snapshot(n int) ([]core.Item, core.Revision) {
+func (ws *warmupSimulation) snapshot(n int) ([]core.Item, core.Revision) {
 	items := map[string]core.Item{}
-	for _, lo := range wo.log[:n] {
+	for _, lo := range ws.log[:n] {
 		items[lo.change.Key] = lo.change.Item
 		if lo.change.Removed {
 			delete(items, lo.change.Key)
@@ -105,28 +105,28 @@
 }
 
 // deliver applies the changes that have reached an entry, sometimes as a full copy.
-func (wo *warmupSimulation) deliver(en *simulatedEntry) {
+func (ws *warmupSimulation) deliver(en *simulatedEntry) {
 	now, first := time.Now(), en.next
-	for en.next < len(wo.log) && !now.Before(wo.log[en.next].at.Add(en.lag)) {
+	for en.next < len(ws.log) && !now.Before(ws.log[en.next].at.Add(en.lag)) {
 		en.next++
 	}
 	if en.next == first {
 		return
 	}
-	if wo.rng.IntN(12) == 0 && !wo.releaseEarly || en.mi.Revision() == 0 {
-		items, re := wo.snapshot(en.next)
-		en.mi.Replace(items, re, now)
+	if ws.rng.IntN(12) == 0 && !ws.releaseEarly || en.re.Revision() == 0 {
+		items, re := ws.snapshot(en.next)
+		en.re.Replace(items, re, now)
 		return
 	}
 	var batch []core.Change
-	for _, lo := range wo.log[first:en.next] {
+	for _, lo := range ws.log[first:en.next] {
 		batch = append(batch, lo.change)
 	}
-	en.mi.Apply(batch, core.Revision(en.next), now)
+	en.re.Apply(batch, core.Revision(en.next), now)
 }
 
 // sendAllowed sends as many requests as an entry has permits for.
-func (wo *warmupSimulation) sendAllowed(en *simulatedEntry) {
+func (ws *warmupSimulation) sendAllowed(en *simulatedEntry) {
 	now := time.Now()
 	for _, ho := range en.fl.Serving("pool", now, core.Regions{}) {
 		for range maxPerSecond {
@@ -134,46 +134,46 @@
 			if !ok {
 				break
 			}
-			arrivesAt := now.Add(time.Duration(wo.rng.IntN(1500)) * time.Millisecond)
-			wo.arrivals = append(wo.arrivals, arrivesAt)
-			if wo.releaseEarly {
+			arrivesAt := now.Add(time.Duration(ws.rng.IntN(1500)) * time.Millisecond)
+			ws.arrivals = append(ws.arrivals, arrivesAt)
+			if ws.releaseEarly {
 				arrivesAt = now // The permit is released before the request arrives.
 			}
-			wo.requests = append(wo.requests, inFlight{arrivesAt.Add(time.Duration(wo.rng.IntN(400)) * time.Millisecond), pe})
+			ws.requests = append(ws.requests, inFlight{arrivesAt.Add(time.Duration(ws.rng.IntN(400)) * time.Millisecond), pe})
 		}
 	}
 }
 
-func (wo *warmupSimulation) step() {
+func (ws *warmupSimulation) step() {
 	now := time.Now()
-	wo.requests = slices.DeleteFunc(wo.requests, func(be inFlight) bool {
-		if now.Before(be.at) {
+	ws.requests = slices.DeleteFunc(ws.requests, func(inf inFlight) bool {
+		if now.Before(inf.at) {
 			return false
 		}
-		be.permit.Release(now)
+		inf.permit.Release(now)
 		return true
 	})
-	for _, en := range wo.entries {
+	for _, en := range ws.entries {
 		if now.Before(en.pausedUntil) {
 			continue
 		}
-		if wo.rng.IntN(2000) == 0 {
-			en.pausedUntil = now.Add(time.Duration(wo.rng.IntN(3000)) * time.Millisecond)
+		if ws.rng.IntN(2000) == 0 {
+			en.pausedUntil = now.Add(time.Duration(ws.rng.IntN(3000)) * time.Millisecond)
 		}
-		wo.deliver(en)
-		wo.sendAllowed(en)
+		ws.deliver(en)
+		ws.sendAllowed(en)
 	}
 }
 
 // peakRate returns the highest number of arrivals in any second of the warm-up.
-func (wo *warmupSimulation) peakRate() int {
-	slices.SortFunc(wo.arrivals, time.Time.Compare)
+func (ws *warmupSimulation) peakRate() int {
+	slices.SortFunc(ws.arrivals, time.Time.Compare)
 	peak, first := 0, 0
-	for i, at := range wo.arrivals {
-		if at.After(wo.end) {
+	for i, at := range ws.arrivals {
+		if at.After(ws.end) {
 			break
 		}
-		for at.Sub(wo.arrivals[first]) > time.Second {
+		for at.Sub(ws.arrivals[first]) > time.Second {
 			first++
 		}
 		peak = max(peak, i-first+1)
@@ -184,50 +184,50 @@
 // simulateWarmup simulates the three seconds of an upstream's warm-up with forty entries, some
 // of which start, leave, pause or receive changes late.
 func simulateWarmup(seed uint64, evacuated, releaseEarly bool) *warmupSimulation {
-	wo := &warmupSimulation{rng: rand.New(rand.NewPCG(seed, 1)), releaseEarly: releaseEarly}
+	ws := &warmupSimulation{rng: rand.New(rand.NewPCG(seed, 1)), releaseEarly: releaseEarly}
 	for i := range 40 {
-		wo.join(fmt.Sprint("p", i))
+		ws.join(fmt.Sprint("p", i))
 	}
 	if evacuated {
-		wo.write("up/1", 0, false)
-		wo.write("out/z", nil, false)
+		ws.write("up/1", 0, false)
+		ws.write("out/z", nil, false)
 	}
 	for i := range 40 {
-		en := newSimulatedEntry(core.ProcessID(fmt.Sprint("p", i)), time.Duration(wo.rng.IntN(1500))*time.Millisecond)
-		if wo.rng.IntN(10) == 0 {
+		en := newSimulatedEntry(core.ProcessID(fmt.Sprint("p", i)), time.Duration(ws.rng.IntN(1500))*time.Millisecond)
+		if ws.rng.IntN(10) == 0 {
 			en.lag = time.Hour // The entry is cut off from the store and the other entries.
 		}
-		items, re := wo.snapshot(len(wo.log))
-		en.mi.Replace(items, re, time.Now())
-		en.next = len(wo.log)
-		wo.entries = append(wo.entries, en)
+		items, re := ws.snapshot(len(ws.log))
+		en.re.Replace(items, re, time.Now())
+		en.next = len(ws.log)
+		ws.entries = append(ws.entries, en)
 	}
-	for range wo.rng.IntN(6) {
-		wo.write(watch.PrefixEntries+fmt.Sprint("p", wo.rng.IntN(40)), nil, true)
+	for range ws.rng.IntN(6) {
+		ws.write(watch.PrefixEntries+fmt.Sprint("p", ws.rng.IntN(40)), nil, true)
 	}
 	if evacuated {
-		wo.write("out/z", nil, true)
+		ws.write("out/z", nil, true)
 	} else {
-		wo.write("up/1", 3*time.Second, false)
+		ws.write("up/1", 3*time.Second, false)
 	}
 	cold := time.Now().Add(3 * time.Second)
 	for now := time.Now(); now.Before(cold); now = time.Now() {
-		switch wo.rng.IntN(120) {
+		switch ws.rng.IntN(120) {
 		case 0:
-			wo.write(watch.PrefixEntries+fmt.Sprint("p", wo.rng.IntN(40)), nil, true)
+			ws.write(watch.PrefixEntries+fmt.Sprint("p", ws.rng.IntN(40)), nil, true)
 		case 1:
-			id := fmt.Sprint("q", len(wo.log))
-			wo.entries = append(wo.entries, newSimulatedEntry(core.ProcessID(id), 0))
-			wo.started++
-			wo.join(id)
+			id := fmt.Sprint("q", len(ws.log))
+			ws.entries = append(ws.entries, newSimulatedEntry(core.ProcessID(id), 0))
+			ws.started++
+			ws.join(id)
 		case 2:
-			wo.write("up/1", cold.Sub(now), false)
+			ws.write("up/1", cold.Sub(now), false)
 		}
-		wo.step()
+		ws.step()
 		time.Sleep(10 * time.Millisecond)
 	}
-	wo.end = cold
-	return wo
+	ws.end = cold
+	return ws
 }
 
 // TestColdUpstreamStaysBelowItsLimit guards against a thundering herd at a cold upstream,
@@ -236,14 +236,14 @@
 	for _, evacuated := range []bool{false, true} {
 		for seed := range uint64(20) {
 			synctest.Test(t, func(t *testing.T) {
-				wo := simulateWarmup(seed, evacuated, false)
+				ws := simulateWarmup(seed, evacuated, false)
 				limit := maxPerSecond
 				if evacuated {
 					// The first copy of an entry that starts does not show that an evacuation has ended.
-					limit += wo.started
+					limit += ws.started
 				}
-				assert.Assert(t, wo.peakRate() <= limit, "seed %d: %d requests in one second", seed, wo.peakRate())
-				assert.Assert(t, len(wo.arrivals) >= maxPerSecond/2, "seed %d: %d requests in total", seed, len(wo.arrivals))
+				assert.Assert(t, ws.peakRate() <= limit, "seed %d: %d requests in one second", seed, ws.peakRate())
+				assert.Assert(t, len(ws.arrivals) >= maxPerSecond/2, "seed %d: %d requests in total", seed, len(ws.arrivals))
 			})
 		}
 	}
@@ -267,28 +267,28 @@
 // upstream that reports that it is cold again, or has restarted under the same id.
 func TestWarmupRestartsWhenUpstreamIsColdAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		wo := &warmupSimulation{rng: rand.New(rand.NewPCG(1, 1))}
-		wo.join("p0")
-		wo.write("up/1", 0, false)
+		ws := &warmupSimulation{rng: rand.New(rand.NewPCG(1, 1))}
+		ws.join("p0")
+		ws.write("up/1", 0, false)
 		en := newSimulatedEntry("p0", 0)
-		en.mi.Replace(nil, 0, time.Now())
+		en.re.Replace(nil, 0, time.Now())
 		deliver := func() {
-			for ; en.next < len(wo.log); en.next++ {
-				en.mi.Apply([]core.Change{wo.log[en.next].change}, core.Revision(en.next+1), time.Now())
+			for ; en.next < len(ws.log); en.next++ {
+				en.re.Apply([]core.Change{ws.log[en.next].change}, core.Revision(en.next+1), time.Now())
 			}
 		}
 		cold := func() bool { return en.wu.IsCold(time.Now(), "1", coldLimit) }
 		deliver()
 		assert.Assert(t, !cold())
-		wo.write("up/1", 2*time.Second, false)
+		ws.write("up/1", 2*time.Second, false)
 		deliver()
 		assert.Assert(t, cold())
-		wo.write("up/1", time.Second, false)
+		ws.write("up/1", time.Second, false)
 		deliver()
 		time.Sleep(time.Second)
 		assert.Assert(t, !cold())
-		wo.write("out/z", nil, false)
-		wo.write("out/z", nil, true)
+		ws.write("out/z", nil, false)
+		ws.write("out/z", nil, true)
 		deliver()
 		assert.Assert(t, cold(), "the evacuation has ended")
 		time.Sleep(coldLimit.Duration)
--- a/io/sibling/sibling.go
+++ b/io/sibling/sibling.go
@@ -227,7 +227,7 @@
 		return replica.Update{}, err
 	}
 	ne := replica.Update{
-		Newer: ms.Newer, Whole: ms.Whole, Revision: ms.Revision, Age: time.Duration(ms.AgeMs) * time.Millisecond, Doubtful: ms.Doubtful,
+		Newer: ms.Newer, Full: ms.Whole, Revision: ms.Revision, Age: time.Duration(ms.AgeMs) * time.Millisecond, Doubtful: ms.Doubtful,
 	}
 	for _, ch := range ms.Changes {
 		ne.Changes = append(ne.Changes, core.Change{Item: core.Item(ch.item), Removed: ch.Gone})
