--- a/core/balance/fact_test.go
+++ b/core/balance/fact_test.go
@@ -80,7 +80,7 @@
 }
 
 // Guards against announcing a crash after the unavailability has expired: the other entries would
-// take it as news that the upstream answers again.
+// take it as a report that the upstream answers again.
 func TestExpiredFactIsNotAnnounced(t *testing.T) {
 	ho := core.Host{ID: "up-0", Service: "s", Zone: "muc-a", Region: "muc", Slots: 64}
 	for _, out := range []balance.Outcome{balance.NotListening, balance.Replaced} {
--- a/core/fleet/fleet.go
+++ b/core/fleet/fleet.go
@@ -64,7 +64,7 @@
 // Option changes a Fleet at construction.
 type Option func(*Fleet)
 
-// Grace sets how long an upstream stays after a doubtful removal.
+// Grace sets how long an upstream stays after a doubtful removal, see [Fleet.Remove].
 func Grace(du time.Duration) Option { return func(fl *Fleet) { fl.grace = du } }
 
 // New returns an empty fleet.
--- a/core/replica/readers.go
+++ b/core/replica/readers.go
@@ -23,8 +23,9 @@
 const NoContact = -time.Second
 
 const (
-	// An entry stops relying on readers when no reader has got an answer from the store for
-	// readerTimeout: the wait of a watch without changes plus two gossip rounds.
+	// readerTimeout is the time without an answer of the store to any reader after which an
+	// entry stops relying on readers: the wait of a watch without changes plus two gossip
+	// rounds.
 	readerTimeout = watchWait + 500*time.Millisecond
 	// readerCheckInterval bounds how long a change of readers goes unnoticed.
 	readerCheckInterval = 500 * time.Millisecond
