--- a/core/dispatch/shared_picker.go
+++ b/core/dispatch/shared_picker.go
@@ -80,7 +80,7 @@
 }
 
 func poolOf(at *core.Attempt) placement.Pool {
-	return placement.Pool{Target: at.Target, Service: at.Service, Whole: !at.Stream}
+	return placement.Pool{Target: at.Target, Service: at.Service, Unstreamed: !at.Stream}
 }
 
 // send dispatches an attempt and records the time until its answer starts.
@@ -121,12 +121,12 @@
 		ma.pl.mu.Lock()
 		ma.pl.pk.ChargeCrossRegion(time.Now(), len(data))
 		ma.pl.mu.Unlock()
-	case errors.Is(err, io.EOF) && ma.po.Whole:
+	case errors.Is(err, io.EOF) && ma.po.Unstreamed:
 		if out := int(ma.Usage().Generated); out >= placement.MinMeasuredTokens {
 			ma.recordPieces(time.Since(ma.sent), out)
 		}
 	}
-	if err == nil && !ma.po.Whole && ma.pieces == placement.MeasuredPieces+1 {
+	if err == nil && !ma.po.Unstreamed && ma.pieces == placement.MeasuredPieces+1 {
 		ma.recordPieces(time.Since(ma.began), placement.MeasuredPieces)
 	}
 	return data, err
