--- a/io/sibling/gossip.go
+++ b/io/sibling/gossip.go
@@ -107,27 +107,27 @@
 
 // A load datagram consists of, in this order: a format byte; the hash of the sender's
 // process; the replica's revision, its age and the time since the store last answered, both
-// in digestUnit; the numbers of shares and of budgets; the shares, each with the upstream's
-// hash, the attempts there, and the pending prefill time in pendingUnit; the budgets, each
-// with the service's hash and the retries left; and in the remaining bytes the prefixes
-// cached by engines, each with the upstream's hash and the hash of the prompt part.
+// in digestUnit; the numbers of upstream loads and of budgets; the upstream loads, each with
+// the upstream's hash, the attempts there, and the pending prefill time in pendingUnit; the
+// budgets, each with the service's hash and the retries left; and in the remaining bytes the
+// prefixes cached by engines, each with the upstream's hash and the hash of the prompt part.
 const (
-	loadFormat     = 5
-	digestSize     = 8 + 2 + 2
-	loadHeadSize   = 1 + 8 + digestSize + 1 + 1
-	budgetSize     = 8 + 2
-	digestUnit     = 10 * time.Millisecond
-	noContact      = maxUnits
-	shareSize      = 8 + 2 + 2
-	cachedPartSize = 8 + 8
-	pendingUnit    = 10 * time.Millisecond
-	// maxShares and maxCachedParts keep a datagram below the usual packet size of 1,500 bytes.
+	loadFormat       = 5
+	digestSize       = 8 + 2 + 2
+	loadHeadSize     = 1 + 8 + digestSize + 1 + 1
+	budgetSize       = 8 + 2
+	digestUnit       = 10 * time.Millisecond
+	noContact        = maxUnits
+	upstreamLoadSize = 8 + 2 + 2
+	cachedPartSize   = 8 + 8
+	pendingUnit      = 10 * time.Millisecond
+	// maxUpstreamLoads and maxCachedParts keep a datagram below the usual packet size of 1,500 bytes.
 	// An entry has attempts at more upstreams only in installations so large that a
 	// subset suffices.
-	maxShares      = 64
-	maxCachedParts = 36
-	maxBudgets     = 4
-	maxUnits       = 1<<16 - 1
+	maxUpstreamLoads = 64
+	maxCachedParts   = 36
+	maxBudgets       = 4
+	maxUnits         = 1<<16 - 1
 	// siblingsPerRound is the number of siblings addressed in one gossip round. Four
 	// rounds a second with datagrams of one or two hundred bytes stay below 8 kB a second
 	// for any number of entries; with 72 entries in a region, each receives the load of
@@ -229,14 +229,14 @@
 }
 
 func encodeLoad(self uint64, di replica.Digest, lo balance.Load) []byte {
-	shares, cached := lo.Upstreams[:min(len(lo.Upstreams), maxShares)], lo.CachedParts[:min(len(lo.CachedParts), maxCachedParts)]
-	data := make([]byte, 0, loadHeadSize+len(shares)*shareSize+len(cached)*cachedPartSize)
+	loads, cached := lo.Upstreams[:min(len(lo.Upstreams), maxUpstreamLoads)], lo.CachedParts[:min(len(lo.CachedParts), maxCachedParts)]
+	data := make([]byte, 0, loadHeadSize+len(loads)*upstreamLoadSize+len(cached)*cachedPartSize)
 	data = append(data, loadFormat)
 	data = binary.BigEndian.AppendUint64(data, self)
 	data = appendDigest(data, di)
 	budgets := lo.Budgets[:min(len(lo.Budgets), maxBudgets)]
-	data = append(data, byte(len(shares)), byte(len(budgets)))
-	data = appendShares(data, shares)
+	data = append(data, byte(len(loads)), byte(len(budgets)))
+	data = appendLoads(data, loads)
 	data = appendBudgets(data, budgets)
 	for _, cp := range cached {
 		data = binary.BigEndian.AppendUint64(data, cp.Upstream)
@@ -279,13 +279,13 @@
 	}
 	from = binary.BigEndian.Uint64(data[1:])
 	di = decodeDigest(data[9:])
-	shares, budgets, payload := int(data[loadHeadSize-2])*shareSize, int(data[loadHeadSize-1])*budgetSize, data[loadHeadSize:]
-	if len(payload) < shares+budgets || (len(payload)-shares-budgets)%cachedPartSize != 0 {
+	loads, budgets, payload := int(data[loadHeadSize-2])*upstreamLoadSize, int(data[loadHeadSize-1])*budgetSize, data[loadHeadSize:]
+	if len(payload) < loads+budgets || (len(payload)-loads-budgets)%cachedPartSize != 0 {
 		return 0, di, lo, false
 	}
-	lo.Upstreams = decodeShares(payload[:shares])
-	lo.Budgets = decodeBudgets(payload[shares : shares+budgets])
-	for row := payload[shares+budgets:]; len(row) > 0; row = row[cachedPartSize:] {
+	lo.Upstreams = decodeLoads(payload[:loads])
+	lo.Budgets = decodeBudgets(payload[loads : loads+budgets])
+	for row := payload[loads+budgets:]; len(row) > 0; row = row[cachedPartSize:] {
 		lo.CachedParts = append(lo.CachedParts, balance.CachedPart{Upstream: binary.BigEndian.Uint64(row), Part: binary.BigEndian.Uint64(row[8:])})
 	}
 	return from, di, lo, true
@@ -304,7 +304,7 @@
 }
 
 func (gs *Gossiper) receive(pc net.PacketConn) {
-	buf := make([]byte, loadHeadSize+maxShares*shareSize+maxBudgets*budgetSize+maxCachedParts*cachedPartSize)
+	buf := make([]byte, loadHeadSize+maxUpstreamLoads*upstreamLoadSize+maxBudgets*budgetSize+maxCachedParts*cachedPartSize)
 	for {
 		n, addr, err := pc.ReadFrom(buf)
 		if errors.Is(err, net.ErrClosed) {
--- a/io/sibling/gossip_test.go
+++ b/io/sibling/gossip_test.go
@@ -29,7 +29,7 @@
 	assert.DeepEqual(t, got, lo)
 	for n := range data {
 		_, _, _, ok := decodeLoad(data[:n])
-		assert.Assert(t, !ok || n == loadHeadSize+2*shareSize+2*budgetSize, "%d bytes", n)
+		assert.Assert(t, !ok || n == loadHeadSize+2*upstreamLoadSize+2*budgetSize, "%d bytes", n)
 	}
 	data[0]++
 	_, _, _, ok = decodeLoad(data)
--- a/io/sibling/remote.go
+++ b/io/sibling/remote.go
@@ -9,11 +9,11 @@
 	"skylarkstand/core/balance"
 )
 
-// A region-load datagram consists of a format byte, the hash of the region, the mean share
-// of the upstreams that are left out, and the shares of the others.
+// A region-load datagram consists of a format byte, the hash of the region, the mean load
+// of the upstreams that are left out, and the loads of the others.
 const (
 	regionFormat   = 0x83
-	regionHeadSize = 1 + 8 + shareSize
+	regionHeadSize = 1 + 8 + upstreamLoadSize
 )
 
 // sendRegionLoad sends the load of the local region's entries to one entry of each other
@@ -25,7 +25,7 @@
 	if len(regions) == 0 {
 		return
 	}
-	lo := gs.ld.RegionLoad(maxShares)
+	lo := gs.ld.RegionLoad(maxUpstreamLoads)
 	if len(lo.Upstreams) == 0 {
 		return
 	}
@@ -54,45 +54,45 @@
 }
 
 // A remote-calls datagram consists of a format byte, the hash of the sender's region, and
-// the shares sent to upstreams of the receiver's region.
+// the calls sent to upstreams of the receiver's region.
 const (
 	callsFormat   = 0x85
 	callsHeadSize = 1 + 8
 )
 
 func encodeRemoteCalls(rc balance.RemoteCalls) []byte {
-	shares := rc.Calls[:min(len(rc.Calls), maxShares)]
-	data := make([]byte, 0, callsHeadSize+len(shares)*shareSize)
+	loads := rc.Calls[:min(len(rc.Calls), maxUpstreamLoads)]
+	data := make([]byte, 0, callsHeadSize+len(loads)*upstreamLoadSize)
 	data = append(data, callsFormat)
 	data = binary.BigEndian.AppendUint64(data, rc.From)
-	return appendShares(data, shares)
+	return appendLoads(data, loads)
 }
 
 // decodeRemoteCalls decodes a remote-calls datagram. It returns false for any other datagram.
 func decodeRemoteCalls(data []byte) (balance.RemoteCalls, bool) {
-	if len(data) < callsHeadSize || data[0] != callsFormat || (len(data)-callsHeadSize)%shareSize != 0 {
+	if len(data) < callsHeadSize || data[0] != callsFormat || (len(data)-callsHeadSize)%upstreamLoadSize != 0 {
 		return balance.RemoteCalls{}, false
 	}
-	return balance.RemoteCalls{From: binary.BigEndian.Uint64(data[1:]), Calls: decodeShares(data[callsHeadSize:])}, true
+	return balance.RemoteCalls{From: binary.BigEndian.Uint64(data[1:]), Calls: decodeLoads(data[callsHeadSize:])}, true
 }
 
 func encodeRegion(lo balance.RegionLoad) []byte {
-	shares := lo.Upstreams[:min(len(lo.Upstreams), maxShares)]
-	data := make([]byte, 0, regionHeadSize+len(shares)*shareSize)
+	loads := lo.Upstreams[:min(len(lo.Upstreams), maxUpstreamLoads)]
+	data := make([]byte, 0, regionHeadSize+len(loads)*upstreamLoadSize)
 	data = append(data, regionFormat)
 	data = binary.BigEndian.AppendUint64(data, lo.Region)
-	data = appendShares(data, []balance.UpstreamLoad{lo.Others})
-	return appendShares(data, shares)
+	data = appendLoads(data, []balance.UpstreamLoad{lo.Others})
+	return appendLoads(data, loads)
 }
 
 // decodeRegion decodes a region-load datagram. It returns false for any other datagram.
 func decodeRegion(data []byte) (balance.RegionLoad, bool) {
-	if len(data) < regionHeadSize || data[0] != regionFormat || (len(data)-regionHeadSize)%shareSize != 0 {
+	if len(data) < regionHeadSize || data[0] != regionFormat || (len(data)-regionHeadSize)%upstreamLoadSize != 0 {
 		return balance.RegionLoad{}, false
 	}
 	return balance.RegionLoad{
 		Region:    binary.BigEndian.Uint64(data[1:]),
-		Others:    decodeShares(data[1+8 : regionHeadSize])[0],
-		Upstreams: decodeShares(data[regionHeadSize:]),
+		Others:    decodeLoads(data[1+8 : regionHeadSize])[0],
+		Upstreams: decodeLoads(data[regionHeadSize:]),
 	}, true
 }
--- a/io/sibling/sent.go
+++ b/io/sibling/sent.go
@@ -20,33 +20,33 @@
 )
 
 func encodeSent(self uint64, sent []balance.UpstreamLoad) []byte {
-	sent = sent[:min(len(sent), maxShares)]
-	data := make([]byte, 0, sentHeadSize+len(sent)*shareSize)
+	sent = sent[:min(len(sent), maxUpstreamLoads)]
+	data := make([]byte, 0, sentHeadSize+len(sent)*upstreamLoadSize)
 	data = append(data, sentFormat)
 	data = binary.BigEndian.AppendUint64(data, self)
-	return appendShares(data, sent)
+	return appendLoads(data, sent)
 }
 
 // decodeSent decodes a sent-calls datagram. It returns false for any other datagram.
 func decodeSent(data []byte) (from uint64, sent []balance.UpstreamLoad, ok bool) {
-	if len(data) < sentHeadSize || data[0] != sentFormat || (len(data)-sentHeadSize)%shareSize != 0 {
+	if len(data) < sentHeadSize || data[0] != sentFormat || (len(data)-sentHeadSize)%upstreamLoadSize != 0 {
 		return 0, nil, false
 	}
-	return binary.BigEndian.Uint64(data[1:]), decodeShares(data[sentHeadSize:]), true
+	return binary.BigEndian.Uint64(data[1:]), decodeLoads(data[sentHeadSize:]), true
 }
 
-func appendShares(data []byte, shares []balance.UpstreamLoad) []byte {
-	for _, sr := range shares {
-		data = binary.BigEndian.AppendUint64(data, sr.Upstream)
-		data = binary.BigEndian.AppendUint16(data, uint16(min(sr.Own, maxUnits)))
-		data = binary.BigEndian.AppendUint16(data, uint16(min(sr.Pending/pendingUnit, maxUnits)))
+func appendLoads(data []byte, loads []balance.UpstreamLoad) []byte {
+	for _, ul := range loads {
+		data = binary.BigEndian.AppendUint64(data, ul.Upstream)
+		data = binary.BigEndian.AppendUint16(data, uint16(min(ul.Own, maxUnits)))
+		data = binary.BigEndian.AppendUint16(data, uint16(min(ul.Pending/pendingUnit, maxUnits)))
 	}
 	return data
 }
 
-func decodeShares(data []byte) []balance.UpstreamLoad {
+func decodeLoads(data []byte) []balance.UpstreamLoad {
 	var out []balance.UpstreamLoad
-	for row := data; len(row) > 0; row = row[shareSize:] {
+	for row := data; len(row) > 0; row = row[upstreamLoadSize:] {
 		out = append(out, balance.UpstreamLoad{
 			Upstream: binary.BigEndian.Uint64(row),
 			Own:      int(binary.BigEndian.Uint16(row[8:])),
--- a/io/sibling/sibling.go
+++ b/io/sibling/sibling.go
@@ -181,7 +181,7 @@
 		return replica.Update{}, eris.New("sibling: no other entry is registered")
 	}
 	type result struct {
-		ne  replica.Update
+		up  replica.Update
 		err error
 	}
 	n := min(fetchFanout, len(addrs))
@@ -202,8 +202,8 @@
 			lastErr = re.err
 			continue
 		}
-		if !found || re.ne.Revision > best.Revision || re.ne.Revision == best.Revision && re.ne.Age < best.Age {
-			best, found = re.ne, true
+		if !found || re.up.Revision > best.Revision || re.up.Revision == best.Revision && re.up.Age < best.Age {
+			best, found = re.up, true
 		}
 	}
 	if !found {
