--- a/io/sibling/gossip.go
+++ b/io/sibling/gossip.go
@@ -271,7 +271,7 @@
 	return uint16(min(contact/digestUnit, noContact-1))
 }
 
-// decode decodes a load datagram. It returns false for any other datagram, including those
+// decodeLoad decodes a load datagram. It returns false for any other datagram, including those
 // of other releases.
 func decodeLoad(data []byte) (from uint64, di replica.Digest, lo balance.Load, ok bool) {
 	if len(data) < loadHeadSize || data[0] != loadFormat {
