--- a/core/admission/simulation_job_test.go
+++ b/core/admission/simulation_job_test.go
@@ -112,12 +112,12 @@
 			return
 		}
 		rq.first, jo.gotFirstToken = si.now-rq.arrived, true
-		jo.en.pk.RecordFirstPiece(si.clock(), pool, up.host.ID, time.Unix(0, 0).Add(sent))
+		jo.en.pk.RecordFirstChunk(si.clock(), pool, up.host.ID, time.Unix(0, 0).Add(sent))
 	})
-	if pieces := seconds(placement.MeasuredPieces * secondsPerToken * factor); rq.output > placement.MeasuredPieces {
+	if pieces := seconds(placement.MeasuredChunks * secondsPerToken * factor); rq.output > placement.MeasuredChunks {
 		si.after(first+jo.delay()+pieces, func() {
 			if valid() {
-				jo.en.pk.RecordPieces(pool, up.host.ID, pieces, placement.MeasuredPieces)
+				jo.en.pk.RecordChunks(pool, up.host.ID, pieces, placement.MeasuredChunks)
 			}
 		})
 	}
--- a/core/canary/guard.go
+++ b/core/canary/guard.go
@@ -20,7 +20,7 @@
 	lastSweep time.Time
 	// inFlight counts this entry's attempts in flight by version.
 	inFlight map[versionKey]int
-	// stable is the version of a service that is in use beside one under roll-out.
+	// stable is the old version of a service: the one in use beside a version under roll-out.
 	stable map[core.ServiceID]core.VersionID
 	// withdrawn are the versions that were rolled back and not ordered again since.
 	withdrawn map[versionKey]bool
--- a/core/dispatch/shared_picker.go
+++ b/core/dispatch/shared_picker.go
@@ -97,7 +97,7 @@
 		return nil, err
 	}
 	now := time.Now()
-	sp.pk.RecordFirstPiece(now, poolOf(at), ch.ID, sent)
+	sp.pk.RecordFirstChunk(now, poolOf(at), ch.ID, sent)
 	return &measuredAnswer{Answer: ans, pl: sp, po: poolOf(at), ch: ch, sent: sent, began: now}, nil
 }
 
@@ -126,8 +126,8 @@
 			ma.recordPieces(time.Since(ma.sent), out)
 		}
 	}
-	if err == nil && !ma.po.Unstreamed && ma.pieces == placement.MeasuredPieces+1 {
-		ma.recordPieces(time.Since(ma.began), placement.MeasuredPieces)
+	if err == nil && !ma.po.Unstreamed && ma.pieces == placement.MeasuredChunks+1 {
+		ma.recordPieces(time.Since(ma.began), placement.MeasuredChunks)
 	}
 	return data, err
 }
@@ -135,7 +135,7 @@
 func (ma *measuredAnswer) recordPieces(took time.Duration, pieces int) {
 	ma.pl.mu.Lock()
 	defer ma.pl.mu.Unlock()
-	ma.pl.pk.RecordPieces(ma.po, ma.ch.ID, took, pieces)
+	ma.pl.pk.RecordChunks(ma.po, ma.ch.ID, took, pieces)
 }
 
 // Capacity returns the capacity of the upstreams of a model version or plain service, in the local
--- a/core/forward/answer.go
+++ b/core/forward/answer.go
@@ -22,7 +22,7 @@
 	header     http.Header
 	confidence int
 	ev         *events
-	// pending is the first piece, which is read before the answer is accepted.
+	// pending is the first chunk, which is read before the answer is accepted.
 	pending []byte
 	err     error
 	// lastEventID is the id of the last event that the caller received.
@@ -41,7 +41,8 @@
 	// until it is complete, so that one that breaks off can be retried and no truncated answer
 	// reaches the caller.
 	bufferLimit = 256 << 10
-	// chunkSize is the size in bytes of the pieces in which larger answers are passed on.
+	// chunkSize is the maximum size in bytes of the chunks in which the rest of a larger answer
+	// is passed on.
 	chunkSize = 16 << 10
 )
 
@@ -99,36 +100,37 @@
 	return -1
 }
 
-// Next returns the next piece of the answer. The answer is complete only when it ends with
+// Next returns the next chunk of the answer: an event of a stream; of another answer what
+// readBuffered read, then what readChunk reads. The answer is complete only when it ends with
 // io.EOF.
 func (ans *Answer) Next() ([]byte, error) {
 	if ans.pending != nil {
-		piece := ans.pending
+		chunk := ans.pending
 		ans.pending = nil
-		ans.recordDelivered(piece)
-		return piece, nil
+		ans.recordDelivered(chunk)
+		return chunk, nil
 	}
 	if ans.err != nil {
 		return nil, ans.finish(ans.err)
 	}
-	var piece []byte
+	var chunk []byte
 	var err error
 	if ans.ev != nil {
-		piece, err = ans.nextEvent()
+		chunk, err = ans.nextEvent()
 	} else {
-		piece, err = ans.readChunk()
+		chunk, err = ans.readChunk()
 	}
 	if err != nil {
 		return nil, ans.finish(err)
 	}
-	ans.recordDelivered(piece)
-	return piece, nil
+	ans.recordDelivered(chunk)
+	return chunk, nil
 }
 
-func (ans *Answer) recordDelivered(piece []byte) {
-	ans.sentBytes += len(piece)
+func (ans *Answer) recordDelivered(chunk []byte) {
+	ans.sentBytes += len(chunk)
 	if ans.ev != nil {
-		ans.lastEventID = eventID(piece, ans.lastEventID)
+		ans.lastEventID = eventID(chunk, ans.lastEventID)
 	}
 }
 
@@ -166,11 +168,11 @@
 // if that is allowed.
 func (ans *Answer) nextEvent() ([]byte, error) {
 	for {
-		piece, err := ans.readEvent()
+		chunk, err := ans.readEvent()
 		if err == nil {
-			ans.at.recordPiece()
+			ans.at.recordChunk()
 			ans.recordEventTime(time.Now())
-			return piece, nil
+			return chunk, nil
 		}
 		if errors.Is(err, io.EOF) {
 			return nil, err
--- a/core/forward/attempt.go
+++ b/core/forward/attempt.go
@@ -43,9 +43,9 @@
 	cancel context.CancelCauseFunc
 	reply  *core.Reply
 	began  time.Time
-	pieces int
-	// lastPieceAt is when the last piece of the answer arrived.
-	lastPieceAt time.Time
+	chunks int
+	// lastChunkAt is when the last chunk of the answer arrived.
+	lastChunkAt time.Time
 	// reason is why the attempt yielded no usable answer, for the log.
 	reason string
 	ended  bool
@@ -97,19 +97,19 @@
 	at.jb.fw.components.Canary.Observe(ou)
 }
 
-// minRatePieces is the number of pieces over which the rate of an answer is measured, so that a
-// single late piece does not matter.
-const minRatePieces = 5
+// minRateChunks is the number of chunks over which the rate of an answer is measured, so that a
+// single late chunk does not matter.
+const minRateChunks = 5
 
-// recordPiece records the arrival of a piece of the answer.
-func (at *attempt) recordPiece() {
+// recordChunk records the arrival of a chunk of a streamed answer, which is one event.
+func (at *attempt) recordChunk() {
 	now := time.Now()
-	if at.pieces > 0 {
-		at.jb.fw.meters.gaps.RecordDuration(now.Sub(at.lastPieceAt))
+	if at.chunks > 0 {
+		at.jb.fw.meters.gaps.RecordDuration(now.Sub(at.lastChunkAt))
 	}
-	at.pieces++
-	at.lastPieceAt = now
-	if at.pieces == minRatePieces {
+	at.chunks++
+	at.lastChunkAt = now
+	if at.chunks == minRateChunks {
 		ou := at.timing()
 		ou.Streaming = true
 		at.observe(ou)
@@ -234,7 +234,7 @@
 	if ve != taken {
 		event.Log(fw.deps.Log, event.AttemptEnded, "request", jb.ex.ID, "attempt", at.number, "upstream", at.to.ID,
 			"address", at.to.Addr, "version", at.to.Version, "model", at.rq.Model, "verdict", ve.String(), "why", at.reason,
-			"took", now.Sub(at.sent), "pieces", at.pieces)
+			"took", now.Sub(at.sent), "pieces", at.chunks)
 	}
 	at.logAvoidanceChange(change, ve, failureRate)
 }
@@ -256,14 +256,14 @@
 	return ou
 }
 
-// timing returns how long the answer took to begin and the mean time between its pieces.
+// timing returns how long the answer took to begin and the mean time between its chunks.
 func (at *attempt) timing() canary.Outcome {
 	ou := canary.Outcome{SingleChunk: !at.jb.rt.Stream}
 	if !at.began.IsZero() {
 		ou.TimeToHeader = at.began.Sub(at.sent)
 	}
-	if at.pieces >= minRatePieces {
-		ou.ChunkInterval = time.Since(at.began) / time.Duration(at.pieces)
+	if at.chunks >= minRateChunks {
+		ou.ChunkInterval = time.Since(at.began) / time.Duration(at.chunks)
 	}
 	return ou
 }
--- a/core/forward/doc.go
+++ b/core/forward/doc.go
@@ -17,5 +17,5 @@
 //	fw := forward.New(deps, client, forward.Components{…})
 //	ans, err := fw.Forward(ctx, ex)      // err is a *core.Failure
 //	defer ans.Close()
-//	for piece, err := ans.Next(); err == nil; piece, err = ans.Next() { … }
+//	for chunk, err := ans.Next(); err == nil; chunk, err = ans.Next() { … }
 package forward
--- a/core/forward/fixture_test.go
+++ b/core/forward/fixture_test.go
@@ -124,14 +124,14 @@
 	defer ans.Close()
 	var sb strings.Builder
 	for {
-		piece, err := ans.Next()
+		chunk, err := ans.Next()
 		if errors.Is(err, io.EOF) {
 			return ans.Status(), sb.String(), nil
 		}
 		if err != nil {
 			return ans.Status(), sb.String(), err
 		}
-		sb.Write(piece)
+		sb.Write(chunk)
 	}
 }
 
--- a/core/forward/forward.go
+++ b/core/forward/forward.go
@@ -90,7 +90,7 @@
 // probably serve right now.
 const shortRetryAfter = 500 * time.Millisecond
 
-// Forward runs an exchange and returns its answer once the first piece of it is available.
+// Forward runs an exchange and returns its answer once the first chunk of it is available.
 // Errors are *core.Failure.
 func (fw *Forwarder) Forward(ctx context.Context, ex *core.Exchange) (*Answer, error) {
 	jb, fl := fw.admit(ctx, ex)
--- a/core/forward/watchdog.go
+++ b/core/forward/watchdog.go
@@ -14,7 +14,7 @@
 )
 
 // watchHeader cancels the attempt when its header takes too long, and returns the clean-up. An
-// upstream that sends pieces of other answers meanwhile is busy, not down; it gets more time,
+// upstream that sends chunks of other answers meanwhile is busy, not down; it gets more time,
 // since another upstream would have to start from the beginning.
 func (at *attempt) watchHeader() func() {
 	var ti *time.Timer
--- a/core/placement/figures_test.go
+++ b/core/placement/figures_test.go
@@ -41,8 +41,8 @@
 		cands[ix].IDHash = placement.Hash(cands[ix].Host.ID)
 		cands[ix].ReportedAt = now.Add(-time.Duration(ix) * time.Millisecond)
 		pk.RecordSent(now, cands[ix].Host.ID)
-		pk.RecordFirstPiece(now.Add(time.Millisecond), po, cands[ix].Host.ID, now)
-		pk.RecordPieces(po, cands[ix].Host.ID, time.Millisecond, 1)
+		pk.RecordFirstChunk(now.Add(time.Millisecond), po, cands[ix].Host.ID, now)
+		pk.RecordChunks(po, cands[ix].Host.ID, time.Millisecond, 1)
 	}
 	rnd := rand.New(rand.NewPCG(1, 2))
 	rq := placement.Request{Pool: po, Body: 1000}
--- a/core/placement/outlier.go
+++ b/core/placement/outlier.go
@@ -8,8 +8,8 @@
 
 // poolStats holds the observations of a pool.
 type poolStats struct {
-	firstPieceSeconds movingMean // time to the first piece
-	secondsPerPiece   movingMean // time per piece after the first
+	firstChunkSeconds movingMean // time to the first chunk
+	secondsPerChunk   movingMean // time per chunk after the first
 	picks             int
 	size              int // number of available candidates at the last decision
 	slowCount         int // number of upstreams marked slow
@@ -19,19 +19,19 @@
 
 // upstreamStats holds the observations of one upstream.
 type upstreamStats struct {
-	// slowdown is the moving average of its time per piece as a multiple of the pool's
+	// slowdown is the moving average of its time per chunk as a multiple of the pool's
 	// mean, so that streamed and unstreamed responses can be averaged together.
 	slowdown   float64
 	markedSlow bool
 	pending    int
-	// since is the time of the last first piece or failure, or the time at which
+	// since is the time of the last first chunk or failure, or the time at which
 	// the first of the pending attempts was sent.
 	since time.Time
 }
 
 const (
 	// slowRatio is the slowdown above which an upstream is avoided, recoveredRatio
-	// the slowdown below which it is used again. An engine's time per piece varies with
+	// the slowdown below which it is used again. An engine's time per chunk varies with
 	// its batch size, normally by less than twofold; the gap provides hysteresis, so
 	// that an upstream does not change state with each response.
 	slowRatio      = 3.0
@@ -39,9 +39,9 @@
 	// maxAnswerRatio bounds the ratio observed for one response, so that a single
 	// delayed response does not mark an upstream as slow; two in a row do.
 	maxAnswerRatio = 8.0
-	// maxPoolRatio bounds the effect of one response on the pool's time per piece.
+	// maxPoolRatio bounds the effect of one response on the pool's time per chunk.
 	// In a pool of four, a slow upstream would otherwise raise the mean to a third of
-	// its own time per piece before it is marked, and so never be marked.
+	// its own time per chunk before it is marked, and so never be marked.
 	maxPoolRatio = 2.0
 	// smoothing is the weight of the newest response in slowdown. If it lowers the
 	// ratio of an upstream marked slow, recoverySmoothing is used instead: such an
@@ -52,8 +52,8 @@
 	// maxSlowDivisor: if more than one in this many upstreams of a pool, and more than
 	// one, are marked slow, none is avoided.
 	maxSlowDivisor = 5
-	// silenceFactor is the multiple of the mean time to the first piece for which an
-	// upstream may return no first piece to any of its attempts. It detects a slow or
+	// silenceFactor is the multiple of the mean time to the first chunk for which an
+	// upstream may return no first chunk to any of its attempts. It detects a slow or
 	// hanging upstream before its first response has ended.
 	silenceFactor = 6
 	// A pool sends one attempt in probePicks, or one per probeInterval if there are
@@ -61,10 +61,10 @@
 	// caller, so the probes stay well below one attempt in a hundred.
 	probePicks    = 400
 	probeInterval = 30 * time.Second
-	// MeasuredPieces is the number of pieces after the first over which the time per
-	// piece of a response is measured: few enough to detect a slow upstream before
+	// MeasuredChunks is the number of chunks after the first over which the time per
+	// chunk of a response is measured: few enough to detect a slow upstream before
 	// its responses end, and enough that a single late packet has little effect.
-	MeasuredPieces = 8
+	MeasuredChunks = 8
 	// MinMeasuredTokens is the length, in tokens, of the shortest unstreamed response whose time
 	// per token is measured. It includes the time to first token, so a short response
 	// would make its upstream look slow.
@@ -116,12 +116,12 @@
 	us.pending++
 }
 
-// RecordFirstPiece records the first piece of the response to an attempt sent at a given time.
-func (pk *Picker) RecordFirstPiece(now time.Time, po Pool, id core.UpstreamID, sent time.Time) {
+// RecordFirstChunk records the first chunk of the response to an attempt sent at a given time.
+func (pk *Picker) RecordFirstChunk(now time.Time, po Pool, id core.UpstreamID, sent time.Time) {
 	ps, us := pk.pool(po), pk.upstream(id)
 	us.pending = max(us.pending-1, 0)
 	us.since = now
-	ps.firstPieceSeconds.observe(now.Sub(sent).Seconds(), maxAnswerRatio)
+	ps.firstChunkSeconds.observe(now.Sub(sent).Seconds(), maxAnswerRatio)
 }
 
 // movingMean is a moving average; it is unknown while count is 0.
@@ -141,15 +141,16 @@
 	mm.val += max(poolSmoothing, 1/float64(mm.count)) * (min(val, maxRatio*mm.val) - mm.val)
 }
 
-// RecordPieces records the time that a number of pieces of a response took after the first.
-// The time to the first piece depends more on an upstream's queue than on its speed:
-// in a full pool, every upstream would look slow.
-func (pk *Picker) RecordPieces(po Pool, id core.UpstreamID, took time.Duration, pieces int) {
+// RecordChunks records the time that a number of chunks of a response took after the first.
+// The time to the first chunk depends more on an upstream's queue than on its speed:
+// in a full pool, every upstream would look slow. An unstreamed response arrives as a single
+// chunk: its tokens are counted instead, and the time is that since the attempt was sent.
+func (pk *Picker) RecordChunks(po Pool, id core.UpstreamID, took time.Duration, chunks int) {
 	ps, us := pk.pool(po), pk.upstream(id)
-	perPiece := max(took.Seconds(), 1e-6) / float64(max(pieces, 1))
+	perChunk := max(took.Seconds(), 1e-6) / float64(max(chunks, 1))
 	ratio := 1.0
-	if ps.secondsPerPiece.count > 0 {
-		ratio = min(perPiece/ps.secondsPerPiece.val, maxAnswerRatio)
+	if ps.secondsPerChunk.count > 0 {
+		ratio = min(perChunk/ps.secondsPerChunk.val, maxAnswerRatio)
 	}
 	weight := smoothing
 	if us.markedSlow && ratio < us.slowdown {
@@ -159,7 +160,7 @@
 	// An upstream marked slow does not affect the pool's mean; otherwise its speed
 	// would soon count as normal.
 	if !us.markedSlow {
-		ps.secondsPerPiece.observe(perPiece, maxPoolRatio)
+		ps.secondsPerChunk.observe(perChunk, maxPoolRatio)
 	}
 	ps.updateSlow(us)
 }
@@ -198,7 +199,7 @@
 	if us.markedSlow {
 		return true
 	}
-	return us.pending > 0 && ps.firstPieceSeconds.count > 0 && now.Sub(us.since).Seconds() > silenceFactor*ps.firstPieceSeconds.val
+	return us.pending > 0 && ps.firstChunkSeconds.count > 0 && now.Sub(us.since).Seconds() > silenceFactor*ps.firstChunkSeconds.val
 }
 
 // tryProbe reports whether the attempt is to probe a slow upstream. If so, it
--- a/core/placement/placement.go
+++ b/core/placement/placement.go
@@ -14,8 +14,8 @@
 //	pk := placement.New(zone, region)
 //	ch, ok := pk.Pick(now, placement.Request{Pool: po, Prefix: hash}, cands, rand.IntN)
 //	pk.RecordSent(now, ch.ID)
-//	pk.RecordFirstPiece(now, po, ch.ID, sent)        // on the first piece of the response
-//	pk.RecordPieces(po, ch.ID, took, pieces)     // after a few more pieces
+//	pk.RecordFirstChunk(now, po, ch.ID, sent)        // on the first chunk of the response
+//	pk.RecordChunks(po, ch.ID, took, chunks)     // after a few more chunks
 package placement
 
 import (
@@ -30,8 +30,8 @@
 type Pool struct {
 	Target  core.ModelVersion
 	Service core.ServiceID
-	// Unstreamed is set for attempts whose response arrives in one piece. Their first
-	// piece arrives late, so their times are kept apart from streamed ones.
+	// Unstreamed is set for attempts whose response arrives as a single chunk. Their first
+	// chunk arrives late, so their times are kept apart from streamed ones.
 	Unstreamed bool
 }
 
--- a/core/placement/placement_test.go
+++ b/core/placement/placement_test.go
@@ -143,13 +143,13 @@
 		for range 4000 {
 			ch, _ := pk.Pick(now, placement.Request{}, cands, rnd.IntN)
 			pk.RecordSent(now, ch.ID)
-			pk.RecordFirstPiece(now.Add(time.Millisecond), placement.Pool{}, ch.ID, now)
+			pk.RecordFirstChunk(now.Add(time.Millisecond), placement.Pool{}, ch.ID, now)
 			took := 10 * time.Millisecond
 			if ch.ID == "0" {
 				took = slowTime
 				toSlow++
 			}
-			pk.RecordPieces(placement.Pool{}, ch.ID, took, 1)
+			pk.RecordChunks(placement.Pool{}, ch.ID, took, 1)
 			now = now.Add(20 * time.Millisecond)
 		}
 		return toSlow
