--- a/core/claim/value.go
+++ b/core/claim/value.go
@@ -197,10 +197,10 @@
 	return result{out: Outcome{State: Owned, Attempt: re.Attempt, Owner: re.Owner, RunBefore: runBefore}, final: true}
 }
 
-// acceptsKeyTime reports whether a key's claim cannot have been dropped yet, which only a
-// time-ordered key can show; any other key is accepted. No claim is written for a key that is more
-// than maxClockSkew ahead of its writer's clock, so the key of a dropped claim is at most
-// maxClockSkew above the floor.
+// acceptsKeyTime refuses a time-ordered key whose claim may have been dropped, and one that is more
+// than maxClockSkew ahead of this agent's clock. It accepts a key that carries no time. No claim is
+// written for a key that is more than maxClockSkew ahead of its writer's clock, so the key of a
+// dropped claim is at most maxClockSkew above the floor.
 func (ed *editor) acceptsKeyTime(ke Key) bool {
 	made, ok := ke.creationTime()
 	if !ok {
--- a/core/order/order.go
+++ b/core/order/order.go
@@ -30,7 +30,7 @@
 	// ErrSuperseded means that a newer order has been given.
 	ErrSuperseded = errors.New("order: a newer order was given")
 	// ErrUnavailable means that the store is unavailable, so it is unknown whether the order is the
-	// newest. A late order is harmless; executing an outdated one is not.
+	// newest. A delay does no harm; an outdated order that is executed would undo a newer one.
 	ErrUnavailable = errors.New("order: store away")
 )
 
--- a/core/replica/follow_test.go
+++ b/core/replica/follow_test.go
@@ -175,10 +175,10 @@
 	})
 }
 
-// Store calls hang for some seconds, such as seven. The store accepts an operator's change
-// when it recovers, while a watch sent just before still waits for its timeout. Guards
-// against receiving the change only after that: callers would get the old configuration
-// for five seconds longer than at other entries.
+// Store calls hang for three to ten seconds. The store accepts an operator's change when it
+// recovers, while a watch sent just before still waits for its timeout. Guards against
+// receiving the change only after that: with an outage of seven seconds, callers would get
+// the old configuration for five seconds longer than at other entries.
 func TestChangeArrivesAfterStoreHang(t *testing.T) {
 	for _, outage := range []time.Duration{3 * time.Second, 7 * time.Second, 7300 * time.Millisecond, 9900 * time.Millisecond} {
 		fst := new(fakeStore)
