--- a/core/attempt.go
+++ b/core/attempt.go
@@ -42,10 +42,10 @@
 	Slots   int
 }
 
-// Answer receives an attempt's answer piece by piece. The answer is complete only once Next has
+// Answer receives an attempt's answer chunk by chunk. The answer is complete only once Next has
 // returned io.EOF; any other error is a [Failure] and ends it.
 type Answer interface {
-	// Next returns the next piece. Its bytes are valid until the next call of Next.
+	// Next returns the next chunk. Its bytes are valid until the next call of Next.
 	Next() ([]byte, error)
 	// Usage is valid once Next has returned io.EOF.
 	Usage() Usage
--- a/core/balance/flight.go
+++ b/core/balance/flight.go
@@ -131,7 +131,7 @@
 	fl.state.recordReport(now, lo)
 }
 
-// RecordData records that a piece of a response arrived.
+// RecordData records that a chunk of a response arrived.
 func (pk *Picker) RecordData(now time.Time, fl *Flight) { fl.state.lastData = now }
 
 // ActiveSince reports whether any attempt received anything from the flight's upstream since a
--- a/core/dispatch/chat_test.go
+++ b/core/dispatch/chat_test.go
@@ -113,7 +113,7 @@
 	defer out.Close()
 	text := ""
 	for {
-		piece, err := out.Next()
+		chunk, err := out.Next()
 		if errors.Is(err, io.EOF) {
 			out.FileBill()
 			assert.Equal(t, text, out.Target.String())
@@ -122,7 +122,7 @@
 		if err != nil {
 			return text, err
 		}
-		text += string(piece)
+		text += string(chunk)
 	}
 }
 
--- a/core/dispatch/outcome.go
+++ b/core/dispatch/outcome.go
@@ -10,7 +10,7 @@
 	"skylarkstand/core/ledger"
 )
 
-// Outcome is the answer to a request, read piece by piece. It must not be used by several
+// Outcome is the answer to a request, read chunk by chunk. It must not be used by several
 // goroutines at the same time.
 type Outcome struct {
 	// Target is the version that answers; Cascade is set if the request named a cascade. Repinned
@@ -47,7 +47,7 @@
 // ContentType is the media type that the upstream set.
 func (out *Outcome) ContentType() string { return out.ans.ContentType() }
 
-// Next returns the next piece of the answer, io.EOF after the last one, or a [core.Failure]. The
+// Next returns the next chunk of the answer, io.EOF after the last one, or a [core.Failure]. The
 // bytes are valid until the next call.
 func (out *Outcome) Next() ([]byte, error) {
 	if out.buffered != nil {
--- a/core/dispatch/shared_picker.go
+++ b/core/dispatch/shared_picker.go
@@ -109,13 +109,13 @@
 	po          placement.Pool
 	ch          placement.Choice
 	sent, began time.Time
-	pieces      int
+	chunks      int
 }
 
 // Next implements [core.Answer].
 func (ma *measuredAnswer) Next() ([]byte, error) {
 	data, err := ma.Answer.Next()
-	ma.pieces++
+	ma.chunks++
 	switch {
 	case err == nil && ma.ch.CrossRegion:
 		ma.pl.mu.Lock()
@@ -123,19 +123,19 @@
 		ma.pl.mu.Unlock()
 	case errors.Is(err, io.EOF) && ma.po.Unstreamed:
 		if out := int(ma.Usage().Generated); out >= placement.MinMeasuredTokens {
-			ma.recordPieces(time.Since(ma.sent), out)
+			ma.recordChunks(time.Since(ma.sent), out)
 		}
 	}
-	if err == nil && !ma.po.Unstreamed && ma.pieces == placement.MeasuredChunks+1 {
-		ma.recordPieces(time.Since(ma.began), placement.MeasuredChunks)
+	if err == nil && !ma.po.Unstreamed && ma.chunks == placement.MeasuredChunks+1 {
+		ma.recordChunks(time.Since(ma.began), placement.MeasuredChunks)
 	}
 	return data, err
 }
 
-func (ma *measuredAnswer) recordPieces(took time.Duration, pieces int) {
+func (ma *measuredAnswer) recordChunks(took time.Duration, chunks int) {
 	ma.pl.mu.Lock()
 	defer ma.pl.mu.Unlock()
-	ma.pl.pk.RecordChunks(ma.po, ma.ch.ID, took, pieces)
+	ma.pl.pk.RecordChunks(ma.po, ma.ch.ID, took, chunks)
 }
 
 // Capacity returns the capacity of the upstreams of a model version or plain service, in the local
--- a/core/dispatch/try_test.go
+++ b/core/dispatch/try_test.go
@@ -88,14 +88,14 @@
 	}
 }
 
-// pieces is an answer of several pieces with a fixed interval between them.
-type pieces struct {
+// chunks is an answer of several chunks with a fixed interval between them.
+type chunks struct {
 	core.Answer
 	left     int
 	interval time.Duration
 }
 
-func (pi *pieces) Next() ([]byte, error) {
+func (pi *chunks) Next() ([]byte, error) {
 	if pi.left == 0 {
 		return nil, io.EOF
 	}
@@ -104,7 +104,7 @@
 	return []byte("word "), nil
 }
 
-func (pi *pieces) Usage() core.Usage { return core.Usage{Generated: 100} }
+func (pi *chunks) Usage() core.Usage { return core.Usage{Generated: 100} }
 
 // unequal is a fake with four upstreams, the first of which is ten times slower.
 type unequal struct {
@@ -120,10 +120,10 @@
 		interval *= 10
 	}
 	if un.stream {
-		return &pieces{left: 20, interval: interval}, nil
+		return &chunks{left: 20, interval: interval}, nil
 	}
 	time.Sleep(100 * interval)
-	return &pieces{left: 1}, nil
+	return &chunks{left: 1}, nil
 }
 
 // An engine is slow but does not report it. Callers whose answers it produces, streamed or not,
--- a/core/losses/cause.go
+++ b/core/losses/cause.go
@@ -106,7 +106,7 @@
 
 const minErrorStatus = 500
 
-// latenessCause returns the cause of a late first piece by what took most of the time before it:
+// latenessCause returns the cause of a late first chunk by what took most of the time before it:
 // failed attempts, attempts whose answer was dropped for a larger model's, or the last attempt.
 func (rq *request) latenessCause(first time.Duration) Cause {
 	var failed, escalated time.Duration
--- a/io/engine/stream.go
+++ b/io/engine/stream.go
@@ -20,7 +20,7 @@
 	id    []byte
 	out   []byte
 	usage core.Usage
-	// done is set by the [DONE] event, which Next returns as a separate piece, so that the entry
+	// done is set by the [DONE] event, which Next returns as a separate chunk, so that the entry
 	// can hold it back until the request is settled.
 	done, ended bool
 }
