--- a/app/settings/gateway.go
+++ b/app/settings/gateway.go
@@ -37,8 +37,8 @@
 	// Exposure is the share of a service's requests that a bad version may receive during its
 	// roll-out.
 	Exposure float64 `json:"exposure,omitempty"`
-	// RetryBudget bounds the retries and hedged requests at a service, that is, the arrivals beyond
-	// the first of each request.
+	// RetryBudget bounds the retries and escalations at a service, that is, the arrivals beyond the
+	// first of each request.
 	RetryBudget RetryBudget `json:"repeats"`
 	// WarmUp bounds the requests per second to a cold upstream, over all gateways.
 	WarmUp WarmUp `json:"warm-up"`
