--- a/app/gateway_test.go
+++ b/app/gateway_test.go
@@ -45,7 +45,7 @@
 
 // All mistakes in a settings file must be reported at once; otherwise the operator has to start the
 // process once per mistake.
-func TestGatewaySettingsFaults(t *testing.T) {
+func TestAllGatewaySettingsFaultsAreReportedAtOnce(t *testing.T) {
 	_, err := settings.LoadGateway(writeSettings(t, `{"listen": "nowhere", "zone": "muc-a", "exposure": 2, "log-level": "loud", "colour": 1}`))
 	for _, part := range []string{"colour", "listen", "readiness", "siblings", "store", "regions", "exposure", "log-level"} {
 		assert.ErrorContains(t, err, part)
--- a/app/members_test.go
+++ b/app/members_test.go
@@ -11,7 +11,7 @@
 
 // Guards against a region without a reader because each entry assumes that another one is the
 // reader, and against a process that relies on others before it is registered.
-func TestReadersOfARegion(t *testing.T) {
+func TestRegionHasItsNumberOfReaders(t *testing.T) {
 	regions := map[core.Zone]core.Region{"muc-a": "muc", "muc-b": "muc", "nue-a": "nue"}
 	me := newMembers()
 	var all []watch.Member
